--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -75,14 +75,14 @@
 		return nil, err
 	}
 	b := &Balancer{s: s, rng: rand.New(rand.NewPCG(seed, 0)), tokens: bucketCap, vary: 1,
-		base: aimedDelay / aimedRise, perBack: floorPerBack, byID: map[string]*backend{},
+		base: aimedDelay / aimedRise, perBack: floorPerBack, byID: map[string]*endpoint{},
 		requests: map[string]*request{}, timers: map[int64]*request{}, lines: map[string]*line{}}
 	b.s.MaxAttempts = max(1, s.MaxAttempts)
-	if s.ColdShare == 0 {
-		b.s.ColdShare = 1
+	if s.ColdCapacity == 0 {
+		b.s.ColdCapacity = 1
 	}
 	for _, c := range s.Classes {
-		b.classes = append(b.classes, classState{Class: c, latency: float64(c.Aim) / 4,
+		b.classes = append(b.classes, classState{Class: c, latency: float64(c.Objective) / 4,
 			freshOK: 1, knownOK: 1})
 	}
 	return b, nil
@@ -92,7 +92,7 @@
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now, b.actions = max(now, b.now), nil
 	b.endRests()
-	f := math.Exp(-float64(b.now-b.decayAt) / (throttleSpan * float64(b.classes[0].Aim)))
+	f := math.Exp(-float64(b.now-b.decayAt) / (throttleSpan * float64(b.classes[0].Objective)))
 	b.sent, b.inTime, b.peak, b.decayAt = b.sent*f, b.inTime*f, b.peak*f, b.now
 	b.measure()
 	for _, e := range events {
@@ -103,7 +103,7 @@
 			b.onOutcome(e)
 		case TimerFired:
 			b.onTimer(e.Token)
-		case List:
+		case EndpointList:
 			b.onList(e)
 			b.measure()
 		case StreamStarted:
@@ -125,19 +125,19 @@
 		return
 	}
 	c := &b.classes[e.Class]
-	r := &request{id: e.ID, class: e.Class, aim: b.now + min(c.Aim, e.Left),
-		deadline: b.now + e.Left, repeat: e.Repeat}
+	r := &request{id: e.ID, class: e.Class, aim: b.now + min(c.Objective, e.Timeout),
+		deadline: b.now + e.Timeout, repeat: e.ClientRetry}
 	// A client gives its tries a usual patience, its last one all that is left of its deadline.
 	// A try with any other patience therefore tells how long ago the client began.
 	if c.patience == 0 {
-		c.patience = e.Left
+		c.patience = e.Timeout
 	}
-	off := e.Left - c.patience
+	off := e.Timeout - c.patience
 	if off > 2*b.s.Tick || off < -2*b.s.Tick {
 		r.repeat = true
-		r.aim -= max(0, c.Deadline-e.Left)
+		r.aim -= max(0, c.Deadline-e.Timeout)
 	}
-	if !e.Repeat {
+	if !e.ClientRetry {
 		c.patience += min(max(off, -b.s.Tick/4), b.s.Tick/4) // towards the median
 	}
 	if r.work = float64(e.Work); r.work > 0 {
@@ -168,31 +168,31 @@
 	b.inFlight--
 	a.b.out = slices.DeleteFunc(a.b.out, func(o *attempt) bool { return o == a })
 	if e.Result == TimedOut || e.Result == Reset || e.Result == Cancelled {
-		r.rest = b.now + b.s.KeyRest
+		r.rest = b.now + b.s.KeyQuietPeriod
 	}
-	if e.Result.NeverRan() && !(e.Result == Full && b.s.FullNoProof) {
+	if e.Result.NeverRan() && !(e.Result == Rejected && b.s.RejectedMayHaveRun) {
 		if r.risky--; r.risky == 0 {
 			r.anchor = nil
 		}
 	}
 	c := &b.classes[r.class]
 	b.observe(r, a, e)
-	if e.Result == OK && !r.ended {
+	if e.Result == Served && !r.ended {
 		b.tokens = min(bucketCap, b.tokens+successRefill)
 		if b.now <= r.aim {
 			c.answered++
 			b.inTime++
 		}
 		for i, o := range r.attempts {
-			if o.open && b.s.MayCancel {
+			if o.open && b.s.AllowCancel {
 				b.actions = append(b.actions, Cancel{Request: r.id, Attempt: i})
 			}
 		}
 	}
-	if a.b.State == Gone && len(a.b.out) == 0 {
+	if a.b.State == Removed && len(a.b.out) == 0 {
 		b.forgetGone()
 	}
-	if e.Done || e.Result == OK || r.ended {
+	if e.Done || e.Result == Served || r.ended {
 		b.close(r)
 		return
 	}
@@ -321,7 +321,7 @@
 		v *= repeatValue
 	}
 	if r.aim-b.now < time.Duration(b.expected(r)/2) {
-		v *= b.classes[r.class].LateWorth
+		v *= b.classes[r.class].LatePriority
 	}
 	return v
 }
@@ -331,15 +331,15 @@
 	total, worst, low := 0.0, -1, math.Inf(1)
 	for i := range b.classes {
 		c := &b.classes[i]
-		total += c.arrived * c.Worth * b.unit(c)
+		total += c.arrived * c.Priority * b.unit(c)
 		if share := c.share(); share < low {
 			worst, low = i, share
 		}
 	}
 	c := &b.classes[class]
-	v := (b.s.GoalWhole + b.s.GoalWindow) * c.Worth * b.unit(c) / c.latency / max(total, 1e-9)
+	v := (b.s.WeightOverall + b.s.WeightWorstWindow) * c.Priority * b.unit(c) / c.latency / max(total, 1e-9)
 	if class == worst {
-		v += b.s.GoalClass / (max(c.arrived, 1) * c.latency)
+		v += b.s.WeightWorstClass / (max(c.arrived, 1) * c.latency)
 	}
 	return v
 }
@@ -348,7 +348,7 @@
 func (c *classState) share() float64 { return (c.answered + 1) / (c.arrived + 1) }
 
 func (b *Balancer) unit(c *classState) float64 {
-	if b.s.ByWork {
+	if b.s.PriorityByWork {
 		return c.latency
 	}
 	return 1
@@ -356,28 +356,28 @@
 
 // pick chooses a backend: one where this balancer has nothing in flight, at random; else the one with the
 // fewest in flight; never the one that just failed unless it is the only one. nil: none may be used now.
-func (b *Balancer) pick(r *request) *backend {
+func (b *Balancer) pick(r *request) *endpoint {
 	mean, seen := 0.0, 0
 	for _, t := range b.backends {
-		if t.State == Up && t.seen {
+		if t.State == Serving && t.seen {
 			mean += b.load(t)
 			seen++
 		}
 	}
 	mean /= float64(max(seen, 1))
 	b.peak = max(b.peak, float64(b.inFlight-b.stuck))
-	most := max(double, backCap*b.perBack/float64(b.s.Balancers))
-	crowded := b.now-b.cutAt <= b.s.RampTime // then crossing is worth its price
+	most := max(double, backCap*b.perBack/float64(b.s.Agents))
+	crowded := b.now-b.cutAt <= b.s.SlowStart // then crossing is worth its price
 	if b.sparse(1) {
 		crowded = b.sent > crowdAt*b.inTime+throttleFree
 	}
-	trusted := b.s.WarmKeys && b.classes[r.class].freshOK >= b.classes[r.class].knownOK-trustGap
-	var few, last *backend
+	trusted := b.s.CacheAffinity && b.classes[r.class].freshOK >= b.classes[r.class].knownOK-trustGap
+	var few, last *endpoint
 	far, least, mild := math.Inf(1), math.Inf(1), math.Inf(1)
 	b.choices = b.choices[:0]
 	for _, t := range b.backends {
 		load := b.load(t)
-		if t.State != Up || !b.mayRepeat(r, t) || t == r.failed && b.up > 1 || b.now < t.fullTill ||
+		if t.State != Serving || !b.mayRepeat(r, t) || t == r.failed && b.up > 1 || b.now < t.fullTill ||
 			load >= most || !b.coldRoom(t, r) {
 			continue
 		}
@@ -409,7 +409,7 @@
 	// come back, while all agents are connected elsewhere: eleven of sixteen got nothing in five seconds.
 	slices.SortFunc(b.choices, func(x, y choice) int { return cmp.Compare(x.place, y.place) })
 	set := b.workingSet()
-	var idle [3]*backend // in the set; connected outside of it; others
+	var idle [3]*endpoint // in the set; connected outside of it; others
 	first := [3]float64{far, far, far}
 	for i, c := range b.choices {
 		linked := b.isLinked(c.t)
@@ -423,7 +423,7 @@
 		// Departure: where backends serve a key that they lately met with less work, the draw comes
 		// from the key: all agents choose alike, with no word between them, among those idle.
 		u := b.rng.Float64()
-		if b.s.WarmKeys && r.key != 0 {
+		if b.s.CacheAffinity && r.key != 0 {
 			u = keyedDraw(c.t.hash, r.key)
 		}
 		kind := 2
@@ -448,13 +448,13 @@
 func (b *Balancer) workingSet() float64 { return leastSet + spreadOut*b.peak }
 
 // isLinked reports whether t is in the working set: an attempt needs no new connection there.
-func (b *Balancer) isLinked(t *backend) bool {
+func (b *Balancer) isLinked(t *endpoint) bool {
 	return len(t.out) > 0 || t.linked && (b.s.IdleClose == 0 || b.now-t.usedAt < b.s.IdleClose)
 }
 
 // slowness is how much longer this backend takes than the mean, by its answers or
 // by the wait of its oldest attempt if that is worse (a stall shows before any answer).
-func (b *Balancer) slowness(t *backend) float64 {
+func (b *Balancer) slowness(t *endpoint) float64 {
 	s := cmp.Or(t.slow, 1)
 	for _, a := range t.out {
 		if a.sent > t.heard || t.cold {
@@ -469,7 +469,7 @@
 // the way, or swallowed by a backend that hung and is back): each held its place and its age passed for
 // slowness, so that of eight equal backends some had 4 out and others 20. Harm: a backend that works on a few
 // very heavy requests beside light ones counts as idler than it is. Not for cold ones: all is overdue there.
-func (b *Balancer) load(t *backend) float64 {
+func (b *Balancer) load(t *endpoint) float64 {
 	n := len(t.out)
 	for _, a := range t.out {
 		if a.sent > t.heard || t.cold {
@@ -493,7 +493,7 @@
 
 // need is the time of so many mean latencies of r, within bounds.
 func (b *Balancer) need(r *request, means float64) time.Duration {
-	return time.Duration(min(means*b.expected(r), holdAtMost*float64(b.classes[r.class].Aim)))
+	return time.Duration(min(means*b.expected(r), holdAtMost*float64(b.classes[r.class].Objective)))
 }
 
 // hopeless reports whether an attempt that goes out then would likelier be in vain than answered before the
@@ -501,7 +501,8 @@
 // fleet's work went into attempts for them that were over before their answers, on the day it was shortest.
 func (b *Balancer) hopeless(r *request, then time.Duration) bool {
 	c := &b.classes[r.class]
-	known := b.now-c.heard <= time.Duration(throttleSpan*float64(c.Aim)) // what is known may be long past
+	// What is known may be long past.
+	known := b.now-c.heard <= time.Duration(throttleSpan*float64(c.Objective))
 	return then >= r.deadline || known && then+b.need(r, evenOdds) >= r.deadline
 }
 
@@ -516,8 +517,8 @@
 	c := &b.classes[r.class]
 	l := b.expected(r)
 	wait := l * (1 + silentDevs*b.vary)
-	if b.sparse(sparseBelow) && r.open == 1 && len(r.attempts) < b.s.MaxAttempts && b.s.SecondCopies &&
-		c.Effect != Unsafe && b.now+time.Duration(wait+l) <= r.aim {
+	if b.sparse(sparseBelow) && r.open == 1 && len(r.attempts) < b.s.MaxAttempts && b.s.AllowHedging &&
+		c.Idempotency != NotIdempotent && b.now+time.Duration(wait+l) <= r.aim {
 		b.timer(r, b.now+time.Duration(wait))
 	}
 }
@@ -530,9 +531,9 @@
 	}
 	c := &b.classes[r.class]
 	wait := time.Duration(b.rng.Float64() * min(math.Exp2(float64(r.retries)), backoffCeiling) *
-		backoffUnit * float64(c.Aim))
+		backoffUnit * float64(c.Objective))
 	at := b.now + wait
-	may := func(t *backend) bool { return t.State == Up && b.mayRepeat(r, t) }
+	may := func(t *endpoint) bool { return t.State == Serving && b.mayRepeat(r, t) }
 	if !slices.ContainsFunc(b.backends, may) || b.tokens < cost || b.hopeless(r, at) || res == NotSent {
 		b.giveUp(r)
 		return
@@ -552,22 +553,22 @@
 }
 
 // mayRepeat is the repeat rule: whether a (further) attempt of r may go to t.
-func (b *Balancer) mayRepeat(r *request, t *backend) bool {
-	if r.ended || r.stream || len(r.attempts) >= b.s.MaxAttempts || r.open > 0 && !b.s.SecondCopies {
+func (b *Balancer) mayRepeat(r *request, t *endpoint) bool {
+	if r.ended || r.stream || len(r.attempts) >= b.s.MaxAttempts || r.open > 0 && !b.s.AllowHedging {
 		return false
 	}
 	c := &b.classes[r.class]
-	if c.Effect == Safe || r.risky == 0 {
+	if c.Idempotency == Idempotent || r.risky == 0 {
 		return true
 	}
 	// A connection that comes up late holds the repeat up for its time-out: the window must not pass then.
-	if c.Effect == Unsafe || b.now-r.anchor.sent >= c.Window-b.s.ConnectTimeout {
+	if c.Idempotency == NotIdempotent || b.now-r.anchor.sent >= c.DedupWindow-b.s.ConnectTimeout {
 		return false
 	}
-	switch c.Group {
-	case GroupZone:
+	switch c.DedupScope {
+	case DedupInZone:
 		return t.Zone == r.anchor.b.Zone
-	case GroupCell:
+	case DedupInCell:
 		return t.Cell == r.anchor.b.Cell
 	}
 	return true
@@ -583,7 +584,7 @@
 
 // lineUp puts a new request behind all others of its key.
 func (b *Balancer) lineUp(r *request, key string) {
-	if key == "" || !b.classes[r.class].KeepOrder {
+	if key == "" || !b.classes[r.class].Ordered {
 		return
 	}
 	if r.line = b.lines[key]; r.line == nil {
@@ -629,14 +630,14 @@
 	t, c, lat := a.b, &b.classes[r.class], float64(e.Latency)
 	// Of a client that waits only a moment, just the fast answers are seen: they say nothing of the usual
 	// latency, and their absence nothing of the backend.
-	hasty := r.deadline-a.sent < time.Duration(silentAfter*float64(min(c.Aim, c.Deadline)))
+	hasty := r.deadline-a.sent < time.Duration(silentAfter*float64(min(c.Objective, c.Deadline)))
 	if hasty && e.Result == TimedOut {
 		return
 	}
 	// Incident iec25a3: agents stayed with the backends of a small fleet while it grew fivefold. One
 	// that turns work away or answers nothing leaves the working set, though still connected.
 	good := 0.0
-	if e.Result == OK && b.now <= r.aim {
+	if e.Result == Served && b.now <= r.aim {
 		good = 1
 	}
 	if a.fresh {
@@ -645,14 +646,14 @@
 		c.knownOK += smooth * (good - c.knownOK)
 		c.freshOK += smooth / 10 * (good - c.freshOK) // forgets, since few fresh ones are tried meanwhile
 	}
-	if e.Result == OK || e.Result == Errored {
+	if e.Result == Served || e.Result == ServerError {
 		t.heard = max(t.heard, a.sent)
 	}
-	if t.linked, t.usedAt = e.Result == OK || e.Result == Errored, b.now; !t.linked {
+	if t.linked, t.usedAt = e.Result == Served || e.Result == ServerError, b.now; !t.linked {
 		t.rank, t.slow, t.samples = t.rank+b.rng.ExpFloat64(), max(t.slow, 1), 0
 	}
 	switch e.Result {
-	case OK:
+	case Served:
 		// It came back before the list told: treat it as just started. One failure is no proof that it was
 		// away: a process that dies resets all its connections and refuses new ones for a while.
 		if t.down && t.warmFrom < a.sent && t.failedAt < a.sent {
@@ -677,8 +678,8 @@
 		}
 		b.vary = blend(b.vary, math.Abs(lat/c.latency-1))
 		c.latency = blend(c.latency, max(lat, 1))
-		b.pace(float64(e.Latency) / float64(c.Aim))
-	case Full:
+		b.pace(float64(e.Latency) / float64(c.Objective))
+	case Rejected:
 		t.fullTill = b.now + time.Duration(b.rng.Float64()*c.latency)
 		b.pace(1)
 	case TimedOut:
@@ -686,10 +687,10 @@
 		if t.lastOK < a.sent { // nothing came back since: more than a slow request, and no queue
 			b.strike(t, a, c)
 		} else {
-			b.pace(max(1, lat/float64(c.Aim)))
+			b.pace(max(1, lat/float64(c.Objective)))
 			b.learnSpeed(t, lat/a.cost) // at least so slow
 		}
-	case Errored, Reset, ConnectFailed:
+	case ServerError, Reset, ConnectFailed:
 		if t.fails == 0 {
 			t.failedAt = b.now
 		}
@@ -702,7 +703,7 @@
 			}
 		}
 		if t.fails >= n && (e.Result == ConnectFailed || b.maySpare()) {
-			t.down = t.down || e.Result != Errored
+			t.down = t.down || e.Result != ServerError
 			b.strike(t, a, c)
 		}
 		if t.fails == 1 { // only the first of a run: a backend that is dead says nothing of the others
@@ -717,9 +718,9 @@
 // on the day of the report some backend was always left out for two of them in a row, with a dozen attempts
 // open there that were then answered. A machine that vanishes leaves its connections open, so a dial without
 // any answer is no sign of life. Harm: one that dies with the resets lost on the way is found out later.
-func (b *Balancer) survived(t *backend, e Outcome) bool {
+func (b *Balancer) survived(t *endpoint, e Outcome) bool {
 	mute := e.Result == ConnectFailed && e.Latency > b.s.ConnectTimeout/2
-	return e.Result != Errored && !mute && len(t.out) > 0 && t.out[0].sent < t.failedAt
+	return e.Result != ServerError && !mute && len(t.out) > 0 && t.out[0].sent < t.failedAt
 }
 
 // maySpare reports whether one more backend may be left out for errors. Seen on the long day: where half of
@@ -727,7 +728,7 @@
 func (b *Balancer) maySpare() bool {
 	out := 0.0
 	for _, t := range b.backends {
-		if t.State == Up && b.now < t.ejected {
+		if t.State == Serving && b.now < t.ejected {
 			out++
 		}
 	}
@@ -749,7 +750,7 @@
 
 // learnSpeed takes one latency, as a multiple of the expected, into a backend's slowness.
 // The first few weigh more, since a quiet agent sees an answer of each only now and then.
-func (b *Balancer) learnSpeed(t *backend, sample float64) {
+func (b *Balancer) learnSpeed(t *endpoint, sample float64) {
 	t.samples++
 	t.slow = cmp.Or(t.slow, 1)
 	t.slow += max(smooth, 1/(t.samples+priorSamples)) * (min(sample, slowBound) - t.slow)
@@ -758,20 +759,20 @@
 // strike ejects a backend for a while that doubles with each further strike.
 // Departure: a backend that fails fast is always idle and would draw all traffic.
 // What was sent before the last strike adds nothing.
-func (b *Balancer) strike(t *backend, a *attempt, c *classState) {
+func (b *Balancer) strike(t *endpoint, a *attempt, c *classState) {
 	if a.sent < t.struckAt {
 		return
 	}
 	t.strikes = min(t.strikes+1, strikeCap)
 	t.struckAt = b.now
-	t.ejected = b.now + time.Duration(math.Exp2(t.strikes-1)*(0.75+0.5*b.rng.Float64())*float64(c.Aim))
+	t.ejected = b.now + time.Duration(math.Exp2(t.strikes-1)*(0.75+0.5*b.rng.Float64())*float64(c.Objective))
 }
 
 // shun leaves a backend out for one class for a while that doubles with each further silence of it.
 // Guards against backends that leave one class unanswered and serve the others, on which they are kept.
 // Acts only for a class that fares clearly worse than another: where answers of all classes get lost,
 // leaving backends out would crowd the rest for nothing.
-func (b *Balancer) shun(t *backend, class int) {
+func (b *Balancer) shun(t *endpoint, class int) {
 	best := 0.0
 	for i := range b.classes {
 		best = max(best, b.classes[i].share())
@@ -781,24 +782,24 @@
 	}
 	s := &t.shuns[class]
 	s.fails = min(s.fails+1, strikeCap)
-	s.till = b.now + time.Duration(shunFor*math.Exp2(s.fails-1)*float64(b.classes[class].Aim))
+	s.till = b.now + time.Duration(shunFor*math.Exp2(s.fails-1)*float64(b.classes[class].Objective))
 }
 
 // silent reports whether t has answered nothing since it was sent its oldest open attempt, for
 // longer than a queue within the aims would explain. What hangs there must not use up the room of
 // a quiet agent, which would refuse all else until its client leaves.
-func (b *Balancer) silent(t *backend) bool {
+func (b *Balancer) silent(t *endpoint) bool {
 	return len(t.out) > 0 && t.lastOK < t.out[0].sent && b.now-t.out[0].sent > t.out[0].patience
 }
 
 // healthy reports whether t may get r as ordinary traffic. After an ejection it gets one attempt at a
 // time until it has healed: of requests that may be repeated, of others only where none of these came
 // for as long again.
-func (b *Balancer) healthy(t *backend, r *request) bool {
+func (b *Balancer) healthy(t *endpoint, r *request) bool {
 	if b.now < t.ejected || b.silent(t) || b.now < t.shuns[r.class].till {
 		return false
 	}
-	safe := b.classes[r.class].Effect != Unsafe || b.now >= 2*t.ejected-t.struckAt
+	safe := b.classes[r.class].Idempotency != NotIdempotent || b.now >= 2*t.ejected-t.struckAt
 	return t.strikes == 0 || safe && len(t.out) == 0
 }
 
@@ -843,7 +844,7 @@
 	if b.sparse(sparseBelow) {
 		return math.Inf(1)
 	}
-	return max(1, b.perBack*b.capacity/float64(b.s.Balancers))
+	return max(1, b.perBack*b.capacity/float64(b.s.Agents))
 }
 
 // throttled reports whether too few of the requests sent lately were answered within their aim.
@@ -856,41 +857,41 @@
 
 // sparse reports whether an agent's part of the least limit is under so many attempts.
 func (b *Balancer) sparse(part float64) bool {
-	return floorPerBack*float64(b.up) < part*float64(b.s.Balancers)
+	return floorPerBack*float64(b.up) < part*float64(b.s.Agents)
 }
 
 // ---- Cold start ----
 
 // start notes that a backend's process started at a time learned now.
-func (b *Balancer) start(t *backend, at time.Duration) {
+func (b *Balancer) start(t *endpoint, at time.Duration) {
 	t.warmFrom, t.cold, t.seen, t.slow, t.samples, t.linked = at, true, false, 0, 0, false
 	t.turn = b.now + b.untilTurn(t, b.classes[0].latency)
 }
 
 // warmth is the share of its full capacity that a backend surely has by now.
-func (b *Balancer) warmth(t *backend) float64 {
+func (b *Balancer) warmth(t *endpoint) float64 {
 	if !t.cold {
 		return 1
 	}
 	age := b.now - t.warmFrom
-	if age >= b.s.RampTime {
+	if age >= b.s.SlowStart {
 		t.cold = false
 		return 1
 	}
-	return b.s.ColdShare + (1-b.s.ColdShare)*max(0, float64(age)/float64(b.s.RampTime))
+	return b.s.ColdCapacity + (1-b.s.ColdCapacity)*max(0, float64(age)/float64(b.s.SlowStart))
 }
 
 // measure sums up what the backends that are up, and not ejected or down, can do.
 func (b *Balancer) measure() {
 	b.up, b.warm, b.capacity, b.stuck = 0, 0, 0, 0
 	for _, t := range b.backends {
-		if t.State == Up {
+		if t.State == Serving {
 			b.up++
 			if !t.cold {
 				b.warm++
 			}
 		}
-		usable := t.State == Up && !t.down && b.now >= t.ejected && !b.silent(t)
+		usable := t.State == Serving && !t.down && b.now >= t.ejected && !b.silent(t)
 		if usable {
 			b.capacity += b.warmth(t)
 		}
@@ -907,8 +908,8 @@
 // most backends have more than their sure capacity, and under overload it is needed. Guards against turns
 // that are saved up: one for each of 350 agents, and a backend falls that none sends much to. A turn lapses
 // after half a fall window, so what all send within a window is at most the turns of one and a half.
-func (b *Balancer) coldRoom(t *backend, r *request) bool {
-	lapse := b.s.FallWindow / 2
+func (b *Balancer) coldRoom(t *endpoint, r *request) bool {
+	lapse := b.s.ColdOverloadWindow / 2
 	if b.warmth(t) == 1 || lapse == 0 {
 		return true
 	}
@@ -920,21 +921,21 @@
 }
 
 // untilTurn draws how long a cold backend is left alone for so much work.
-func (b *Balancer) untilTurn(t *backend, work float64) time.Duration {
-	rate := max(b.decayed()/float64(b.s.FallWindow+1), 1e-9)
+func (b *Balancer) untilTurn(t *endpoint, work float64) time.Duration {
+	rate := max(b.decayed()/float64(b.s.ColdOverloadWindow+1), 1e-9)
 	if b.warm == 0 { // no warm one to go by: its part of half the least limit, or nothing would ever go out
-		rate = max(rate, floorPerBack/2/float64(b.s.Balancers))
+		rate = max(rate, floorPerBack/2/float64(b.s.Agents))
 	}
-	most := max(1, b.s.FallMultiple)
+	most := max(1, b.s.ColdOverloadMultiple)
 	share := b.warmth(t) * min(math.Sqrt(most), most/1.5)
-	return time.Duration(min(b.rng.ExpFloat64()*work/(share*rate), float64(b.s.RampTime)))
+	return time.Duration(min(b.rng.ExpFloat64()*work/(share*rate), float64(b.s.SlowStart)))
 }
 
 // decayed is the work that a warm backend lately did for this balancer, over about one fall window. While
 // none is warm it stays: it is what their like can do.
 func (b *Balancer) decayed() float64 {
 	if b.warm > 0 {
-		b.doneWork *= math.Exp(-float64(b.now-b.doneAt) / float64(b.s.FallWindow+1))
+		b.doneWork *= math.Exp(-float64(b.now-b.doneAt) / float64(b.s.ColdOverloadWindow+1))
 	}
 	b.doneAt = b.now
 	return b.doneWork
@@ -942,7 +943,7 @@
 
 // ---- List following ----
 
-func (b *Balancer) onList(e List) {
+func (b *Balancer) onList(e EndpointList) {
 	failed := e.Kind == ListFailed || e.Kind == ListRefused
 	if b.askFails++; !failed {
 		b.askFails = 0
@@ -955,14 +956,14 @@
 	}
 	full := e.Kind != ListDelta
 	listed := map[string]bool{}
-	for _, n := range e.Backends {
+	for _, n := range e.Endpoints {
 		listed[n.ID] = true
 		t := b.byID[n.ID]
-		if t == nil && n.State == Gone {
+		if t == nil && n.State == Removed {
 			continue
 		}
 		if t == nil {
-			t = &backend{Backend: n, hash: hash(n.ID), rank: b.rng.ExpFloat64()}
+			t = &endpoint{Endpoint: n, hash: hash(n.ID), rank: b.rng.ExpFloat64()}
 			t.shuns = make([]shun, len(b.classes))
 			b.byID[n.ID] = t
 			b.backends = append(b.backends, t)
@@ -975,11 +976,11 @@
 			b.start(t, max(n.Started, t.warmFrom))
 			t.strikes, t.ejected, t.down = 0, 0, false
 		}
-		t.Backend = n
+		t.Endpoint = n
 	}
 	for _, t := range b.backends {
 		if full && !listed[t.ID] {
-			t.State = Gone
+			t.State = Removed
 		}
 	}
 	b.forgetGone()
@@ -991,25 +992,26 @@
 // So the spread grows with the number of those who ask, and with each failure, up to the longest wait that
 // lets a change arrive in time. Harm: lists come later.
 func (b *Balancer) askLater(refused bool) {
-	spread := min(askTime*float64(b.s.Balancers), 0.25) * math.Exp2(float64(min(b.askFails, 4)))
-	most := b.s.AskSpread
+	spread := min(askTime*float64(b.s.Agents), 0.25) * math.Exp2(float64(min(b.askFails, 4)))
+	most := b.s.PollSpread
 	if refused { // by then it could not be reached
-		most = b.s.RefusedSpread
+		most = b.s.RefusedPollSpread
 	}
-	most = min(cmp.Or(most, b.s.AskWithin), b.s.AskWithin)
-	b.askToken = b.alarm(time.Duration(b.rng.Float64() * min(spread*float64(b.s.AskWithin), float64(most))))
+	most = min(cmp.Or(most, b.s.PollWithin), b.s.PollWithin)
+	b.askToken = b.alarm(time.Duration(b.rng.Float64() * min(spread*float64(b.s.PollWithin), float64(most))))
 }
 
 // ---- Attempts and final answers ----
 
 // send starts an attempt. Nothing else does; the rules are checked here last.
-func (b *Balancer) send(r *request, t *backend) {
-	if t.State != Up || !b.mayRepeat(r, t) || !b.inTurn(r) || b.now >= r.deadline {
+func (b *Balancer) send(r *request, t *endpoint) {
+	if t.State != Serving || !b.mayRepeat(r, t) || !b.inTurn(r) || b.now >= r.deadline {
 		b.finish(r)
 		return
 	}
 	a := &attempt{b: t, sent: b.now, fresh: !b.isLinked(t), cost: max(b.expected(r), 1), open: true,
-		patience: time.Duration(max(silentAfter*float64(b.classes[r.class].Aim), silentMeans*b.expected(r)))}
+		patience: time.Duration(max(silentAfter*float64(b.classes[r.class].Objective),
+			silentMeans*b.expected(r)))}
 	r.attempts = append(r.attempts, a)
 	r.open++
 	if r.risky++; r.anchor == nil {
@@ -1023,7 +1025,7 @@
 	if t.cold {
 		t.turn = b.now + b.untilTurn(t, a.cost)
 	}
-	b.actions = append(b.actions, Send{Request: r.id, Backend: t.ID})
+	b.actions = append(b.actions, Send{Request: r.id, Endpoint: t.ID})
 	b.awaitSilence(r)
 }
 
@@ -1034,7 +1036,7 @@
 		return
 	}
 	if r.risky == 0 {
-		b.actions = append(b.actions, Refuse{Request: r.id, RetryAfter: b.comeBack(r)})
+		b.actions = append(b.actions, Reject{Request: r.id, RetryAfter: b.comeBack(r)})
 	} else {
 		b.actions = append(b.actions, Fail{Request: r.id})
 	}
@@ -1045,10 +1047,10 @@
 // wait like those of our own retries, at their ceiling since what refuses is a crowd and not one backend.
 // Guards against clients that were refused together and come back together.
 func (b *Balancer) comeBack(r *request) time.Duration {
-	if !b.s.RetryAfter {
+	if !b.s.SendRetryAfter {
 		return 0
 	}
-	unit := backoffCeiling * backoffUnit * float64(b.classes[r.class].Aim)
+	unit := backoffCeiling * backoffUnit * float64(b.classes[r.class].Objective)
 	return time.Duration(b.rng.Float64() * min(unit, float64(b.s.MaxRetryAfter)))
 }
 
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -24,26 +24,26 @@
 )
 
 func settings() balancer.Settings {
-	class := func(e balancer.Effect, g balancer.Group) balancer.Class {
-		return balancer.Class{Aim: 400 * ms, Deadline: 2000 * ms, Worth: 1, Effect: e, Group: g, Window: 300 * ms}
+	class := func(e balancer.Idempotency, g balancer.DedupScope) balancer.Class {
+		return balancer.Class{Objective: 400 * ms, Deadline: 2000 * ms, Priority: 1, Idempotency: e, DedupScope: g, DedupWindow: 300 * ms}
 	}
 	return balancer.Settings{
-		Balancers: 1, MaxAttempts: 4, Tick: 5 * ms,
+		Agents: 1, MaxAttempts: 4, Tick: 5 * ms,
 		Classes: []balancer.Class{
-			class(balancer.Safe, 0), class(balancer.Unsafe, 0), class(balancer.Keyed, balancer.GroupAll),
-			class(balancer.Keyed, balancer.GroupZone), class(balancer.Keyed, balancer.GroupCell),
+			class(balancer.Idempotent, 0), class(balancer.NotIdempotent, 0), class(balancer.IdempotentWithKey, balancer.DedupEverywhere),
+			class(balancer.IdempotentWithKey, balancer.DedupInZone), class(balancer.IdempotentWithKey, balancer.DedupInCell),
 		},
-		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, ColdShare: 0.2, RampTime: 10 * time.Second,
-		FallMultiple: 2.5, FallWindow: time.Second, AskWithin: 10 * time.Second,
-		GoalWhole: 0.6, GoalWindow: 0.2, GoalClass: 0.2,
+		DrainGrace: 500 * ms, ResponseGrace: 20 * ms, ColdCapacity: 0.2, SlowStart: 10 * time.Second,
+		ColdOverloadMultiple: 2.5, ColdOverloadWindow: time.Second, PollWithin: 10 * time.Second,
+		WeightOverall: 0.6, WeightWorstWindow: 0.2, WeightWorstClass: 0.2,
 	}
 }
 
 // backends makes n backends named a, b, c ...; two per zone and cell.
-func backends(n int) []balancer.Backend {
-	var list []balancer.Backend
+func backends(n int) []balancer.Endpoint {
+	var list []balancer.Endpoint
 	for i := range n {
-		list = append(list, balancer.Backend{ID: string(rune('a' + i)), Zone: i / 2, Cell: i / 2})
+		list = append(list, balancer.Endpoint{ID: string(rune('a' + i)), Zone: i / 2, Cell: i / 2})
 	}
 	return list
 }
@@ -59,14 +59,14 @@
 	actions []balancer.Action // of the last step
 }
 
-func newRig(t *testing.T, s balancer.Settings, seed uint64, list []balancer.Backend) *rig {
+func newRig(t *testing.T, s balancer.Settings, seed uint64, list []balancer.Endpoint) *rig {
 	t.Helper()
 	b, err := balancer.New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
-	r.step(balancer.List{Kind: balancer.ListCached, Backends: list})
+	r.step(balancer.EndpointList{Kind: balancer.ListCached, Endpoints: list})
 	return r
 }
 
@@ -75,7 +75,7 @@
 	for _, a := range r.actions {
 		switch a := a.(type) {
 		case balancer.Send:
-			r.sent[a.Request] = append(r.sent[a.Request], a.Backend)
+			r.sent[a.Request] = append(r.sent[a.Request], a.Endpoint)
 		case balancer.SetTimer:
 			r.timers = append(r.timers, balancer.TimerFired{Token: a.Token})
 			r.due = append(r.due, r.now+a.After)
@@ -109,7 +109,7 @@
 }
 
 func (r *rig) request(id string, class int) []balancer.Action {
-	return r.step(balancer.Request{ID: id, Class: class, Left: 2000 * ms})
+	return r.step(balancer.Request{ID: id, Class: class, Timeout: 2000 * ms})
 }
 
 // outcome ends the latest attempt of a request.
@@ -119,8 +119,8 @@
 	if n < 0 {
 		r.t.Fatalf("%s: nothing was sent", id)
 	}
-	return r.step(balancer.Outcome{Request: id, Attempt: n, Backend: r.sent[id][n], Result: res,
-		Latency: latency, Done: res == balancer.OK})
+	return r.step(balancer.Outcome{Request: id, Attempt: n, Endpoint: r.sent[id][n], Result: res,
+		Latency: latency, Done: res == balancer.Served})
 }
 
 // serve sends n requests one after the other and answers each at once.
@@ -131,7 +131,7 @@
 		id := fmt.Sprintf("serve-%d", len(r.sent))
 		r.request(id, class)
 		r.now += latency
-		r.outcome(id, balancer.OK, latency)
+		r.outcome(id, balancer.Served, latency)
 		counts[r.sent[id][0]]++
 	}
 	return counts
@@ -152,7 +152,7 @@
 		}
 		r.now += latency
 		for _, id := range wave {
-			r.outcome(id, balancer.OK, latency)
+			r.outcome(id, balancer.Served, latency)
 			counts[r.sent[id][0]]++
 		}
 	}
@@ -161,7 +161,7 @@
 
 // fleetShares is what each of a few backends gets of 400 requests, eight from each of fifty balancers. One
 // balancer alone keeps to a working set in an order of its own; together they use all.
-func fleetShares(t *testing.T, s balancer.Settings, list []balancer.Backend) map[string]int {
+func fleetShares(t *testing.T, s balancer.Settings, list []balancer.Endpoint) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
 	for seed := range uint64(50) {
@@ -179,7 +179,7 @@
 	found := ""
 	for _, a := range actions {
 		switch a := a.(type) {
-		case balancer.Refuse:
+		case balancer.Reject:
 			if a.Request == id {
 				found += "refuse"
 			}
@@ -199,24 +199,24 @@
 		want string
 	}{
 		{"no classes", func(s *balancer.Settings) { s.Classes = nil }, "Classes: none"},
-		{"no balancers", func(s *balancer.Settings) { s.Balancers = 0 }, "Balancers: 0"},
-		{"own number outside the count", func(s *balancer.Settings) { s.Self = 1 }, "Self: 1"},
-		{"negative number", func(s *balancer.Settings) { s.Self = -1 }, "Self: -1"},
+		{"no balancers", func(s *balancer.Settings) { s.Agents = 0 }, "Agents: 0"},
+		{"own number outside the count", func(s *balancer.Settings) { s.AgentIndex = 1 }, "AgentIndex: 1"},
+		{"negative number", func(s *balancer.Settings) { s.AgentIndex = -1 }, "AgentIndex: -1"},
 		{"attempt limit below zero", func(s *balancer.Settings) { s.MaxAttempts = -2 }, "MaxAttempts: -2"},
 		{"drain grace below zero", func(s *balancer.Settings) { s.DrainGrace = -ms }, "DrainGrace: -1ms"},
-		{"cold share above one", func(s *balancer.Settings) { s.ColdShare = 1.5 }, "ColdShare: 1.5"},
-		{"unknown effect", func(s *balancer.Settings) { s.Classes[2].Effect = 9 }, "Classes[2].Effect: 9"},
-		{"unknown group", func(s *balancer.Settings) { s.Classes[1].Group = 7 }, "Classes[1].Group: 7"},
-		{"no aim", func(s *balancer.Settings) { s.Classes[0].Aim = 0 }, "Classes[0].Aim: 0s"},
-		{"key rest below zero", func(s *balancer.Settings) { s.KeyRest = -ms }, "KeyRest: -1ms"},
+		{"cold share above one", func(s *balancer.Settings) { s.ColdCapacity = 1.5 }, "ColdCapacity: 1.5"},
+		{"unknown effect", func(s *balancer.Settings) { s.Classes[2].Idempotency = 9 }, "Classes[2].Idempotency: 9"},
+		{"unknown group", func(s *balancer.Settings) { s.Classes[1].DedupScope = 7 }, "Classes[1].DedupScope: 7"},
+		{"no aim", func(s *balancer.Settings) { s.Classes[0].Objective = 0 }, "Classes[0].Objective: 0s"},
+		{"key rest below zero", func(s *balancer.Settings) { s.KeyQuietPeriod = -ms }, "KeyQuietPeriod: -1ms"},
 		{"open limit below zero", func(s *balancer.Settings) { s.MaxOpen = -1 }, "MaxOpen: -1"},
 		{"price not a number", func(s *balancer.Settings) { s.WastePrice = math.NaN() }, "WastePrice: NaN"},
-		{"price below zero", func(s *balancer.Settings) { s.PeerPrice = -1 }, "PeerPrice: -1"},
+		{"price below zero", func(s *balancer.Settings) { s.GossipPrice = -1 }, "GossipPrice: -1"},
 		{"tenant quota below zero", func(s *balancer.Settings) { s.Tenants = []balancer.Tenant{{Quota: -1}} }, "Tenants[0].Quota: -1"},
-		{"unknown report source", func(s *balancer.Settings) { s.Reports = 9 }, "Reports: 9"},
+		{"unknown report source", func(s *balancer.Settings) { s.LoadReports = 9 }, "LoadReports: 9"},
 		{"unknown weights", func(s *balancer.Settings) { s.Weights = 9 }, "Weights: 9"},
-		{"stretch below zero", func(s *balancer.Settings) { s.Classes[0].AimStretch = -1 }, "Classes[0].AimStretch: -1"},
-		{"window below zero", func(s *balancer.Settings) { s.Classes[3].Window = -ms }, "Classes[3].Window: -1ms"},
+		{"stretch below zero", func(s *balancer.Settings) { s.Classes[0].ObjectiveStretch = -1 }, "Classes[0].ObjectiveStretch: -1"},
+		{"window below zero", func(s *balancer.Settings) { s.Classes[3].DedupWindow = -ms }, "Classes[3].DedupWindow: -1ms"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -237,22 +237,22 @@
 		result balancer.Result
 		want   string
 	}{
-		{safe, balancer.Errored, retry},
+		{safe, balancer.ServerError, retry},
 		{safe, balancer.TimedOut, retry},
 		{safe, balancer.Reset, retry},
-		{safe, balancer.Full, retry},
+		{safe, balancer.Rejected, retry},
 		{safe, balancer.ConnectFailed, retry},
 		{safe, balancer.NotSent, "refuse"},
-		{unsafe, balancer.Errored, "fail"},
+		{unsafe, balancer.ServerError, "fail"},
 		{unsafe, balancer.TimedOut, "fail"},
 		{unsafe, balancer.Reset, "fail"},
 		{unsafe, balancer.Cancelled, "fail"},
-		{unsafe, balancer.Full, retry},
+		{unsafe, balancer.Rejected, retry},
 		{unsafe, balancer.ConnectFailed, retry},
 		{unsafe, balancer.NotSent, "refuse"},
-		{keyedAll, balancer.Errored, retry},
-		{keyedAll, balancer.Full, retry},
-		{keyedZone, balancer.Errored, retry},
+		{keyedAll, balancer.ServerError, retry},
+		{keyedAll, balancer.Rejected, retry},
+		{keyedZone, balancer.ServerError, retry},
 		{keyedZone, balancer.ConnectFailed, retry},
 		{keyedCell, balancer.TimedOut, retry},
 		{keyedCell, balancer.Reset, retry},
@@ -286,7 +286,7 @@
 			r := newRig(t, settings(), seed, backends(6))
 			r.request("q", class)
 			r.now += 5 * ms
-			r.outcome("q", balancer.Errored, 5*ms)
+			r.outcome("q", balancer.ServerError, 5*ms)
 			r.advance(200 * ms)
 			if s := r.sent["q"]; len(s) != 2 || zone[s[0]] != zone[s[1]] {
 				t.Errorf("seed %d class %d: attempts %v leave the group", seed, class, s)
@@ -297,7 +297,7 @@
 		r := newRig(t, settings(), 1, backends(6))
 		r.request("q", keyedAll)
 		r.now += 300 * ms
-		acts := r.outcome("q", balancer.Errored, 300*ms)
+		acts := r.outcome("q", balancer.ServerError, 300*ms)
 		if final("q", acts) != "fail" {
 			t.Errorf("after the window: %v, want a failure", acts)
 		}
@@ -313,7 +313,7 @@
 			r := newRig(t, s, 1, backends(6))
 			r.request("q", keyedAll)
 			r.now += tt.at
-			if got := final("q", r.outcome("q", balancer.Errored, tt.at)); got != tt.want {
+			if got := final("q", r.outcome("q", balancer.ServerError, tt.at)); got != tt.want {
 				t.Errorf("failed after %v: %q, want %q", tt.at, got, tt.want)
 			}
 		}
@@ -341,7 +341,7 @@
 			break
 		}
 		r.now += ms
-		all = append(all, r.outcome("q", balancer.Errored, ms)...)
+		all = append(all, r.outcome("q", balancer.ServerError, ms)...)
 		all = append(all, r.advance(150*ms)...)
 	}
 	if len(r.sent["q"]) != 3 || final("q", all) != "fail" {
@@ -369,7 +369,7 @@
 			if len(r.sent[id]) == 2 {
 				retried++
 				r.now += ms
-				r.outcome(id, balancer.Errored, ms)
+				r.outcome(id, balancer.ServerError, ms)
 			}
 			r.advance(30 * time.Second) // lets ejections pass
 		}
@@ -382,11 +382,11 @@
 		first int
 		then  int
 	}{
-		{"errors cost 5", balancer.Errored, 4, 20, 0},
-		{"five served bring one back", balancer.Errored, 5, 20, 1},
+		{"errors cost 5", balancer.ServerError, 4, 20, 0},
+		{"five served bring one back", balancer.ServerError, 5, 20, 1},
 		{"time-outs cost 10", balancer.TimedOut, 9, 10, 0},
 		{"ten served bring one back after a time-out", balancer.TimedOut, 10, 10, 1},
-		{"the cap holds", balancer.Errored, 500, 20, 20},
+		{"the cap holds", balancer.ServerError, 500, 20, 20},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -408,14 +408,14 @@
 func TestBackoff(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 7
-	unit := s.Classes[safe].Aim / 32
+	unit := s.Classes[safe].Objective / 32
 	longest := make([]time.Duration, 6)
 	shortest := []time.Duration{time.Hour, time.Hour, time.Hour, time.Hour, time.Hour, time.Hour}
 	for seed := uint64(0); seed < 300; seed++ {
 		r := newRig(t, s, seed, backends(8))
 		r.request("q", safe)
 		for n := range 6 {
-			r.outcome("q", balancer.Full, 0)
+			r.outcome("q", balancer.Rejected, 0)
 			failed := r.now
 			for len(r.sent["q"]) == n+1 && len(r.due) > 0 {
 				r.advance(ms / 4)
@@ -490,7 +490,7 @@
 		for i := range 8 {
 			r.request(fmt.Sprint("q", i), safe)
 		}
-		r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "new"}}})
+		r.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "new"}}})
 		rush := 0
 		for i := range 4 {
 			id := fmt.Sprint("n", i)
@@ -527,7 +527,7 @@
 				}
 			}
 			r.now += lat
-			r.outcome(id, balancer.OK, lat)
+			r.outcome(id, balancer.Served, lat)
 		}
 		if late > 40 {
 			t.Errorf("a backend four times slower still got %d of 300", late)
@@ -555,7 +555,7 @@
 		t.Errorf("twelve at once used %d backends, want about two on each", len(used))
 	}
 	for i := range 12 {
-		r.outcome(fmt.Sprint("q", i), balancer.OK, 20*ms)
+		r.outcome(fmt.Sprint("q", i), balancer.Served, 20*ms)
 	}
 	r.now += 2 * time.Minute // all connections have closed; the next few open new ones
 	later := r.serve(300, safe, 20*ms)
@@ -571,9 +571,9 @@
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
 		r.request(id, unsafe)
-		res, lat := balancer.OK, 30*ms
+		res, lat := balancer.Served, 30*ms
 		if r.sent[id][0] == "a" {
-			res, lat = balancer.Errored, ms
+			res, lat = balancer.ServerError, ms
 			bad++
 		}
 		r.now += lat
@@ -599,10 +599,10 @@
 		r.request(id, 0)
 		r.now += 20 * ms
 		if r.sent[id][0] == "a" {
-			r.outcome(id, balancer.Errored, 20*ms)
+			r.outcome(id, balancer.ServerError, 20*ms)
 			break
 		}
-		r.outcome(id, balancer.OK, 20*ms)
+		r.outcome(id, balancer.Served, 20*ms)
 	}
 	r.advance(5 * time.Second)
 	if counts := r.serve(200, 0, 30*ms); counts["a"] == 0 {
@@ -622,7 +622,7 @@
 			t.Fatalf("request %d was not sent", i)
 		}
 		r.now += ms
-		r.outcome(id, balancer.Errored, ms)
+		r.outcome(id, balancer.ServerError, ms)
 	}
 }
 
@@ -637,7 +637,7 @@
 		id := fmt.Sprint("hang", i)
 		if r.sent[id][0] != "a" {
 			r.now += 10 * ms
-			r.outcome(id, balancer.OK, 20*ms)
+			r.outcome(id, balancer.Served, 20*ms)
 		}
 	}
 	r.now += 300 * ms
@@ -651,17 +651,17 @@
 }
 
 func TestDrainAndGone(t *testing.T) {
-	for _, state := range []balancer.BackendState{balancer.Draining, balancer.Gone} {
+	for _, state := range []balancer.EndpointState{balancer.Draining, balancer.Removed} {
 		r := newRig(t, settings(), 1, backends(3))
-		r.step(balancer.List{Kind: balancer.ListDelta,
-			Backends: []balancer.Backend{{ID: "a", State: state}}})
+		r.step(balancer.EndpointList{Kind: balancer.ListDelta,
+			Endpoints: []balancer.Endpoint{{ID: "a", State: state}}})
 		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
 			t.Errorf("state %d: %d requests went there", state, n)
 		}
 	}
 	t.Run("missing from a full list", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(3))
-		r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(3)[1:]})
+		r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(3)[1:]})
 		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
 			t.Errorf("%d requests went there", n)
 		}
@@ -672,9 +672,9 @@
 			r.request("q", safe)
 			other := map[string]string{"a": "b", "b": "a"}[r.sent["q"][0]]
 			r.now += ms
-			r.outcome("q", balancer.Errored, ms)
-			r.step(balancer.List{Kind: balancer.ListDelta,
-				Backends: []balancer.Backend{{ID: other, State: balancer.Draining}}})
+			r.outcome("q", balancer.ServerError, ms)
+			r.step(balancer.EndpointList{Kind: balancer.ListDelta,
+				Endpoints: []balancer.Endpoint{{ID: other, State: balancer.Draining}}})
 			r.advance(time.Second)
 			for _, b := range r.sent["q"][1:] {
 				if b == other {
@@ -686,10 +686,10 @@
 	t.Run("back with the same id", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(2))
 		r.serve(50, safe, 20*ms)
-		r.step(balancer.List{Kind: balancer.ListDelta,
-			Backends: []balancer.Backend{{ID: "a", State: balancer.Gone}}})
-		r.step(balancer.List{Kind: balancer.ListDelta,
-			Backends: []balancer.Backend{{ID: "a", Started: r.now}}})
+		r.step(balancer.EndpointList{Kind: balancer.ListDelta,
+			Endpoints: []balancer.Endpoint{{ID: "a", State: balancer.Removed}}})
+		r.step(balancer.EndpointList{Kind: balancer.ListDelta,
+			Endpoints: []balancer.Endpoint{{ID: "a", Started: r.now}}})
 		r.serve(400, safe, 20*ms)
 		r.advance(10 * time.Second)
 		if n := r.serve(200, safe, 20*ms)["a"]; n < 50 {
@@ -725,7 +725,7 @@
 	counts := map[string]float64{}
 	answer := func(id string, latency time.Duration) {
 		counts[r.sent[id][0]]++
-		for _, a := range r.outcome(id, balancer.OK, latency) {
+		for _, a := range r.outcome(id, balancer.Served, latency) {
 			if a, ok := a.(balancer.Send); ok {
 				out = append(out, a.Request)
 			}
@@ -760,7 +760,7 @@
 	}
 	drive(400)
 	list[0].Started = r.now
-	r.step(balancer.List{Kind: balancer.ListDelta, Backends: list[:1]})
+	r.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: list[:1]})
 	clear(counts)
 	drive(400) // two seconds: warmth 0.2 to 0.36, 0.28 in the mean
 	warm := (counts["b"] + counts["c"] + counts["d"] + counts["e"]) / 4
@@ -775,15 +775,15 @@
 	list := backends(3)
 	r := newRig(t, settings(), 9, list)
 	send := func(id string, work time.Duration) {
-		r.step(balancer.Request{ID: id, Class: safe, Left: 2000 * ms, Work: work})
+		r.step(balancer.Request{ID: id, Class: safe, Timeout: 2000 * ms, Work: work})
 		r.now += 20 * ms
-		r.outcome(id, balancer.OK, 20*ms)
+		r.outcome(id, balancer.Served, 20*ms)
 	}
 	for i := range 100 {
 		send(fmt.Sprint("w", i), 20*ms)
 	}
-	r.step(balancer.List{Kind: balancer.ListDelta,
-		Backends: []balancer.Backend{{ID: "cold", Started: r.now}}})
+	r.step(balancer.EndpointList{Kind: balancer.ListDelta,
+		Endpoints: []balancer.Endpoint{{ID: "cold", Started: r.now}}})
 	for i := range 6 {
 		r.request(fmt.Sprint("busy", i), safe) // the warm ones are not idle
 	}
@@ -816,7 +816,7 @@
 			r.outcome(id, balancer.ConnectFailed, 20*ms)
 			break
 		}
-		r.outcome(id, balancer.OK, 20*ms)
+		r.outcome(id, balancer.Served, 20*ms)
 	}
 	r.advance(2 * time.Second)
 	seen := r.waves(300, 6, safe, 20*ms)["a"]
@@ -839,7 +839,7 @@
 		r := newRig(t, settings(), 1, nil)
 		r.request("q", safe)
 		r.now += 50 * ms
-		r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(2)})
+		r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(2)})
 		if len(r.sent["q"]) != 1 {
 			t.Error("the waiting request was not sent")
 		}
@@ -850,7 +850,7 @@
 // comes before its time; it needs a further one, or nothing wakes a quiet agent in time.
 func TestHeldRequestIsNotLost(t *testing.T) {
 	s := settings()
-	s.Balancers = 5 // room for one
+	s.Agents = 5 // room for one
 	r := newRig(t, s, 1, backends(1))
 	r.request("out", safe)
 	r.request("old", safe)
@@ -859,7 +859,7 @@
 		t.Fatal("they were not held")
 	}
 	r.now += 5 * ms
-	r.outcome("out", balancer.OK, 5*ms) // lowers the mean; its room goes to the newest
+	r.outcome("out", balancer.Served, 5*ms) // lowers the mean; its room goes to the newest
 	if len(r.sent["new"]) != 1 {
 		t.Fatal("the newest did not follow")
 	}
@@ -872,13 +872,13 @@
 // waits and is refused, and a client's repeat is refused first.
 func TestInFlightLimit(t *testing.T) {
 	s := settings()
-	s.Balancers = 2
+	s.Agents = 2
 	r := newRig(t, s, 1, backends(2))
 	for i := range 200 { // slow answers
 		id := fmt.Sprint("s", i)
 		r.request(id, safe)
 		r.now += 350 * ms
-		r.outcome(id, balancer.OK, 350*ms)
+		r.outcome(id, balancer.Served, 350*ms)
 	}
 	out := 0
 	var all []balancer.Action
@@ -890,7 +890,7 @@
 	if want := 4 * 2 / 2; out != want {
 		t.Errorf("%d in flight, want this agent's share of 4 per backend: %d", out, want)
 	}
-	repeat := r.step(balancer.Request{ID: "again", Class: safe, Left: 2000 * ms, Repeat: true})
+	repeat := r.step(balancer.Request{ID: "again", Class: safe, Timeout: 2000 * ms, ClientRetry: true})
 	if final("again", repeat) != "refuse" {
 		t.Errorf("a client's repeat: %v, want a refusal at once", repeat)
 	}
@@ -907,7 +907,7 @@
 func TestLimitIsSharedOut(t *testing.T) {
 	inFlight := func(balancers int) (n int) {
 		s := settings()
-		s.Balancers = balancers
+		s.Agents = balancers
 		r := newRig(t, s, 1, backends(10))
 		for i := range 100 {
 			id := fmt.Sprint("q", i)
@@ -924,7 +924,7 @@
 // Incident ia38185: the limit follows the list down.
 func TestLimitFollowsTheList(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
-	r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(2)})
+	r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(2)})
 	n := 0
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
@@ -950,7 +950,7 @@
 			dead[b] = true
 			r.outcome(id, balancer.ConnectFailed, ms)
 		} else {
-			r.outcome(id, balancer.OK, ms)
+			r.outcome(id, balancer.Served, ms)
 		}
 	}
 	r.advance(50 * ms)
@@ -991,7 +991,7 @@
 	r.now += 20 * ms
 	for i := range 18 {
 		if id := fmt.Sprint("h", i); len(r.sent[id]) == 1 && r.sent[id][0] != bad {
-			r.outcome(id, balancer.OK, 20*ms)
+			r.outcome(id, balancer.Served, 20*ms)
 		}
 	}
 	r.now += 100 * ms
@@ -1035,7 +1035,7 @@
 				}
 				answered = true
 			}
-			r.outcome(id, balancer.OK, 20*ms)
+			r.outcome(id, balancer.Served, 20*ms)
 		}
 		r.now += 60 * ms
 		for _, id := range hang {
@@ -1057,7 +1057,7 @@
 	for i := 4; i < 20; i++ {
 		grown[i].Started = r.now
 	}
-	r.step(balancer.List{Kind: balancer.ListFull, Backends: grown})
+	r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: grown})
 	warm := map[string]int{}
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
@@ -1082,7 +1082,7 @@
 // well within the aim in the mean but vary a lot.
 func TestBusyAgentIsNotCutByChance(t *testing.T) {
 	s := settings()
-	s.Balancers = 2
+	s.Agents = 2
 	r := newRig(t, s, 1, backends(30))
 	seq := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; mean 110 of an aim of 400
 	refused, queue := 0, []string{}
@@ -1096,7 +1096,7 @@
 		if len(queue) > 75 {
 			if len(r.sent[queue[0]]) > 0 {
 				// answers in runs, so that twenty in a row can all be slow
-				r.outcome(queue[0], balancer.OK, seq[(i/25)%10]*ms)
+				r.outcome(queue[0], balancer.Served, seq[(i/25)%10]*ms)
 			}
 			queue = queue[1:]
 		}
@@ -1129,7 +1129,7 @@
 func TestLimitGrowsPerBackend(t *testing.T) {
 	total := func(balancers int) int {
 		s := settings()
-		s.Balancers = balancers
+		s.Agents = balancers
 		r := newRig(t, s, 1, backends(20))
 		var out []string // in flight, oldest first
 		sends := func(actions []balancer.Action) {
@@ -1143,7 +1143,7 @@
 			sends(r.request(fmt.Sprint("q", i), safe))
 		}
 		for i := range 4 * len(out) { // four rounds of fast answers
-			sends(r.outcome(out[0], balancer.OK, 20*ms))
+			sends(r.outcome(out[0], balancer.Served, 20*ms))
 			out = out[1:]
 			sends(r.request(fmt.Sprint("more", i), safe))
 		}
@@ -1159,7 +1159,7 @@
 func TestPatienceTellsLateTries(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	submit := func(id string, left time.Duration) []balancer.Action {
-		return r.step(balancer.Request{ID: id, Class: safe, Left: left})
+		return r.step(balancer.Request{ID: id, Class: safe, Timeout: left})
 	}
 	for i := range 20 { // the usual patience, give or take
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
@@ -1187,16 +1187,16 @@
 	for seed := uint64(0); seed < 10; seed++ {
 		r := newRig(t, s, seed, backends(2))
 		delays[r.due[0]-r.now] = true
-		if n := asks(r.advance(s.AskWithin / 10)); n != 1 {
+		if n := asks(r.advance(s.PollWithin / 10)); n != 1 {
 			t.Fatalf("asked %d times at the start, want once", n)
 		}
 		for range 8 { // every failure is followed by one more try, in time
-			r.step(balancer.List{Kind: balancer.ListFailed})
-			if n := asks(r.advance(s.AskWithin / 2)); n != 1 {
+			r.step(balancer.EndpointList{Kind: balancer.ListFailed})
+			if n := asks(r.advance(s.PollWithin / 2)); n != 1 {
 				t.Fatalf("asked %d times after a failure, want once", n)
 			}
 		}
-		r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(2)})
+		r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(2)})
 		if n := asks(r.advance(time.Minute)); n != 0 {
 			t.Errorf("asked %d times while subscribed", n)
 		}
@@ -1205,7 +1205,7 @@
 		t.Errorf("10 agents ask after only %d different waits", len(delays))
 	}
 	r := newRig(t, settings(), 1, backends(2))
-	if n := asks(append(r.step(balancer.List{Kind: balancer.ListFailed}), r.advance(time.Minute)...)); n != 0 {
+	if n := asks(append(r.step(balancer.EndpointList{Kind: balancer.ListFailed}), r.advance(time.Minute)...)); n != 0 {
 		t.Error("asked although the list comes unasked")
 	}
 }
@@ -1215,21 +1215,21 @@
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("done", safe)
 	r.now += 10 * ms
-	r.outcome("done", balancer.OK, 10*ms)
+	r.outcome("done", balancer.Served, 10*ms)
 	r.request("open", unsafe)
 	stray := []balancer.Event{
-		balancer.Outcome{Request: "never", Result: balancer.Errored},
-		balancer.Outcome{Request: "done", Result: balancer.Errored},
-		balancer.Outcome{Request: "open", Attempt: 7, Result: balancer.Errored},
-		balancer.Outcome{Request: "open", Attempt: -1, Result: balancer.Errored},
+		balancer.Outcome{Request: "never", Result: balancer.ServerError},
+		balancer.Outcome{Request: "done", Result: balancer.ServerError},
+		balancer.Outcome{Request: "open", Attempt: 7, Result: balancer.ServerError},
+		balancer.Outcome{Request: "open", Attempt: -1, Result: balancer.ServerError},
 		balancer.TimerFired{Token: 99}, balancer.TimerFired{Token: 0}, balancer.TimerFired{Token: -5},
 		balancer.Abandoned{Request: "never"}, balancer.Abandoned{Request: "done"},
 		balancer.StreamStarted{Request: "never"},
-		balancer.ProbeResult{Backend: "zz"},
-		balancer.PeerMessage{From: 44, Data: []byte{1}},
-		balancer.Request{ID: "bad", Class: 17, Left: time.Second},
-		balancer.Request{ID: "bad", Class: -1, Left: time.Second},
-		balancer.Request{ID: "open", Class: safe, Left: time.Second},
+		balancer.HealthCheckResult{Endpoint: "zz"},
+		balancer.GossipMessage{From: 44, Data: []byte{1}},
+		balancer.Request{ID: "bad", Class: 17, Timeout: time.Second},
+		balancer.Request{ID: "bad", Class: -1, Timeout: time.Second},
+		balancer.Request{ID: "open", Class: safe, Timeout: time.Second},
 	}
 	for _, e := range stray {
 		if acts := r.step(e); len(acts) != 0 {
@@ -1237,10 +1237,10 @@
 		}
 	}
 	r.now += 10 * ms
-	if acts := r.outcome("open", balancer.Errored, 10*ms); final("open", acts) != "fail" {
+	if acts := r.outcome("open", balancer.ServerError, 10*ms); final("open", acts) != "fail" {
 		t.Errorf("the open request: %v, want its one failure", acts)
 	}
-	if acts := r.outcome("open", balancer.Errored, 10*ms); len(acts) != 0 {
+	if acts := r.outcome("open", balancer.ServerError, 10*ms); len(acts) != 0 {
 		t.Errorf("a repeated outcome: %v, want no action", acts)
 	}
 }
@@ -1252,7 +1252,7 @@
 		r.request("q", safe)
 		r.step(balancer.Abandoned{Request: "q"})
 		r.now += 10 * ms
-		acts := r.outcome("q", balancer.Errored, 10*ms)
+		acts := r.outcome("q", balancer.ServerError, 10*ms)
 		acts = append(acts, r.advance(3*time.Second)...)
 		if len(acts) != 0 || r.b.StateSize() != 0 {
 			t.Errorf("after the client left: %v, %d kept", acts, r.b.StateSize())
@@ -1263,10 +1263,10 @@
 		"backoff": func(r *rig) {
 			r.request("q", safe)
 			r.now += 10 * ms
-			r.outcome("q", balancer.Errored, 10*ms)
+			r.outcome("q", balancer.ServerError, 10*ms)
 		},
 		"no place": func(r *rig) {
-			r.step(balancer.List{Kind: balancer.ListFull, Backends: []balancer.Backend{{ID: "a", State: balancer.Draining}}})
+			r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}})
 			r.request("q", safe)
 		},
 	} {
@@ -1281,7 +1281,7 @@
 			if n := r.b.StateSize(); n != 0 {
 				t.Errorf("%d things are kept of it", n)
 			}
-			r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(1)})
+			r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(1)})
 			if r.advance(3 * time.Second); len(r.sent["q"]) != sent {
 				t.Error("sent on after the client left")
 			}
@@ -1291,7 +1291,7 @@
 		r := newRig(t, settings(), 1, backends(2))
 		r.request("q", safe)
 		r.now += 10 * ms
-		r.outcome("q", balancer.Errored, 10*ms)
+		r.outcome("q", balancer.ServerError, 10*ms)
 		r.now += time.Second
 		if acts := r.step(r.timers[len(r.timers)-1], balancer.Abandoned{Request: "q"}); len(acts) != 0 {
 			t.Errorf("its backoff was over as the client left: %v", acts)
@@ -1305,7 +1305,7 @@
 	r.request("q", safe)
 	r.step(balancer.StreamStarted{Request: "q"})
 	r.now += 10 * ms
-	acts := r.step(balancer.Outcome{Request: "q", Backend: r.sent["q"][0], Result: balancer.Reset, Done: true})
+	acts := r.step(balancer.Outcome{Request: "q", Endpoint: r.sent["q"][0], Result: balancer.Reset, Done: true})
 	acts = append(acts, r.advance(3*time.Second)...)
 	if len(acts) != 0 || len(r.sent["q"]) != 1 {
 		t.Errorf("after a broken stream: %v", acts)
@@ -1372,7 +1372,7 @@
 // room of a quiet agent until its client leaves.
 func TestSilentBackendTakesNoRoom(t *testing.T) {
 	s := settings()
-	s.Balancers = 5 // room for one
+	s.Agents = 5 // room for one
 	r := newRig(t, s, 1, backends(6))
 	r.serve(60, unsafe, 10*ms)
 	r.request("hung", unsafe)
@@ -1402,14 +1402,14 @@
 func TestSmallAgentIsThrottledInACrowd(t *testing.T) {
 	sent := func(latency time.Duration) (n int) {
 		s := settings()
-		s.Balancers = 40 // by head count: a fifth of an attempt
+		s.Agents = 40 // by head count: a fifth of an attempt
 		r := newRig(t, s, 1, backends(2))
 		for i := range 60 {
 			id := fmt.Sprint("q", i)
 			r.request(id, safe)
 			r.advance(latency)
 			if len(r.sent[id]) > 0 {
-				r.outcome(id, balancer.OK, latency)
+				r.outcome(id, balancer.Served, latency)
 				if i >= 30 {
 					n++
 				}
@@ -1436,10 +1436,10 @@
 		r.request(id, safe)
 		r.now += 20 * ms
 		if b := r.sent[id][0]; first[b] > 0 {
-			r.outcome(id, balancer.Full, ms)
+			r.outcome(id, balancer.Rejected, ms)
 			r.advance(100 * ms)
 		}
-		r.outcome(id, balancer.OK, 20*ms)
+		r.outcome(id, balancer.Served, 20*ms)
 	}
 	stayed := 0
 	for b, n := range r.serve(40, safe, 20*ms) {
@@ -1455,7 +1455,7 @@
 // A backend that answered nothing leaves the working set; one that answered with an error has a
 // good connection still and comes back to it after its ejection (rough-2 of kyushu-scores).
 func TestWhatLeavesTheWorkingSet(t *testing.T) {
-	for res, stays := range map[balancer.Result]bool{balancer.Errored: true, balancer.TimedOut: false, balancer.Full: false} {
+	for res, stays := range map[balancer.Result]bool{balancer.ServerError: true, balancer.TimedOut: false, balancer.Rejected: false} {
 		r := newRig(t, settings(), 5, backends(20))
 		r.serve(40, safe, 20*ms)
 		r.request("q", unsafe)
@@ -1473,13 +1473,13 @@
 // ordered is a rig whose unsafe class keeps order, with a rest of 200 ms.
 func ordered(t *testing.T) *rig {
 	s := settings()
-	s.Classes[unsafe].KeepOrder, s.Classes[safe].KeepOrder = true, true
-	s.KeyRest = 200 * ms
+	s.Classes[unsafe].Ordered, s.Classes[safe].Ordered = true, true
+	s.KeyQuietPeriod = 200 * ms
 	return newRig(t, s, 1, backends(4))
 }
 
 func (r *rig) keyed(id string, class int, key string) []balancer.Action {
-	return r.step(balancer.Request{ID: id, Class: class, Left: 2000 * ms, Key: key})
+	return r.step(balancer.Request{ID: id, Class: class, Timeout: 2000 * ms, Key: key})
 }
 
 // Requests of one key run one at a time, over all classes that keep order; others are not held up.
@@ -1496,7 +1496,7 @@
 		}
 	}
 	r.now += 10 * ms
-	r.outcome("one", balancer.OK, 10*ms)
+	r.outcome("one", balancer.Served, 10*ms)
 	if len(r.sent["two"]) != 1 {
 		t.Error("two did not follow one at once")
 	}
@@ -1540,7 +1540,7 @@
 		t.Error("two was sent while an attempt of one was out")
 	}
 	r.now += 20 * ms
-	r.step(balancer.Outcome{Request: "one", Backend: r.sent["one"][0], Result: balancer.OK, Done: true, Latency: 20 * ms})
+	r.step(balancer.Outcome{Request: "one", Endpoint: r.sent["one"][0], Result: balancer.Served, Done: true, Latency: 20 * ms})
 	if len(r.sent["two"]) != 1 {
 		t.Error("two was not sent after the outcome of one")
 	}
@@ -1550,10 +1550,10 @@
 func TestFullIsNoProof(t *testing.T) {
 	for _, proof := range []bool{true, false} {
 		s := settings()
-		s.FullNoProof = !proof
+		s.RejectedMayHaveRun = !proof
 		r := newRig(t, s, 1, backends(4))
 		r.request("q", unsafe)
-		acts := r.outcome("q", balancer.Full, ms)
+		acts := r.outcome("q", balancer.Rejected, ms)
 		acts = append(acts, r.advance(400*ms)...)
 		if again := len(r.sent["q"]) == 2; again != proof {
 			t.Errorf("proof %v: sent again %v", proof, again)
@@ -1567,7 +1567,7 @@
 // Where an agent's part of the least limit is far under one attempt, one slow attempt holds up nothing.
 func TestSparseAgentHasNoLimit(t *testing.T) {
 	s := settings()
-	s.Balancers = 400
+	s.Agents = 400
 	r := newRig(t, s, 1, backends(4))
 	for i := range 4 {
 		if r.request(fmt.Sprint("q", i), safe); len(r.sent[fmt.Sprint("q", i)]) != 1 {
@@ -1580,7 +1580,7 @@
 // counts as little once such have failed while known ones answer.
 func TestWarmKeysAgree(t *testing.T) {
 	s := settings()
-	s.WarmKeys = true
+	s.CacheAffinity = true
 	choice := map[string]string{}
 	for seed := uint64(1); seed <= 5; seed++ {
 		r := newRig(t, s, seed, backends(8))
@@ -1597,7 +1597,7 @@
 				t.Errorf("seed %d: %s went to %s, at another agent to %s", seed, key, b, choice[key])
 			}
 			used[b] = true
-			r.outcome(id, balancer.OK, 20*ms)
+			r.outcome(id, balancer.Served, 20*ms)
 		}
 		if len(used) < 6 {
 			t.Errorf("seed %d: 40 keys went to %d backends only", seed, len(used))
@@ -1607,7 +1607,7 @@
 
 func TestKnownFirstInTrouble(t *testing.T) {
 	s := settings()
-	s.WarmKeys, s.MaxAttempts = true, 1
+	s.CacheAffinity, s.MaxAttempts = true, 1
 	r := newRig(t, s, 1, backends(12))
 	late := 0
 	for i := range 200 {
@@ -1620,7 +1620,7 @@
 				late++
 			}
 		} else {
-			r.outcome(id, balancer.OK, 20*ms)
+			r.outcome(id, balancer.Served, 20*ms)
 		}
 	}
 	if late > 15 {
@@ -1632,7 +1632,7 @@
 // another elsewhere, at a time-out's price, while it stays out; the loser is withdrawn.
 func TestSilenceIsTriedAgain(t *testing.T) {
 	s := settings()
-	s.Balancers, s.SecondCopies, s.MayCancel = 400, true, true
+	s.Agents, s.AllowHedging, s.AllowCancel = 400, true, true
 	for _, class := range []int{safe, keyedAll, unsafe} {
 		r := newRig(t, s, 1, backends(6))
 		r.serve(60, class, 20*ms)
@@ -1652,7 +1652,7 @@
 			t.Fatalf("class %d: attempts at %v, want two on different backends", class, r.sent["q"])
 		}
 		want := balancer.Cancel{Request: "q", Attempt: 0}
-		if acts := r.outcome("q", balancer.OK, 20*ms); !slices.Contains(acts, balancer.Action(want)) {
+		if acts := r.outcome("q", balancer.Served, 20*ms); !slices.Contains(acts, balancer.Action(want)) {
 			t.Errorf("class %d: the first attempt was not withdrawn: %v", class, acts)
 		}
 	}
@@ -1662,7 +1662,7 @@
 func TestCrossingByItsPrice(t *testing.T) {
 	far := func(price float64, latency time.Duration) (n int) {
 		s := settings()
-		s.Balancers, s.CrossZonePrice, s.WarmKeys = 40, price, true
+		s.Agents, s.CrossZonePrice, s.CacheAffinity = 40, price, true
 		r := newRig(t, s, 1, backends(4)) // two in the agent's zone, two in another
 		for i := range 400 {
 			id := fmt.Sprint("q", i)
@@ -1672,7 +1672,7 @@
 				if r.sent[id][0] > "b" {
 					n++
 				}
-				r.outcome(id, balancer.OK, latency)
+				r.outcome(id, balancer.Served, latency)
 			}
 		}
 		return n
@@ -1690,7 +1690,7 @@
 // what these answer meanwhile shows that the backend as a whole is well.
 func TestSilentForOneClass(t *testing.T) {
 	s := settings()
-	s.Balancers, s.MaxAttempts = 400, 1
+	s.Agents, s.MaxAttempts = 400, 1
 	r := newRig(t, s, 1, backends(2))
 	lost, kept := 0, 0
 	for i := range 200 {
@@ -1700,7 +1700,7 @@
 			q := fmt.Sprint("q", i, "-", j)
 			r.request(q, safe)
 			r.now += 10 * ms
-			r.outcome(q, balancer.OK, 10*ms)
+			r.outcome(q, balancer.Served, 10*ms)
 			if r.sent[q][0] == "a" {
 				kept++
 			}
@@ -1709,7 +1709,7 @@
 			r.outcome(u, balancer.TimedOut, 30*ms)
 			lost++
 		} else {
-			r.outcome(u, balancer.OK, 10*ms)
+			r.outcome(u, balancer.Served, 10*ms)
 		}
 		r.now += 50 * ms
 	}
@@ -1724,10 +1724,10 @@
 	sent := 0
 	for seed := uint64(1); seed <= 100; seed++ {
 		s := settings()
-		s.Balancers = 100
+		s.Agents = 100
 		r := newRig(t, s, seed, backends(2))
 		r.serve(20, safe, 20*ms)
-		r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "z", Started: r.now}}})
+		r.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "z", Started: r.now}}})
 		r.now += 20 * ms
 		for i := range 7 {
 			r.request(fmt.Sprint("q", i), safe)
@@ -1749,13 +1749,13 @@
 func TestRefusalsSpreadTheReturn(t *testing.T) {
 	advice := func(shown bool, most time.Duration) (waits []time.Duration) {
 		s := settings()
-		s.RetryAfter, s.MaxRetryAfter = shown, most
+		s.SendRetryAfter, s.MaxRetryAfter = shown, most
 		r := newRig(t, s, 3, backends(4))
 		for i := range 50 {
 			id := fmt.Sprint(i)
 			r.request(id, safe)
 			for _, a := range r.outcome(id, balancer.NotSent, 0) {
-				if a, ok := a.(balancer.Refuse); ok {
+				if a, ok := a.(balancer.Reject); ok {
 					waits = append(waits, a.RetryAfter)
 				}
 			}
@@ -1784,25 +1784,25 @@
 	r.serve(200, safe, 100*ms)
 	for _, left := range []time.Duration{5 * ms, 20 * ms, 40 * ms} {
 		id := fmt.Sprint("short", left)
-		actions := r.step(balancer.Request{ID: id, Class: safe, Left: left})
-		if len(actions) != 1 || actions[0] != (balancer.Refuse{Request: id}) {
+		actions := r.step(balancer.Request{ID: id, Class: safe, Timeout: left})
+		if len(actions) != 1 || actions[0] != (balancer.Reject{Request: id}) {
 			t.Errorf("%v left of a usual 100 ms: %v, want a refusal at once and nothing else", left, actions)
 		}
 	}
-	if r.step(balancer.Request{ID: "likely", Class: safe, Left: 80 * ms}); len(r.sent["likely"]) != 1 {
+	if r.step(balancer.Request{ID: "likely", Class: safe, Timeout: 80 * ms}); len(r.sent["likely"]) != 1 {
 		t.Error("80 ms left of a usual 100 ms: not sent")
 	}
 	// However heavy it seems, a request with all its time goes out.
-	r.step(balancer.Request{ID: "light", Class: safe, Left: 2000 * ms, Work: 10 * ms})
-	r.step(balancer.Request{ID: "heavy", Class: safe, Left: 2000 * ms, Work: 10 * time.Second})
+	r.step(balancer.Request{ID: "light", Class: safe, Timeout: 2000 * ms, Work: 10 * ms})
+	r.step(balancer.Request{ID: "heavy", Class: safe, Timeout: 2000 * ms, Work: 10 * time.Second})
 	if len(r.sent["heavy"]) != 1 {
 		t.Error("a heavy request with all its time: not sent")
 	}
 	// Nor does a further attempt go out that comes too late.
-	r.step(balancer.Request{ID: "again", Class: safe, Left: 400 * ms})
+	r.step(balancer.Request{ID: "again", Class: safe, Timeout: 400 * ms})
 	r.now += 360 * ms
 	r.outcome("again", balancer.ConnectFailed, 360*ms)
-	if got := r.actions[len(r.actions)-1]; got != (balancer.Refuse{Request: "again"}) {
+	if got := r.actions[len(r.actions)-1]; got != (balancer.Reject{Request: "again"}) {
 		t.Errorf("failed with 40 ms left of a usual 100 ms: %v, want a refusal at once", got)
 	}
 }
@@ -1814,30 +1814,30 @@
 	r.serve(200, safe, 100*ms)
 	for i := 0; ; i++ {
 		id := fmt.Sprint("late", i)
-		r.step(balancer.Request{ID: id, Class: safe, Left: 100 * ms})
+		r.step(balancer.Request{ID: id, Class: safe, Timeout: 100 * ms})
 		r.now += 100 * ms
 		if r.sent[id][0] == "a" {
 			r.outcome(id, balancer.TimedOut, 100*ms)
 			break
 		}
-		r.outcome(id, balancer.OK, 100*ms)
+		r.outcome(id, balancer.Served, 100*ms)
 	}
 	if n := r.waves(4, 4, safe, 100*ms)["a"]; n != 1 {
 		t.Errorf("after the time-out of a hasty client there, a got %d of 4 at once, want one", n)
 	}
 	for i := range 100 {
 		id := fmt.Sprint("fast", i)
-		r.step(balancer.Request{ID: id, Class: safe, Left: 100 * ms})
+		r.step(balancer.Request{ID: id, Class: safe, Timeout: 100 * ms})
 		r.now += 10 * ms
-		r.outcome(id, balancer.OK, 10*ms)
+		r.outcome(id, balancer.Served, 10*ms)
 	}
 	// The usual latency is still known.
-	if r.step(balancer.Request{ID: "short", Class: safe, Left: 50 * ms}); len(r.sent["short"]) > 0 {
+	if r.step(balancer.Request{ID: "short", Class: safe, Timeout: 50 * ms}); len(r.sent["short"]) > 0 {
 		t.Error("50 ms left of a usual 100 ms: sent, as if fast answers to the hasty were the rule")
 	}
 	// But not for ever: what is known may be long past, and of requests that are not sent nothing is learnt.
 	r.now += time.Minute
-	if r.step(balancer.Request{ID: "later", Class: safe, Left: 50 * ms}); len(r.sent["later"]) != 1 {
+	if r.step(balancer.Request{ID: "later", Class: safe, Timeout: 50 * ms}); len(r.sent["later"]) != 1 {
 		t.Error("a minute after the last answer: not sent")
 	}
 }
@@ -1853,15 +1853,15 @@
 	hung := 0
 	for i := range 60 {
 		id := fmt.Sprint("q", i)
-		r.step(balancer.Request{ID: id, Class: unsafe, Left: 100 * ms})
+		r.step(balancer.Request{ID: id, Class: unsafe, Timeout: 100 * ms})
 		if r.sent[id][0] == "a" {
 			hung++
 			r.now += 100 * ms
-			r.step(balancer.Outcome{Request: id, Backend: "a", Result: balancer.TimedOut, Latency: 100 * ms, Done: true})
+			r.step(balancer.Outcome{Request: id, Endpoint: "a", Result: balancer.TimedOut, Latency: 100 * ms, Done: true})
 			continue
 		}
 		r.now += 10 * ms
-		r.outcome(id, balancer.OK, 10*ms)
+		r.outcome(id, balancer.Served, 10*ms)
 	}
 	if hung > 10 {
 		t.Errorf("%d of 60 went to a backend that hangs", hung)
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -17,7 +17,7 @@
 		b.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []balancer.Event{balancer.List{Kind: balancer.ListFull, Backends: backends(14)}})
+	lb.Step(now, []balancer.Event{balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(14)}})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -34,7 +34,7 @@
 // playOne plays request i to its end.
 func playOne(lb *balancer.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
-	events := []balancer.Event{balancer.Request{ID: id, Class: safe, Left: time.Second, Key: id}}
+	events := []balancer.Event{balancer.Request{ID: id, Class: safe, Timeout: time.Second, Key: id}}
 	for n := 0; len(events) > 0; {
 		acts := lb.Step(*now, events)
 		events = nil
@@ -42,9 +42,9 @@
 			switch a := a.(type) {
 			case balancer.Send:
 				*now += 2 * ms
-				o := balancer.Outcome{Request: id, Attempt: n, Backend: a.Backend, Latency: 2 * ms, Done: true}
+				o := balancer.Outcome{Request: id, Attempt: n, Endpoint: a.Endpoint, Latency: 2 * ms, Done: true}
 				if n == 0 && i%50 == 0 {
-					o.Result, o.Done = balancer.Errored, false
+					o.Result, o.Done = balancer.ServerError, false
 				}
 				n++
 				events = append(events, o)
@@ -60,13 +60,13 @@
 // from run to run.
 func TestStateIsBounded(t *testing.T) {
 	s := settings()
-	s.Classes[safe].KeepOrder, s.KeyRest = true, time.Nanosecond
+	s.Classes[safe].Ordered, s.KeyQuietPeriod = true, time.Nanosecond
 	lb, err := balancer.New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []balancer.Event{balancer.List{Kind: balancer.ListFull, Backends: backends(14)}})
+	lb.Step(now, []balancer.Event{balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(14)}})
 	for i := range 20000 {
 		playOne(lb, &now, i)
 		if n := lb.StateSize(); n > 4 {
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -25,7 +25,7 @@
 
 // fleetBackend serves what comes in turn.
 type fleetBackend struct {
-	balancer.Backend
+	balancer.Endpoint
 	free [2]time.Duration // its cores
 	sent []time.Duration  // what came since it started
 }
@@ -58,19 +58,19 @@
 func (f fleetDay) play(t *testing.T, s balancer.Settings, seed uint64) (all []*fleetBackend, asked, served int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 2))
-	s.Balancers = f.agents
+	s.Agents = f.agents
 	now := time.Hour
 	turn, end := now+f.turn, now+f.length
 	byID := map[string]*fleetBackend{}
-	var list []balancer.Backend
+	var list []balancer.Endpoint
 	for i := range f.backends {
-		e := balancer.Backend{ID: fmt.Sprint("b", i), Zone: 0}
+		e := balancer.Endpoint{ID: fmt.Sprint("b", i), Zone: 0}
 		list = append(list, e)
-		all = append(all, &fleetBackend{Backend: e})
+		all = append(all, &fleetBackend{Endpoint: e})
 		byID[e.ID] = all[i]
 	}
 	start := func(a *fleetAgent, i int) {
-		s.Self = i
+		s.AgentIndex = i
 		b, err := balancer.New(s, rng.Uint64())
 		if err != nil {
 			t.Fatal(err)
@@ -82,7 +82,7 @@
 	for i := range fleet {
 		fleet[i] = &fleetAgent{}
 		start(fleet[i], i)
-		heap.Push(&queue, due{now, fleet[i], balancer.List{Kind: balancer.ListCached, Backends: list}})
+		heap.Push(&queue, due{now, fleet[i], balancer.EndpointList{Kind: balancer.ListCached, Endpoints: list}})
 		weights[i] = math.Exp(0.8 * rng.NormFloat64()) // some get several times the mean
 		sum += weights[i]
 	}
@@ -92,7 +92,7 @@
 		for u -= weights[i]; u > 0; u -= weights[i] {
 			i++
 		}
-		heap.Push(&queue, due{at, fleet[i], balancer.Request{ID: fmt.Sprint("q", at), Class: safe, Left: 2000 * ms}})
+		heap.Push(&queue, due{at, fleet[i], balancer.Request{ID: fmt.Sprint("q", at), Class: safe, Timeout: 2000 * ms}})
 		if at >= turn {
 			asked++
 		}
@@ -103,7 +103,7 @@
 			case balancer.SetTimer:
 				heap.Push(&queue, due{now + act.After, a, balancer.TimerFired{Token: act.Token}})
 			case balancer.Send:
-				e := byID[act.Backend]
+				e := byID[act.Endpoint]
 				core := 0
 				if e.free[1] < e.free[0] {
 					core = 1
@@ -114,8 +114,8 @@
 					need /= warmth(s, now-e.Started)
 				}
 				e.free[core] = max(now, e.free[core]) + time.Duration(need)
-				o := balancer.Outcome{Request: act.Request, Attempt: a.attempts[act.Request], Backend: act.Backend,
-					Result: balancer.OK, Latency: e.free[core] - now}
+				o := balancer.Outcome{Request: act.Request, Attempt: a.attempts[act.Request], Endpoint: act.Endpoint,
+					Result: balancer.Served, Latency: e.free[core] - now}
 				a.attempts[act.Request]++
 				if left := 1900 * ms; o.Latency > left {
 					o.Result, o.Latency = balancer.TimedOut, left
@@ -132,9 +132,9 @@
 			turned = true
 			for i, e := range all[:f.started+f.gone] {
 				if list[i].Started = turn; i >= f.started {
-					list[i].Started, list[i].State = 0, balancer.Gone
+					list[i].Started, list[i].State = 0, balancer.Removed
 				}
-				e.Backend, e.free = list[i], [2]time.Duration{}
+				e.Endpoint, e.free = list[i], [2]time.Duration{}
 			}
 			for i, a := range fleet {
 				if f.restart {
@@ -142,19 +142,19 @@
 				}
 				// Each hears of it within a tick or two of the others.
 				heap.Push(&queue, due{turn + time.Duration(rng.Int64N(int64(10*ms))), a,
-					balancer.List{Kind: balancer.ListFull, Backends: list[: f.started+f.gone : f.started+f.gone]}})
+					balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: list[: f.started+f.gone : f.started+f.gone]}})
 			}
 		}
-		if l, ok := d.event.(balancer.List); ok && l.Kind == balancer.ListFull {
-			l.Backends = nil
+		if l, ok := d.event.(balancer.EndpointList); ok && l.Kind == balancer.ListComplete {
+			l.Endpoints = nil
 			for _, e := range list {
-				if e.State != balancer.Gone {
-					l.Backends = append(l.Backends, e)
+				if e.State != balancer.Removed {
+					l.Endpoints = append(l.Endpoints, e)
 				}
 			}
 			d.event = l
 		}
-		if o, ok := d.event.(balancer.Outcome); ok && o.Result == balancer.OK && now >= turn { // some were asked before
+		if o, ok := d.event.(balancer.Outcome); ok && o.Result == balancer.Served && now >= turn { // some were asked before
 			served++
 		}
 		step(d.agent, d.event)
@@ -164,7 +164,7 @@
 
 // warmth is the least that a backend may be able to do, so long after its start.
 func warmth(s balancer.Settings, age time.Duration) float64 {
-	return min(1, s.ColdShare+(1-s.ColdShare)*float64(age)/float64(s.RampTime))
+	return min(1, s.ColdCapacity+(1-s.ColdCapacity)*float64(age)/float64(s.SlowStart))
 }
 
 // pressure is the most that came to a cold backend within any fall window, against what the settings allow it
@@ -172,10 +172,10 @@
 func (f fleetDay) pressure(s balancer.Settings, e *fleetBackend) (worst float64) {
 	first := 0
 	for i, at := range e.sent {
-		for at-e.sent[first] > s.FallWindow {
+		for at-e.sent[first] > s.ColdOverloadWindow {
 			first++
 		}
-		n := s.FallMultiple * warmth(s, e.sent[first]-e.Started) * 2 * s.FallWindow.Seconds() / f.work.Seconds()
+		n := s.ColdOverloadMultiple * warmth(s, e.sent[first]-e.Started) * 2 * s.ColdOverloadWindow.Seconds() / f.work.Seconds()
 		worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
@@ -185,7 +185,7 @@
 // newcomers that hardly get anything while what is left of the others is crowded.
 func TestColdBackendsBearAllAgentsTogether(t *testing.T) {
 	s := settings()
-	s.FallMultiple, s.FallWindow, s.ColdShare, s.RampTime = 3, 1500*ms, 0.32, 8600*ms
+	s.ColdOverloadMultiple, s.ColdOverloadWindow, s.ColdCapacity, s.SlowStart = 3, 1500*ms, 0.32, 8600*ms
 	for _, tt := range []struct {
 		name          string
 		started, gone float64 // parts of the backends; of started ones at least one
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -11,10 +11,10 @@
 // agent owns the clock, the timers and the connections.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
-		Balancers:   1,
+		Agents:      1,
 		MaxAttempts: 3,
 		Classes: []balancer.Class{
-			{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: balancer.Safe},
+			{Objective: 200 * time.Millisecond, Deadline: time.Second, Priority: 1, Idempotency: balancer.Idempotent},
 		},
 	}, 42)
 	if err != nil {
@@ -29,30 +29,30 @@
 			switch a := action.(type) {
 			case balancer.Send: // start the attempt; pass its Outcome on later
 				fmt.Println("send", a.Request)
-				backend = a.Backend
+				backend = a.Endpoint
 			case balancer.SetTimer: // pass TimerFired on when it is due
 				fmt.Println("set a timer")
 				timer = a.Token
-			case balancer.Refuse:
+			case balancer.Reject:
 				fmt.Println("refuse", a.Request)
 			case balancer.Fail:
 				fmt.Println("fail", a.Request)
 			}
 		}
 	}
-	step(balancer.List{Kind: balancer.ListFull, Backends: []balancer.Backend{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
-	step(balancer.Request{ID: "r1", Class: 0, Left: time.Second})
+	step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: []balancer.Endpoint{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
+	step(balancer.Request{ID: "r1", Class: 0, Timeout: time.Second})
 
 	first := backend
 	now += 3 * time.Millisecond
-	step(balancer.Outcome{Request: "r1", Attempt: 0, Backend: backend, Result: balancer.Errored, Latency: 3 * time.Millisecond})
+	step(balancer.Outcome{Request: "r1", Attempt: 0, Endpoint: backend, Result: balancer.ServerError, Latency: 3 * time.Millisecond})
 
 	now += 7 * time.Millisecond
 	step(balancer.TimerFired{Token: timer})
 	fmt.Println("on another backend:", backend != first)
 
 	now += 20 * time.Millisecond
-	step(balancer.Outcome{Request: "r1", Attempt: 1, Backend: backend, Latency: 20 * time.Millisecond, Done: true})
+	step(balancer.Outcome{Request: "r1", Attempt: 1, Endpoint: backend, Latency: 20 * time.Millisecond, Done: true})
 	// Output:
 	// send r1
 	// set a timer
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -34,7 +34,7 @@
 func askTogether(t *testing.T, n int, spread time.Duration, d *listService, span time.Duration) (listed, calls int) {
 	t.Helper()
 	s := settings()
-	s.Subscribe, s.Balancers, s.AskSpread, s.RefusedSpread = true, n, spread, 8*spread/3
+	s.Subscribe, s.Agents, s.PollSpread, s.RefusedPollSpread = true, n, spread, 8*spread/3
 	failed := balancer.ListFailed
 	if spread > 0 {
 		failed = balancer.ListRefused
@@ -45,7 +45,7 @@
 	}
 	fleet, answers, done := make([]*rig, n), make([]*answer, n), make([]bool, n)
 	for i := range fleet {
-		s.Self = i
+		s.AgentIndex = i
 		fleet[i] = newRig(t, s, uint64(i), backends(2))
 	}
 	for start, at := fleet[0].now, time.Duration(0); at <= span; at += s.Tick {
@@ -53,9 +53,9 @@
 			actions := r.advance(start + at - r.now)
 			if a := answers[i]; a != nil && a.at <= r.now {
 				answers[i] = nil
-				e := balancer.List{Kind: failed}
+				e := balancer.EndpointList{Kind: failed}
 				if done[i] = a.ok; a.ok {
-					e = balancer.List{Kind: balancer.ListFull, Backends: backends(2)}
+					e = balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(2)}
 				}
 				actions = append(actions, r.step(e)...)
 			}
@@ -94,16 +94,16 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d := &listService{work: tt.work, patience: 2 * time.Second, queue: 5 * time.Second}
-			listed, calls := askTogether(t, tt.agents, tt.spread, d, 4*s.AskWithin)
+			listed, calls := askTogether(t, tt.agents, tt.spread, d, 4*s.PollWithin)
 			if listed < tt.agents {
-				t.Errorf("%d of %d have the list after %v and %d calls", listed, tt.agents, 4*s.AskWithin, calls)
+				t.Errorf("%d of %d have the list after %v and %d calls", listed, tt.agents, 4*s.PollWithin, calls)
 			}
 		})
 	}
 	// A few have nothing to spread out, and what they hold may be old.
 	d := &listService{work: 60 * ms, patience: 2 * time.Second, queue: 5 * time.Second}
-	if listed, _ := askTogether(t, 4, 0, d, s.AskWithin/16); listed < 4 {
-		t.Errorf("%d of 4 have the list after %v", listed, s.AskWithin/16)
+	if listed, _ := askTogether(t, 4, 0, d, s.PollWithin/16); listed < 4 {
+		t.Errorf("%d of 4 have the list after %v", listed, s.PollWithin/16)
 	}
 	// A fleet of 350 whose watches break together has its lists in time, from a discovery that can serve it in that
 	// time at all, and none asks twice: 1.5 s of waits and 2 s of turns after the 2.5 s in which a silence is found.
@@ -118,23 +118,23 @@
 // more than they could bear. Newcomers get their part of all agents' traffic, once they are warm.
 func TestNewcomersGetTheirPart(t *testing.T) {
 	s := settings()
-	s.Balancers = 80
-	list := make([]balancer.Backend, 60)
+	s.Agents = 80
+	list := make([]balancer.Endpoint, 60)
 	for i := range list {
-		list[i] = balancer.Backend{ID: string(rune('A' + i))}
+		list[i] = balancer.Endpoint{ID: string(rune('A' + i))}
 	}
 	old, all := list[:40], list
 	counts := map[string]int{}
 	widest := 0
-	for i := range s.Balancers {
-		s.Self = i
+	for i := range s.Agents {
+		s.AgentIndex = i
 		r := newRig(t, s, uint64(i), old)
 		r.serve(40, safe, 50*ms)
 		for i := range all[40:] {
 			all[40+i].Started = r.now
 		}
-		r.step(balancer.List{Kind: balancer.ListFull, Backends: all})
-		r.advance(s.RampTime)
+		r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: all})
+		r.advance(s.SlowStart)
 		part := r.serve(40, safe, 50*ms)
 		widest = max(widest, len(part))
 		for id, n := range part {
@@ -149,7 +149,7 @@
 		}
 	}
 	// A third of the backends; agents are slow to leave those that they know.
-	if total := 40 * s.Balancers; late < total/8 || late > total/2 || idle > 10 {
+	if total := 40 * s.Agents; late < total/8 || late > total/2 || idle > 10 {
 		t.Errorf("20 newcomers of 60 got %d of %d requests, and %d of them none", late, total, idle)
 	}
 	if widest > 8 {
--- a/balancer/order_test.go
+++ b/balancer/order_test.go
@@ -44,7 +44,7 @@
 }
 
 type auditedBackend struct {
-	balancer.Backend
+	balancer.Endpoint
 	offAt   time.Duration // when it was told to drain or to be gone
 	started time.Duration // when it was told to have started; 0: warm
 	sends   []costedSend
@@ -68,7 +68,7 @@
 	switch e := e.(type) {
 	case balancer.Request:
 		if e.Class >= 0 && e.Class < len(a.s.Classes) && a.requests[e.ID] == nil {
-			r := &audited{class: a.s.Classes[e.Class], deadline: a.now + e.Left, cost: 1}
+			r := &audited{class: a.s.Classes[e.Class], deadline: a.now + e.Timeout, cost: 1}
 			if w := float64(e.Work); w > 0 {
 				told := a.told[e.Class]
 				told[0], told[1] = told[0]+1, told[1]+w
@@ -76,7 +76,7 @@
 				r.cost = w / (told[1] / told[0])
 			}
 			a.requests[e.ID] = r
-			if r.class.KeepOrder && e.Key != "" {
+			if r.class.Ordered && e.Key != "" {
 				r.key = e.Key
 				a.keys[e.Key] = append(a.keys[e.Key], r)
 			}
@@ -87,10 +87,10 @@
 			return
 		}
 		r.sends[e.Attempt].out = false
-		r.sends[e.Attempt].risky = !e.Result.NeverRan() || e.Result == balancer.Full && a.s.FullNoProof
+		r.sends[e.Attempt].risky = !e.Result.NeverRan() || e.Result == balancer.Rejected && a.s.RejectedMayHaveRun
 		switch e.Result {
 		case balancer.TimedOut, balancer.Reset, balancer.Cancelled:
-			r.rest = a.now + a.s.KeyRest
+			r.rest = a.now + a.s.KeyQuietPeriod
 		}
 		r.ended = r.ended || e.Done
 	case balancer.StreamStarted:
@@ -101,12 +101,12 @@
 		if r := a.requests[e.Request]; r != nil && !r.ended {
 			r.ended, r.left = true, a.now
 		}
-	case balancer.List:
+	case balancer.EndpointList:
 		if e.Kind == balancer.ListFailed {
 			return
 		}
 		listed := map[string]bool{}
-		for _, n := range e.Backends {
+		for _, n := range e.Endpoints {
 			listed[n.ID] = true
 			b := a.backends[n.ID]
 			if b == nil {
@@ -116,18 +116,18 @@
 			if n.Started > b.Started {
 				b.started, b.sends = n.Started, nil
 			}
-			if n.State == balancer.Up {
+			if n.State == balancer.Serving {
 				b.offAt = 0
-			} else if b.Backend.State == balancer.Up || b.offAt == 0 {
+			} else if b.Endpoint.State == balancer.Serving || b.offAt == 0 {
 				b.offAt = a.now
 			}
-			b.Backend = n
+			b.Endpoint = n
 		}
 		if e.Kind != balancer.ListDelta {
 			for id, b := range a.backends {
 				if !listed[id] && b.offAt == 0 {
 					b.offAt = a.now
-					b.State = balancer.Gone
+					b.State = balancer.Removed
 				}
 			}
 		}
@@ -138,14 +138,14 @@
 	switch act := act.(type) {
 	case balancer.Send:
 		a.send(act)
-	case balancer.Refuse:
+	case balancer.Reject:
 		r := a.final(act.Request)
 		if r == nil {
 			return
 		}
 		for _, s := range r.sends {
-			free := r.class.Effect == balancer.Safe ||
-				r.class.Effect == balancer.Keyed && r.class.Group == balancer.GroupAll
+			free := r.class.Idempotency == balancer.Idempotent ||
+				r.class.Idempotency == balancer.IdempotentWithKey && r.class.DedupScope == balancer.DedupEverywhere
 			if (s.risky || s.out) && !free {
 				a.fault("%s refused though an attempt may have run", act.Request)
 			}
@@ -156,8 +156,8 @@
 		if act.After < 0 {
 			a.fault("a timer in the past: %v", act.After)
 		}
-	case balancer.TellPeers:
-		if !a.s.Peers || len(act.Data) > 256 {
+	case balancer.Gossip:
+		if !a.s.AllowGossip || len(act.Data) > 256 {
 			a.fault("%d bytes to peers", len(act.Data))
 		}
 	}
@@ -171,7 +171,7 @@
 		return nil
 	case r.ended && r.left != a.now:
 		a.fault("%s answered twice", id)
-	case a.now > r.deadline+a.s.AnswerGrace && !r.stream:
+	case a.now > r.deadline+a.s.ResponseGrace && !r.stream:
 		a.fault("%s answered late", id)
 	}
 	r.ended, r.left = true, 0
@@ -179,9 +179,9 @@
 }
 
 func (a *auditor) send(act balancer.Send) {
-	r, b := a.requests[act.Request], a.backends[act.Backend]
+	r, b := a.requests[act.Request], a.backends[act.Endpoint]
 	if r == nil || b == nil {
-		a.fault("send of %q to %q, one of which was never told", act.Request, act.Backend)
+		a.fault("send of %q to %q, one of which was never told", act.Request, act.Endpoint)
 		return
 	}
 	if r.ended && r.left != a.now {
@@ -191,7 +191,7 @@
 		a.fault("%s sent past the attempt limit", act.Request)
 	}
 	if b.offAt > 0 && a.now > b.offAt+a.s.DrainGrace {
-		a.fault("%s sent to %s, told %v ago to drain or be gone", act.Request, act.Backend, a.now-b.offAt)
+		a.fault("%s sent to %s, told %v ago to drain or be gone", act.Request, act.Endpoint, a.now-b.offAt)
 	}
 	for _, e := range a.keys[r.key] {
 		if e == r {
@@ -210,7 +210,7 @@
 	var anchor *auditedSend
 	for i := range r.sends {
 		s := &r.sends[i]
-		if s.out && !a.s.SecondCopies {
+		if s.out && !a.s.AllowHedging {
 			a.fault("%s has two attempts out", act.Request)
 		}
 		if anchor == nil && (s.out || s.risky) {
@@ -220,16 +220,16 @@
 	if anchor != nil {
 		from := a.backends[anchor.backend]
 		switch {
-		case r.class.Effect == balancer.Unsafe:
+		case r.class.Idempotency == balancer.NotIdempotent:
 			a.fault("%s is unsafe and may have run, sent again", act.Request)
-		case r.class.Effect == balancer.Keyed && a.now-anchor.at > r.class.Window:
+		case r.class.Idempotency == balancer.IdempotentWithKey && a.now-anchor.at > r.class.DedupWindow:
 			a.fault("%s sent again after its window", act.Request)
-		case r.class.Effect == balancer.Keyed && r.class.Group == balancer.GroupZone && from.Zone != b.Zone,
-			r.class.Effect == balancer.Keyed && r.class.Group == balancer.GroupCell && from.Cell != b.Cell:
+		case r.class.Idempotency == balancer.IdempotentWithKey && r.class.DedupScope == balancer.DedupInZone && from.Zone != b.Zone,
+			r.class.Idempotency == balancer.IdempotentWithKey && r.class.DedupScope == balancer.DedupInCell && from.Cell != b.Cell:
 			a.fault("%s sent again outside its group", act.Request)
 		}
 	}
-	r.sends = append(r.sends, auditedSend{backend: act.Backend, at: a.now, out: true})
+	r.sends = append(r.sends, auditedSend{backend: act.Endpoint, at: a.now, out: true})
 	b.sends = append(b.sends, costedSend{a.now, r.cost})
 	a.cold(b)
 }
@@ -240,10 +240,10 @@
 // the cold share of that bounds the cold one. The slack is one mean request, and one
 // of twice the mean that a balancer may send on the last of its budget.
 func (a *auditor) cold(b *auditedBackend) {
-	if b.started == 0 || a.now-b.started >= a.s.RampTime || a.s.RampTime == 0 {
+	if b.started == 0 || a.now-b.started >= a.s.SlowStart || a.s.SlowStart == 0 {
 		return
 	}
-	span := max(a.s.FallWindow, 1)
+	span := max(a.s.ColdOverloadWindow, 1)
 	count := func(b *auditedBackend, span time.Duration) (sum float64) {
 		for _, s := range b.sends {
 			if a.now-s.at < span {
@@ -254,7 +254,7 @@
 	}
 	most, warm := 0.0, false
 	for _, o := range a.backends {
-		if o != b && (o.started == 0 || a.now-o.started >= a.s.RampTime) {
+		if o != b && (o.started == 0 || a.now-o.started >= a.s.SlowStart) {
 			most = max(most, count(o, 3*span))
 			warm = warm || o.offAt == 0
 		}
@@ -262,8 +262,8 @@
 	if !warm {
 		return // there is no measure: a balancer goes by its part of the least limit
 	}
-	warmth := a.s.ColdShare + (1-a.s.ColdShare)*max(0, float64(a.now-b.started)/float64(a.s.RampTime))
-	if got := count(b, span); got > a.s.FallMultiple*warmth*most+3 {
+	warmth := a.s.ColdCapacity + (1-a.s.ColdCapacity)*max(0, float64(a.now-b.started)/float64(a.s.SlowStart))
+	if got := count(b, span); got > a.s.ColdOverloadMultiple*warmth*most+3 {
 		a.fault("%s is cold (%v) and got the work of %.1f mean sends in %v, the busiest warm one %.1f in three times that",
 			b.ID, a.now-b.started, got, span, most)
 	}
@@ -272,7 +272,7 @@
 // overdue checks that nothing accepted is without its answer past its time.
 func (a *auditor) overdue() {
 	for id, r := range a.requests {
-		if !r.ended && !r.stream && a.now > r.deadline+a.s.AnswerGrace {
+		if !r.ended && !r.stream && a.now > r.deadline+a.s.ResponseGrace {
 			a.fault("%s got no answer in time", id)
 			r.ended = true
 		}
@@ -290,24 +290,24 @@
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := settings()
-	s.Balancers = 1 + rng.IntN(9)
-	s.Self = rng.IntN(s.Balancers)
+	s.Agents = 1 + rng.IntN(9)
+	s.AgentIndex = rng.IntN(s.Agents)
 	s.Subscribe = rng.IntN(2) == 0
-	s.SecondCopies = rng.IntN(2) == 0
-	s.Peers = rng.IntN(2) == 0
+	s.AllowHedging = rng.IntN(2) == 0
+	s.AllowGossip = rng.IntN(2) == 0
 	s.MaxAttempts = rng.IntN(6)
 	s.CrossZonePrice = float64(rng.IntN(2)) * 0.02
 	if rng.IntN(4) == 0 {
-		s.RampTime, s.FallWindow, s.AskWithin, s.Tick = 0, 0, 0, 0
+		s.SlowStart, s.ColdOverloadWindow, s.PollWithin, s.Tick = 0, 0, 0, 0
 	}
 	s.Classes = s.Classes[:1+rng.IntN(len(s.Classes))]
 	for i := range s.Classes {
-		s.Classes[i].Window = time.Duration(rng.IntN(100)) * ms
-		s.Classes[i].KeepOrder = rng.IntN(2) == 0
+		s.Classes[i].DedupWindow = time.Duration(rng.IntN(100)) * ms
+		s.Classes[i].Ordered = rng.IntN(2) == 0
 	}
-	s.FullNoProof = rng.IntN(2) == 0
-	s.KeyRest = time.Duration(rng.IntN(3)) * 40 * ms
-	s.MayCancel, s.MayProbe, s.WarmKeys = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
+	s.RejectedMayHaveRun = rng.IntN(2) == 0
+	s.KeyQuietPeriod = time.Duration(rng.IntN(3)) * 40 * ms
+	s.AllowCancel, s.AllowHealthChecks, s.CacheAffinity = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
 	s.Tenants = []balancer.Tenant{{Share: 0.7, Quota: 20}, {Share: 0.3, Quota: 5}}[:rng.IntN(3)]
 	keys := 1 + rng.IntN(40)
 	told := s
@@ -349,8 +349,8 @@
 			id := fmt.Sprint("q", next)
 			left := time.Duration(1+rng.IntN(1500)) * ms
 			due[id] = a.now + left
-			events = append(events, balancer.Request{ID: id, Class: rng.IntN(len(s.Classes)), Left: left,
-				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, Repeat: rng.IntN(5) == 0,
+			events = append(events, balancer.Request{ID: id, Class: rng.IntN(len(s.Classes)), Timeout: left,
+				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, ClientRetry: rng.IntN(5) == 0,
 				Tenant: rng.IntN(3), Key: []string{"", fmt.Sprint("k", rng.IntN(keys))}[min(1, rng.IntN(9))]})
 		}
 		// Every attempt ends by its request's time; some early, with any result.
@@ -366,7 +366,7 @@
 				continue
 			}
 			o.Latency = time.Duration(rng.IntN(900)) * ms
-			o.Done = o.Result == balancer.OK || a.requests[o.Request].ended
+			o.Done = o.Result == balancer.Served || a.requests[o.Request].ended
 			events = append(events, o)
 			if rng.IntN(10) == 0 {
 				events = append(events, o) // told twice
@@ -376,20 +376,20 @@
 		switch rng.IntN(25) {
 		case 0:
 			n := &pool[rng.IntN(len(pool))]
-			n.State = balancer.BackendState(rng.IntN(3))
+			n.State = balancer.EndpointState(rng.IntN(3))
 			if rng.IntN(2) == 0 {
-				n.State, n.Started = balancer.Up, a.now
+				n.State, n.Started = balancer.Serving, a.now
 			}
-			events = append(events, balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{*n}})
+			events = append(events, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{*n}})
 		case 1:
-			var full []balancer.Backend // up to none at all
+			var full []balancer.Endpoint // up to none at all
 			for _, n := range pool[:rng.IntN(len(pool)+1)] {
-				n.State = balancer.Up
+				n.State = balancer.Serving
 				full = append(full, n)
 			}
-			events = append(events, balancer.List{Kind: balancer.ListKind(1 + rng.IntN(2)), Backends: full})
+			events = append(events, balancer.EndpointList{Kind: balancer.ListKind(1 + rng.IntN(2)), Endpoints: full})
 		case 2:
-			events = append(events, balancer.List{Kind: balancer.ListFailed})
+			events = append(events, balancer.EndpointList{Kind: balancer.ListFailed})
 		case 3:
 			if next > 0 {
 				events = append(events, balancer.Abandoned{Request: fmt.Sprint("q", 1+rng.IntN(next))})
@@ -397,9 +397,9 @@
 		case 4:
 			events = append(events, balancer.TimerFired{Token: rng.Int64N(1 << 20)},
 				balancer.Outcome{Request: fmt.Sprint("q", rng.IntN(next+2)), Attempt: rng.IntN(2)*99 - 1},
-				balancer.ProbeResult{Backend: "x"}, balancer.PeerMessage{From: 70})
+				balancer.HealthCheckResult{Endpoint: "x"}, balancer.GossipMessage{From: 70})
 		case 5:
-			events = append(events, balancer.PeerMessage{From: rng.IntN(12) - 1,
+			events = append(events, balancer.GossipMessage{From: rng.IntN(12) - 1,
 				Data: binary.BigEndian.AppendUint64(nil, rng.Uint64())[:rng.IntN(9)]})
 		}
 		rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
@@ -419,7 +419,7 @@
 			case balancer.SetTimer:
 				timers = append(timers, timer{a.now + act.After, act.Token})
 			case balancer.Send:
-				open = append(open, balancer.Outcome{Request: act.Request, Backend: act.Backend,
+				open = append(open, balancer.Outcome{Request: act.Request, Endpoint: act.Endpoint,
 					Attempt: len(a.requests[act.Request].sends) - 1})
 			}
 		}
@@ -439,15 +439,15 @@
 
 // A balancer that does not know of a rule breaks it under the same play, and the auditor says so.
 func TestAuditorSeesEachRuleOff(t *testing.T) {
-	list := func(edit func(*balancer.Backend)) func(balancer.Event) balancer.Event {
+	list := func(edit func(*balancer.Endpoint)) func(balancer.Event) balancer.Event {
 		return func(e balancer.Event) balancer.Event {
-			l, ok := e.(balancer.List)
+			l, ok := e.(balancer.EndpointList)
 			if !ok {
 				return e
 			}
-			l.Backends = slices.Clone(l.Backends)
-			for i := range l.Backends {
-				edit(&l.Backends[i])
+			l.Endpoints = slices.Clone(l.Endpoints)
+			for i := range l.Endpoints {
+				edit(&l.Endpoints[i])
 			}
 			return l
 		}
@@ -470,14 +470,14 @@
 			}
 			return e
 		}}, "got no answer in time"},
-		{"no effect twice, unsafe", lie{settings: classes(func(c *balancer.Class) { c.Effect = balancer.Safe })}, "is unsafe"},
-		{"no effect twice, group", lie{settings: classes(func(c *balancer.Class) { c.Group = balancer.GroupAll })}, "outside its group"},
-		{"no effect twice, window", lie{settings: classes(func(c *balancer.Class) { c.Window = time.Hour })}, "after its window"},
-		{"drains kept", lie{event: list(func(b *balancer.Backend) { b.State = balancer.Up })}, "drain or be gone"},
-		{"cold", lie{event: list(func(b *balancer.Backend) { b.Started = 0 })}, "is cold"},
-		{"order", lie{settings: classes(func(c *balancer.Class) { c.KeepOrder = false })}, "sent out of turn"},
-		{"order, rest", lie{settings: func(s *balancer.Settings) { s.KeyRest = 0 }}, "while its key rests"},
-		{"full is no proof", lie{settings: func(s *balancer.Settings) { s.FullNoProof = false }}, "is unsafe and may have run"},
+		{"no effect twice, unsafe", lie{settings: classes(func(c *balancer.Class) { c.Idempotency = balancer.Idempotent })}, "is unsafe"},
+		{"no effect twice, group", lie{settings: classes(func(c *balancer.Class) { c.DedupScope = balancer.DedupEverywhere })}, "outside its group"},
+		{"no effect twice, window", lie{settings: classes(func(c *balancer.Class) { c.DedupWindow = time.Hour })}, "after its window"},
+		{"drains kept", lie{event: list(func(b *balancer.Endpoint) { b.State = balancer.Serving })}, "drain or be gone"},
+		{"cold", lie{event: list(func(b *balancer.Endpoint) { b.Started = 0 })}, "is cold"},
+		{"order", lie{settings: classes(func(c *balancer.Class) { c.Ordered = false })}, "sent out of turn"},
+		{"order, rest", lie{settings: func(s *balancer.Settings) { s.KeyQuietPeriod = 0 }}, "while its key rests"},
+		{"full is no proof", lie{settings: func(s *balancer.Settings) { s.RejectedMayHaveRun = false }}, "is unsafe and may have run"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -502,14 +502,14 @@
 
 // Each check of the auditor must be able to fail: these recorded actions are bad.
 func TestAuditorRejects(t *testing.T) {
-	send := func(b string) balancer.Action { return balancer.Send{Request: "q", Backend: b} }
+	send := func(b string) balancer.Action { return balancer.Send{Request: "q", Endpoint: b} }
 	ended := func(n int, res balancer.Result) balancer.Event {
-		return balancer.Outcome{Request: "q", Attempt: n, Result: res, Done: res == balancer.OK}
+		return balancer.Outcome{Request: "q", Attempt: n, Result: res, Done: res == balancer.Served}
 	}
-	refuse, fail := balancer.Refuse{Request: "q"}, balancer.Fail{Request: "q"}
-	off := balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "a", State: balancer.Draining}}}
-	empty := balancer.List{Kind: balancer.ListFull}
-	cold := balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "a", Started: time.Hour}}}
+	refuse, fail := balancer.Reject{Request: "q"}, balancer.Fail{Request: "q"}
+	off := balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}}
+	empty := balancer.EndpointList{Kind: balancer.ListComplete}
+	cold := balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "a", Started: time.Hour}}}
 	tests := []struct {
 		name  string
 		class int
@@ -518,33 +518,33 @@
 	}{
 		{"no answer", safe, []any{2021 * ms}, "got no answer in time"},
 		{"two answers", safe, []any{fail, fail}, "answered twice"},
-		{"answer after being served", safe, []any{send("a"), ended(0, balancer.OK), refuse}, "answered twice"},
+		{"answer after being served", safe, []any{send("a"), ended(0, balancer.Served), refuse}, "answered twice"},
 		{"late answer", safe, []any{2020*ms + 1, fail}, "answered late"},
 		{"send after the answer", safe, []any{fail, send("a")}, "sent after its end"},
 		{"unknown backend", safe, []any{send("zz")}, "never told"},
-		{"past the limit", safe, []any{send("a"), ended(0, balancer.Errored), send("b"), ended(1, balancer.Errored),
-			send("a"), ended(2, balancer.Errored), send("b"), ended(3, balancer.Errored), send("a")}, "past the attempt limit"},
+		{"past the limit", safe, []any{send("a"), ended(0, balancer.ServerError), send("b"), ended(1, balancer.ServerError),
+			send("a"), ended(2, balancer.ServerError), send("b"), ended(3, balancer.ServerError), send("a")}, "past the attempt limit"},
 		{"second copy", safe, []any{send("a"), send("b")}, "two attempts out"},
 		{"unsafe repeated", unsafe, []any{send("a"), ended(0, balancer.TimedOut), send("b")}, "is unsafe"},
 		{"unsafe refused", unsafe, []any{send("a"), ended(0, balancer.Reset), refuse}, "refused though"},
 		{"unsafe refused while out", unsafe, []any{send("a"), refuse}, "refused though"},
-		{"zone refused", keyedZone, []any{send("a"), ended(0, balancer.Errored), refuse}, "refused though"},
-		{"outside the zone", keyedZone, []any{send("a"), ended(0, balancer.Errored), send("c")}, "outside its group"},
-		{"outside the cell", keyedCell, []any{send("a"), ended(0, balancer.Errored), send("d")}, "outside its group"},
-		{"after the window", keyedAll, []any{send("a"), 301 * ms, ended(0, balancer.Errored), send("b")}, "after its window"},
+		{"zone refused", keyedZone, []any{send("a"), ended(0, balancer.ServerError), refuse}, "refused though"},
+		{"outside the zone", keyedZone, []any{send("a"), ended(0, balancer.ServerError), send("c")}, "outside its group"},
+		{"outside the cell", keyedCell, []any{send("a"), ended(0, balancer.ServerError), send("d")}, "outside its group"},
+		{"after the window", keyedAll, []any{send("a"), 301 * ms, ended(0, balancer.ServerError), send("b")}, "after its window"},
 		{"drained", safe, []any{off, 501 * ms, send("a")}, "drain or be gone"},
 		{"gone from the list", safe, []any{empty, 501 * ms, send("b")}, "drain or be gone"},
-		{"cold", safe, []any{cold, send("a"), ended(0, balancer.Full), send("a"), ended(1, balancer.Full),
-			send("a"), ended(2, balancer.Full), send("a")}, "is cold"},
-		{"message where none is allowed", safe, []any{balancer.TellPeers{Data: []byte{1}}}, "bytes to peers"},
+		{"cold", safe, []any{cold, send("a"), ended(0, balancer.Rejected), send("a"), ended(1, balancer.Rejected),
+			send("a"), ended(2, balancer.Rejected), send("a")}, "is cold"},
+		{"message where none is allowed", safe, []any{balancer.Gossip{Data: []byte{1}}}, "bytes to peers"},
 		{"timer in the past", safe, []any{balancer.SetTimer{After: -1}}, "timer in the past"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			a := newAuditor(settings())
 			a.now = time.Hour
-			a.event(balancer.List{Kind: balancer.ListFull, Backends: backends(4)})
-			a.event(balancer.Request{ID: "q", Class: tt.class, Left: 2000 * ms})
+			a.event(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(4)})
+			a.event(balancer.Request{ID: "q", Class: tt.class, Timeout: 2000 * ms})
 			for _, p := range tt.play {
 				switch p := p.(type) {
 				case time.Duration:
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -5,28 +5,36 @@
 	"time"
 )
 
-// check names the first setting that makes no sense. It decides nothing.
+// SettingError reports a setting whose value makes no sense.
+type SettingError struct {
+	Field string // the path within Settings, such as "Agents" or "Classes[0].Objective"
+	Value any
+}
+
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("settings: %s: %v makes no sense", e.Field, e.Value)
+}
+
+// check returns a *SettingError for the first setting that makes no sense.
 func (s *Settings) check() error {
-	bad := func(field string, v any) error {
-		return fmt.Errorf("balancer: settings: %s: %v makes no sense", field, v)
-	}
+	bad := func(field string, v any) error { return &SettingError{Field: field, Value: v} }
 	switch {
 	case len(s.Classes) == 0:
 		return bad("Classes", "none")
-	case s.Balancers < 1:
-		return bad("Balancers", s.Balancers)
-	case s.Self < 0 || s.Self >= s.Balancers:
-		return bad("Self", s.Self)
+	case s.Agents < 1:
+		return bad("Agents", s.Agents)
+	case s.AgentIndex < 0 || s.AgentIndex >= s.Agents:
+		return bad("AgentIndex", s.AgentIndex)
 	case s.MaxAttempts < 0:
 		return bad("MaxAttempts", s.MaxAttempts)
-	case !(s.ColdShare >= 0 && s.ColdShare <= 1):
-		return bad("ColdShare", s.ColdShare)
-	case !(s.FallMultiple >= 0):
-		return bad("FallMultiple", s.FallMultiple)
+	case !(s.ColdCapacity >= 0 && s.ColdCapacity <= 1):
+		return bad("ColdCapacity", s.ColdCapacity)
+	case !(s.ColdOverloadMultiple >= 0):
+		return bad("ColdOverloadMultiple", s.ColdOverloadMultiple)
 	case s.Weights > WeightsLive:
 		return bad("Weights", s.Weights)
-	case s.Reports > ReportsProbes:
-		return bad("Reports", s.Reports)
+	case s.LoadReports > LoadReportsWithHealthChecks:
+		return bad("LoadReports", s.LoadReports)
 	}
 	for _, f := range []struct {
 		name string
@@ -40,11 +48,11 @@
 	for _, f := range []struct {
 		name string
 		v    float64
-	}{{"GoalWhole", s.GoalWhole}, {"GoalWindow", s.GoalWindow}, {"GoalClass", s.GoalClass},
-		{"GoalTenant", s.GoalTenant}, {"OverShareWorth", s.OverShareWorth}, {"CrossZonePrice", s.CrossZonePrice},
-		{"WastePrice", s.WastePrice}, {"LateFailPrice", s.LateFailPrice}, {"ProbePrice", s.ProbePrice},
-		{"PeerPrice", s.PeerPrice}, {"HandshakePrice", s.HandshakePrice}, {"ConnectionPrice", s.ConnectionPrice},
-		{"ListPrice", s.ListPrice}, {"MovePrice", s.MovePrice}, {"OriginPrice", s.OriginPrice},
+	}{{"WeightOverall", s.WeightOverall}, {"WeightWorstWindow", s.WeightWorstWindow}, {"WeightWorstClass", s.WeightWorstClass},
+		{"WeightWorstTenant", s.WeightWorstTenant}, {"OverQuotaPriority", s.OverQuotaPriority}, {"CrossZonePrice", s.CrossZonePrice},
+		{"WastePrice", s.WastePrice}, {"LateFailPrice", s.LateFailPrice}, {"HealthCheckPrice", s.HealthCheckPrice},
+		{"GossipPrice", s.GossipPrice}, {"HandshakePrice", s.HandshakePrice}, {"ConnectionPrice", s.ConnectionPrice},
+		{"PollPrice", s.PollPrice}, {"MigrationPrice", s.MigrationPrice}, {"OriginPrice", s.OriginPrice},
 		{"FleetPrice", s.FleetPrice}} {
 		if !(f.v >= 0) {
 			return bad(f.name, f.v)
@@ -62,9 +70,9 @@
 		name string
 		d    time.Duration
 	}{{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout}, {"IdleClose", s.IdleClose},
-		{"DrainGrace", s.DrainGrace}, {"AnswerGrace", s.AnswerGrace}, {"AskWithin", s.AskWithin}, {"AskSpread", s.AskSpread},
-		{"RefusedSpread", s.RefusedSpread},
-		{"RampTime", s.RampTime}, {"FallWindow", s.FallWindow}, {"KeyRest", s.KeyRest},
+		{"DrainGrace", s.DrainGrace}, {"ResponseGrace", s.ResponseGrace}, {"PollWithin", s.PollWithin}, {"PollSpread", s.PollSpread},
+		{"RefusedPollSpread", s.RefusedPollSpread},
+		{"SlowStart", s.SlowStart}, {"ColdOverloadWindow", s.ColdOverloadWindow}, {"KeyQuietPeriod", s.KeyQuietPeriod},
 		{"CPUPerSecond", s.CPUPerSecond}, {"CPUPerRequest", s.CPUPerRequest}} {
 		if f.d < 0 {
 			return bad(f.name, f.d)
@@ -73,22 +81,22 @@
 	for i, c := range s.Classes {
 		at := func(field string) string { return fmt.Sprintf("Classes[%d].%s", i, field) }
 		switch {
-		case c.Aim <= 0:
-			return bad(at("Aim"), c.Aim)
+		case c.Objective <= 0:
+			return bad(at("Objective"), c.Objective)
 		case c.Deadline <= 0:
 			return bad(at("Deadline"), c.Deadline)
-		case !(c.Worth >= 0):
-			return bad(at("Worth"), c.Worth)
-		case !(c.LateWorth >= 0):
-			return bad(at("LateWorth"), c.LateWorth)
-		case !(c.AimStretch >= 0):
-			return bad(at("AimStretch"), c.AimStretch)
-		case c.Effect > Unsafe:
-			return bad(at("Effect"), c.Effect)
-		case c.Group > GroupCell:
-			return bad(at("Group"), c.Group)
-		case c.Window < 0:
-			return bad(at("Window"), c.Window)
+		case !(c.Priority >= 0):
+			return bad(at("Priority"), c.Priority)
+		case !(c.LatePriority >= 0):
+			return bad(at("LatePriority"), c.LatePriority)
+		case !(c.ObjectiveStretch >= 0):
+			return bad(at("ObjectiveStretch"), c.ObjectiveStretch)
+		case c.Idempotency > NotIdempotent:
+			return bad(at("Idempotency"), c.Idempotency)
+		case c.DedupScope > DedupInCell:
+			return bad(at("DedupScope"), c.DedupScope)
+		case c.DedupWindow < 0:
+			return bad(at("DedupWindow"), c.DedupWindow)
 		}
 	}
 	return nil
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -15,8 +15,8 @@
 	now     time.Duration
 	actions []Action
 
-	backends []*backend // in the order in which they were first listed
-	byID     map[string]*backend
+	backends []*endpoint // in the order in which they were first listed
+	byID     map[string]*endpoint
 	requests map[string]*request
 	peak     float64          // the most attempts out lately, decayed
 	choices  []choice         // of one pick; kept for its memory alone
@@ -64,8 +64,8 @@
 	answered float64       // decayed count of requests answered within the aim
 }
 
-type backend struct {
-	Backend
+type endpoint struct {
+	Endpoint
 	hash     uint64
 	rank     float64    // its place in this balancer's own order, if all were alike: drawn once
 	out      []*attempt // oldest first
@@ -91,7 +91,7 @@
 
 // choice is a backend that may be picked.
 type choice struct {
-	t          *backend
+	t          *endpoint
 	load, slow float64
 	weight     float64 // in a draw
 	place      float64 // in this balancer's own order, the least first
@@ -105,7 +105,7 @@
 }
 
 type attempt struct {
-	b        *backend
+	b        *endpoint
 	sent     time.Duration
 	cost     float64
 	patience time.Duration // without any answer of its backend for so long, that is silent
@@ -127,11 +127,11 @@
 	risky    int      // attempts that may have run, those out included
 	anchor   *attempt // the first of these: sets the group and the window
 	retries  int
-	failed   *backend // the backend that failed it last
-	timer    int64    // the token of its latest timer; earlier ones are void
-	repeat   bool     // a later try of the client: part of its aim has passed
-	waiting  bool     // for its backoff
-	passed   bool     // found no backend in this step
+	failed   *endpoint // the backend that failed it last
+	timer    int64     // the token of its latest timer; earlier ones are void
+	repeat   bool      // a later try of the client: part of its aim has passed
+	waiting  bool      // for its backoff
+	passed   bool      // found no backend in this step
 	holding  bool
 	stream   bool
 	ended    bool
@@ -146,8 +146,8 @@
 // forgetGone forgets the backends that are gone, once none of their attempts is out. Guards against a
 // fleet that is replaced all day under new ids: each one would be kept, and walked in every step.
 func (b *Balancer) forgetGone() {
-	b.backends = slices.DeleteFunc(b.backends, func(t *backend) bool {
-		over := t.State == Gone && len(t.out) == 0
+	b.backends = slices.DeleteFunc(b.backends, func(t *endpoint) bool {
+		over := t.State == Removed && len(t.out) == 0
 		if over {
 			delete(b.byID, t.ID)
 		}
--- a/balancer/trouble_test.go
+++ b/balancer/trouble_test.go
@@ -21,9 +21,9 @@
 		}
 		r.now += 10 * ms
 		if i%20 == 0 {
-			r.outcome(id, balancer.Errored, 10*ms)
+			r.outcome(id, balancer.ServerError, 10*ms)
 		} else {
-			r.outcome(id, balancer.OK, 10*ms)
+			r.outcome(id, balancer.Served, 10*ms)
 		}
 	}
 	for i := range 16 { // as many as the limit lets out when all four count
@@ -49,7 +49,7 @@
 				hit++
 				r.outcome(id, balancer.Reset, 10*ms)
 			} else {
-				r.outcome(id, balancer.OK, 10*ms)
+				r.outcome(id, balancer.Served, 10*ms)
 			}
 		}
 		r.advance(2 * time.Second)
@@ -69,7 +69,7 @@
 	for i := range list {
 		list[i].Started = r.now
 	}
-	r.step(balancer.List{Kind: balancer.ListFull, Backends: list})
+	r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: list})
 	r.advance(3 * time.Second) // what was served before counts no longer
 	sent := 0
 	for i := range 50 {
@@ -78,7 +78,7 @@
 		r.advance(20 * ms)
 		if len(r.sent[id]) > 0 {
 			sent++
-			r.outcome(id, balancer.OK, 10*ms)
+			r.outcome(id, balancer.Served, 10*ms)
 		}
 	}
 	if sent < 25 {
@@ -92,12 +92,12 @@
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
 		r.request(id, unsafe)
-		next := balancer.Backend{ID: fmt.Sprint("s", i)}
-		r.step(balancer.List{Kind: balancer.ListFull, Backends: []balancer.Backend{next}})
+		next := balancer.Endpoint{ID: fmt.Sprint("s", i)}
+		r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: []balancer.Endpoint{next}})
 		if len(r.sent[id]) > 0 {
-			r.outcome(id, balancer.OK, 10*ms)
+			r.outcome(id, balancer.Served, 10*ms)
 		}
-		r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "never seen", State: balancer.Gone}}})
+		r.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "never seen", State: balancer.Removed}}})
 	}
 	if n := r.b.Known(); n != 1 {
 		t.Errorf("%d backends are kept, want 1", n)
@@ -114,9 +114,9 @@
 		r.request(id, unsafe)
 		r.now += ms
 		if r.sent[id][0] < "e" {
-			r.outcome(id, balancer.Errored, ms)
+			r.outcome(id, balancer.ServerError, ms)
 		} else {
-			r.outcome(id, balancer.OK, ms)
+			r.outcome(id, balancer.Served, ms)
 		}
 	}
 	used := map[string]bool{}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -54,7 +54,7 @@
 	const fleet = 350 // started together
 	for i := range fleet {
 		c := config(t, down, entry("s0", p.addr(), "SERVING"))
-		c.Settings.Subscribe, c.Settings.Balancers, c.Settings.Self = i%2 == 0, fleet, i
+		c.Settings.Subscribe, c.Settings.Agents, c.Settings.AgentIndex = i%2 == 0, fleet, i
 		a, _ := startWith(t, c, func(a *Agent) { a.acceptFor = time.Millisecond })
 		if resp, _ := ask(t, a, "GET", "/healthz", ""); resp.StatusCode != 200 {
 			t.Fatalf("agent %d: healthz %d with backends known", i, resp.StatusCode)
@@ -79,7 +79,7 @@
 		list[i] = entry(fmt.Sprint("s", i), p.addr(), "SERVING")
 	}
 	c := config(t, d.addr, list...)
-	c.Settings.Balancers, c.Settings.Self = size, size-1
+	c.Settings.Agents, c.Settings.AgentIndex = size, size-1
 	before := runtime.NumGoroutine()
 	a, _ := start(t, c, nil)
 	for i := range size {
@@ -204,7 +204,7 @@
 				heard <- e
 			case balancer.Abandoned:
 				told <- e
-				return []balancer.Action{balancer.Send{Request: e.Request, Backend: "s0"}, balancer.Note{Text: "sent late"}}
+				return []balancer.Action{balancer.Send{Request: e.Request, Endpoint: "s0"}, balancer.LogMessage{Text: "sent late"}}
 			}
 			return nil
 		}))
@@ -249,10 +249,10 @@
 		script(func(_ time.Duration, e balancer.Event) []balancer.Action {
 			switch e := e.(type) {
 			case balancer.Request:
-				refuse := balancer.Refuse{Request: e.ID, RetryAfter: 1500 * time.Millisecond}
+				refuse := balancer.Reject{Request: e.ID, RetryAfter: 1500 * time.Millisecond}
 				if send {
 					send = false
-					return []balancer.Action{balancer.Send{Request: e.ID, Backend: "s0"}, refuse}
+					return []balancer.Action{balancer.Send{Request: e.ID, Endpoint: "s0"}, refuse}
 				}
 				return []balancer.Action{refuse}
 			}
@@ -278,9 +278,9 @@
 			switch e := e.(type) {
 			case balancer.Request:
 				return []balancer.Action{
-					balancer.Send{Request: e.ID, Backend: "s0"}, balancer.Send{Request: e.ID, Backend: "none"},
-					balancer.Send{Request: e.ID, Backend: "s0", Timeout: time.Second},
-					balancer.Send{Request: e.ID, Backend: "s1"}}
+					balancer.Send{Request: e.ID, Endpoint: "s0"}, balancer.Send{Request: e.ID, Endpoint: "none"},
+					balancer.Send{Request: e.ID, Endpoint: "s0", Timeout: time.Second},
+					balancer.Send{Request: e.ID, Endpoint: "s1"}}
 			case balancer.Outcome:
 				outcomes <- e
 				if e.Attempt == 2 {
@@ -325,7 +325,7 @@
 	}
 	l.bal = script(func(_ time.Duration, e balancer.Event) []balancer.Action {
 		if q, ok := e.(balancer.Request); ok {
-			left = q.Left
+			left = q.Timeout
 		}
 		return nil
 	})
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -22,7 +22,7 @@
 type backends struct {
 	pool    *pool
 	table   *members
-	reports balancer.Reports
+	reports balancer.LoadReportSource
 	probing time.Duration // how long a probe waits
 	stall   time.Duration // an answer that has begun and brings nothing for so long is spoilt
 	log     *slog.Logger
@@ -132,7 +132,7 @@
 	}
 	if errors.Is(r.err, errMalformed) {
 		b.log.Warn("malformed answer", "backend", c.group.backend)
-	} else if r.err == nil && res == balancer.Errored && r.status != http.StatusInternalServerError {
+	} else if r.err == nil && res == balancer.ServerError && r.status != http.StatusInternalServerError {
 		b.log.Warn("unexpected answer", "backend", c.group.backend, "status", r.status)
 	}
 	return res, r
@@ -142,12 +142,12 @@
 func result(r reply, written, cancelled bool) balancer.Result {
 	switch {
 	case r.err == nil && r.status == http.StatusOK:
-		return balancer.OK
+		return balancer.Served
 	case r.err == nil && (r.status == http.StatusServiceUnavailable || r.status == http.StatusGatewayTimeout) &&
 		r.header.Get("X-Rejected") == "1":
-		return balancer.Full
+		return balancer.Rejected
 	case r.err == nil || errors.Is(r.err, errMalformed):
-		return balancer.Errored
+		return balancer.ServerError
 	case !written:
 		return balancer.ConnectFailed // its last byte never left
 	case cancelled:
@@ -166,7 +166,7 @@
 		return res, reply{at: time.Now(), err: err}
 	}
 	path := "/healthz"
-	if b.reports != balancer.ReportsNone {
+	if b.reports != balancer.LoadReportsNone {
 		path = "/load"
 	}
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: c.RemoteAddr().String(),
@@ -181,17 +181,17 @@
 const loadHeader = "X-Load-Report"
 
 // loadReport reads a load report as backends write it: TEXT name=value, name=value.
-func loadReport(r reply) balancer.Load {
+func loadReport(r reply) balancer.LoadReport {
 	text, ok := strings.CutPrefix(strings.TrimSpace(r.header.Get(loadHeader)), "TEXT ")
 	if !ok {
-		return balancer.Load{}
+		return balancer.LoadReport{}
 	}
 	usage := map[string]float64{}
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(v >= 0) || math.IsInf(v, 0) {
-			return balancer.Load{} // what can't be read is no report; one such figure would spoil running means
+			return balancer.LoadReport{} // what can't be read is no report; one such figure would spoil running means
 		}
 		usage[name] = v
 	}
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -61,32 +61,32 @@
 		wait time.Duration
 		want balancer.Result
 	}{
-		{"served", echo, long, balancer.OK},
-		{"error", plain(500, "no"), long, balancer.Errored},
-		{"turned away", rejected(503), long, balancer.Full},
-		{"turned away as over", rejected(504), long, balancer.Full},
-		{"503 with no word of having run", plain(503, ""), long, balancer.Errored},
-		{"an unknown status", plain(302, ""), long, balancer.Errored},
-		{"an error marked as rejected", rejected(500), long, balancer.Errored},
+		{"served", echo, long, balancer.Served},
+		{"error", plain(500, "no"), long, balancer.ServerError},
+		{"turned away", rejected(503), long, balancer.Rejected},
+		{"turned away as over", rejected(504), long, balancer.Rejected},
+		{"503 with no word of having run", plain(503, ""), long, balancer.ServerError},
+		{"an unknown status", plain(302, ""), long, balancer.ServerError},
+		{"an error marked as rejected", rejected(500), long, balancer.ServerError},
 		{"closed with no answer", raw(""), long, balancer.Reset},
 		{"half a head", raw("HTTP/1.1 200 OK\r\nCont"), long, balancer.Reset},
 		{"half a body", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), long, balancer.Reset},
 		{"half a chunked body", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), long, balancer.Reset},
-		{"no HTTP at all", raw("220 mail\r\n\r\n"), long, balancer.Errored},
-		{"an endless head", raw("HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 1<<16)), long, balancer.Errored},
-		{"an early answer ahead", raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), long, balancer.OK},
-		{"early answers without end", raw(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)), long, balancer.Errored},
-		{"another protocol", raw("HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), long, balancer.Errored},
-		{"chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), long, balancer.OK},
-		{"noise on a connection that stays open", open("\x00\xff\x17"), long, balancer.Errored},
-		{"a length that is not kept", open("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), long, balancer.Errored},
-		{"an answer of 3 GB", open("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), long, balancer.Errored},
-		{"two lengths", open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 4\r\n\r\nfour"), long, balancer.Errored},
-		{"length and encoding", open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), long, balancer.Errored},
-		{"a negative length", open("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n"), long, balancer.Errored},
-		{"no length", open("HTTP/1.1 200 OK\r\n\r\nbody"), long, balancer.Errored},
-		{"too large a body", plain(200, strings.Repeat("x", maxBody+1)), long, balancer.Errored},
-		{"the largest body", plain(200, strings.Repeat("x", maxBody)), long, balancer.OK},
+		{"no HTTP at all", raw("220 mail\r\n\r\n"), long, balancer.ServerError},
+		{"an endless head", raw("HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 1<<16)), long, balancer.ServerError},
+		{"an early answer ahead", raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), long, balancer.Served},
+		{"early answers without end", raw(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)), long, balancer.ServerError},
+		{"another protocol", raw("HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), long, balancer.ServerError},
+		{"chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), long, balancer.Served},
+		{"noise on a connection that stays open", open("\x00\xff\x17"), long, balancer.ServerError},
+		{"a length that is not kept", open("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), long, balancer.ServerError},
+		{"an answer of 3 GB", open("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), long, balancer.ServerError},
+		{"two lengths", open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 4\r\n\r\nfour"), long, balancer.ServerError},
+		{"length and encoding", open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), long, balancer.ServerError},
+		{"a negative length", open("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n"), long, balancer.ServerError},
+		{"no length", open("HTTP/1.1 200 OK\r\n\r\nbody"), long, balancer.ServerError},
+		{"too large a body", plain(200, strings.Repeat("x", maxBody+1)), long, balancer.ServerError},
+		{"the largest body", plain(200, strings.Repeat("x", maxBody)), long, balancer.Served},
 		{"silence", hang, time.Second, balancer.TimedOut},
 	}
 	for _, tt := range tests {
@@ -164,7 +164,7 @@
 		return echo(c, r, body)
 	})
 	b := newBackends(t, p.addr())
-	if res, _ := b.try(settle(), long); res != balancer.OK {
+	if res, _ := b.try(settle(), long); res != balancer.Served {
 		t.Fatalf("first: result %d", res)
 	}
 	if res, _ := b.try(settle(), long); res != balancer.Reset {
@@ -180,7 +180,7 @@
 	p := newPeer(t, echo)
 	b := newBackends(t, p.addr())
 	for range 5 {
-		if res, r := b.try(settle(), long); res != balancer.OK || string(r.body) != "did x" {
+		if res, r := b.try(settle(), long); res != balancer.Served || string(r.body) != "did x" {
 			t.Fatalf("result %d, body %q", res, r.body)
 		}
 		addrs[receive(t, p.got).RemoteAddr] = true
@@ -206,7 +206,7 @@
 		quiet, _ := look(b.pool.groups["s0"].idle[0].Conn)
 		return !quiet
 	})
-	if res, _ := b.try(settle(), long); res != balancer.OK {
+	if res, _ := b.try(settle(), long); res != balancer.Served {
 		t.Errorf("result %d, want OK on a new connection", res)
 	}
 }
@@ -235,7 +235,7 @@
 	p := newPeer(t, echo)
 	b := newBackends(t, p.addr())
 	b.pool.maxIdle = 10 * time.Millisecond
-	if res, _ := b.try(settle(), long); res != balancer.OK {
+	if res, _ := b.try(settle(), long); res != balancer.Served {
 		t.Fatal("not served")
 	}
 	receive(t, p.closed)
@@ -311,7 +311,7 @@
 			} else {
 				b.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error { tell(); return nil }
 			}
-			if res, _ := b.try(settle(), long); res != balancer.OK {
+			if res, _ := b.try(settle(), long); res != balancer.Served {
 				t.Fatalf("result %d, want OK", res)
 			}
 			receive(t, old.closed)
@@ -350,7 +350,7 @@
 	receive(t, p.got)
 	receive(t, p.got)
 	close(gate)
-	if receive(t, done) != balancer.OK || receive(t, done) != balancer.OK {
+	if receive(t, done) != balancer.Served || receive(t, done) != balancer.Served {
 		t.Fatal("not served")
 	}
 	quiet <- true
@@ -382,7 +382,7 @@
 			receive(t, p.got)
 			tt.event(b)
 			close(gate)
-			if res := receive(t, done); res != balancer.OK || b.pool.count() != tt.remain {
+			if res := receive(t, done); res != balancer.Served || b.pool.count() != tt.remain {
 				t.Errorf("result %d, %d connections open, want %d", res, b.pool.count(), tt.remain)
 			}
 		})
@@ -413,10 +413,10 @@
 	p, q := newPeer(t, echo), newPeer(t, echo)
 	b := newBackends(t, p.addr(), q.addr())
 	b.pool.limit = 1
-	if res, _ := b.try(settle(), long); res != balancer.OK {
+	if res, _ := b.try(settle(), long); res != balancer.Served {
 		t.Fatal("not served")
 	}
-	if res, _ := b.attempt(context.Background(), settle(), "s1", time.Now().Add(long)); res != balancer.OK {
+	if res, _ := b.attempt(context.Background(), settle(), "s1", time.Now().Add(long)); res != balancer.Served {
 		t.Errorf("result %d, want OK in place of the idle connection", res)
 	}
 	receive(t, p.closed)
@@ -445,7 +445,7 @@
 			})
 			b := newBackends(t, p.addr())
 			for i := range 3 {
-				if res, r := b.try(settle(), long); res != balancer.OK || string(r.body) != "did x" {
+				if res, r := b.try(settle(), long); res != balancer.Served || string(r.body) != "did x" {
 					t.Fatalf("request %d: result %d, body %q", i, res, r.body)
 				}
 				if late {
@@ -491,16 +491,16 @@
 		return true
 	})
 	b := newBackends(t, p.addr())
-	if res, _ := b.probe(context.Background(), "s0"); res != balancer.OK || receive(t, p.got).URL.Path != "/healthz" {
+	if res, _ := b.probe(context.Background(), "s0"); res != balancer.Served || receive(t, p.got).URL.Path != "/healthz" {
 		t.Errorf("result %d", res)
 	}
-	b.reports = balancer.ReportsProbes
+	b.reports = balancer.LoadReportsWithHealthChecks
 	_, r := b.probe(context.Background(), "s0")
 	if l := loadReport(r); receive(t, p.got).URL.Path != "/load" || l.InFlight != 7 || l.Queue != 2 || l.Utilization != 0.61 || l.Throughput != -1 {
 		t.Errorf("load %+v", l)
 	}
 	status.Store(503)
-	if res, _ := b.probe(context.Background(), "s0"); res != balancer.Errored {
+	if res, _ := b.probe(context.Background(), "s0"); res != balancer.ServerError {
 		t.Errorf("result %d, want Errored", res)
 	}
 }
@@ -532,7 +532,7 @@
 			receive(t, p.got)
 			receive(t, p.got)
 			close(gate)
-			if receive(t, done) != balancer.OK || receive(t, done) != balancer.OK {
+			if receive(t, done) != balancer.Served || receive(t, done) != balancer.Served {
 				t.Fatal("not served")
 			}
 			b.pool.mu.Lock()
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -110,7 +110,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if _, err := balancer.New(c.Settings, c.Seed); err != nil { // read again while serving, it must not pass either
-		return nil, err
+		return nil, simwire.SettingsError(err)
 	}
 	if f.Known != nil {
 		if c.Known, err = ParseListing(f.Known); err != nil {
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -61,8 +61,8 @@
 	Servers []Server
 }
 
-var states = map[string]balancer.BackendState{
-	"SERVING": balancer.Up, "DRAINING": balancer.Draining, "DELETED": balancer.Gone,
+var states = map[string]balancer.EndpointState{
+	"SERVING": balancer.Serving, "DRAINING": balancer.Draining, "DELETED": balancer.Removed,
 }
 
 // ParseListing reads one list and checks it: half a list could silence good backends.
@@ -85,7 +85,7 @@
 			return Listing{}, errors.New("server without id")
 		case !ok:
 			return Listing{}, fmt.Errorf("server %s: unknown state %q", s.ID, s.State)
-		case state != balancer.Gone && checkAddr(s.Addr) != nil:
+		case state != balancer.Removed && checkAddr(s.Addr) != nil:
 			return Listing{}, fmt.Errorf("server %s: %w", s.ID, checkAddr(s.Addr))
 		}
 	}
@@ -112,7 +112,7 @@
 		if known && (s.State != "SERVING" || !s.sameProcess(old)) {
 			stale = append(stale, s.ID)
 		}
-		if states[s.State] == balancer.Gone {
+		if states[s.State] == balancer.Removed {
 			delete(t.m, s.ID)
 		} else {
 			t.m[s.ID] = s
@@ -160,7 +160,7 @@
 	post    func(any)
 	silence time.Duration // see watchSilence
 	calling time.Duration // see callTime; for a watch, until its first byte
-	event   func(Listing, balancer.ListKind) balancer.List
+	event   func(Listing, balancer.ListKind) balancer.EndpointList
 	log     *slog.Logger
 
 	// Where the settings say that changes come unasked, the module never asks for a watch. On sockets nothing
@@ -229,7 +229,7 @@
 	}
 	kind := balancer.ListDelta
 	if l.Full {
-		kind = balancer.ListFull
+		kind = balancer.ListComplete
 	}
 	d.post(d.event(l, kind))
 	return true
@@ -276,11 +276,11 @@
 }
 
 // failure is what the module hears of a call that failed.
-func failure(err error) balancer.List {
+func failure(err error) balancer.EndpointList {
 	if errors.Is(err, errRefused) {
-		return balancer.List{Kind: balancer.ListRefused}
+		return balancer.EndpointList{Kind: balancer.ListRefused}
 	}
-	return balancer.List{Kind: balancer.ListFailed}
+	return balancer.EndpointList{Kind: balancer.ListFailed}
 }
 
 // resume begins an unasked watch again after an exponential, fully jittered wait, unless another began meanwhile.
@@ -459,11 +459,11 @@
 }
 
 // lister returns the conversion of a listing to the module's event.
-func lister(c *Config, clock Clock) func(Listing, balancer.ListKind) balancer.List {
-	return func(l Listing, kind balancer.ListKind) balancer.List {
-		e := balancer.List{Kind: kind, Backends: make([]balancer.Backend, 0, len(l.Servers))}
+func lister(c *Config, clock Clock) func(Listing, balancer.ListKind) balancer.EndpointList {
+	return func(l Listing, kind balancer.ListKind) balancer.EndpointList {
+		e := balancer.EndpointList{Kind: kind, Endpoints: make([]balancer.Endpoint, 0, len(l.Servers))}
 		for _, s := range l.Servers {
-			e.Backends = append(e.Backends, balancer.Backend{ID: s.ID, State: states[s.State],
+			e.Endpoints = append(e.Endpoints, balancer.Endpoint{ID: s.ID, State: states[s.State],
 				Zone: slices.Index(c.Names.Zones, s.Zone), Cell: s.Cell, Kind: slices.Index(c.Names.Kinds, s.Kind),
 				Weight: s.Weight, Started: clock.FromUnixMs(s.StartedMs)})
 		}
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -17,16 +17,16 @@
 )
 
 // follow runs a discovery whose events come out of the channel.
-func follow(t *testing.T, d *lists, silence time.Duration) (*discovery, chan balancer.List) {
+func follow(t *testing.T, d *lists, silence time.Duration) (*discovery, chan balancer.EndpointList) {
 	t.Helper()
 	c := config(t, d.addr, entry("s0", "127.0.0.1:1", "SERVING"), entry("s1", "127.0.0.1:2", "SERVING"))
-	events := make(chan balancer.List, 10)
+	events := make(chan balancer.EndpointList, 10)
 	table := &members{m: map[string]Server{}}
 	known := c.Known
 	known.Full = true
 	table.apply(known)
 	disc := &discovery{addr: d.addr, client: newListClient(), table: table,
-		stale: func(string) {}, post: func(m any) { events <- m.(balancer.List) }, silence: silence, calling: silence,
+		stale: func(string) {}, post: func(m any) { events <- m.(balancer.EndpointList) }, silence: silence, calling: silence,
 		event: lister(c, NewClock()), log: logTo(&capture{}), version: 1}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -43,14 +43,14 @@
 	d.say <- ""
 	d.say <- `{"version":2,"full":false,"servers":[` + entry("s0", "127.0.0.1:1", "DRAINING") + `]}`
 	e := receive(t, events)
-	if e.Kind != balancer.ListDelta || len(e.Backends) != 1 || e.Backends[0].State != balancer.Draining || e.Backends[0].Zone != 0 {
+	if e.Kind != balancer.ListDelta || len(e.Endpoints) != 1 || e.Endpoints[0].State != balancer.Draining || e.Endpoints[0].Zone != 0 {
 		t.Errorf("event %+v", e)
 	}
 	if _, ok := disc.table.serving("s0"); ok {
 		t.Error("a draining backend may still get work")
 	}
 	d.say <- `{"version":3,"full":true,"servers":[` + entry("s0", "127.0.0.1:1", "SERVING") + `]}`
-	if e := receive(t, events); e.Kind != balancer.ListFull {
+	if e := receive(t, events); e.Kind != balancer.ListComplete {
 		t.Errorf("event %+v", e)
 	}
 	if _, ok := disc.table.serving("s1"); ok {
@@ -115,7 +115,7 @@
 	}
 	disc, events := follow(t, d, long)
 	disc.fetch(context.Background())
-	if e := receive(t, events); e.Kind != balancer.ListFull || len(e.Backends) != 1 || e.Backends[0].ID != "s7" {
+	if e := receive(t, events); e.Kind != balancer.ListComplete || len(e.Endpoints) != 1 || e.Endpoints[0].ID != "s7" {
 		t.Errorf("event %+v", e)
 	}
 }
@@ -176,7 +176,7 @@
 	old.cut <- struct{}{} // ends while the new one is awaited: no failure, since that is under way
 	new.say <- ""
 	new.say <- `{"version":1,"full":true,"servers":[` + entry("s1", "127.0.0.1:2", "SERVING") + `]}`
-	if e := receive(t, events); e.Kind != balancer.ListFull {
+	if e := receive(t, events); e.Kind != balancer.ListComplete {
 		t.Errorf("event %+v", e)
 	}
 	if _, ok := disc.table.serving("s0"); ok {
@@ -203,9 +203,9 @@
 	c := config(t, d.addr, entry("s0", "127.0.0.1:1", "SERVING"), entry("s1", "127.0.0.1:2", "SERVING"))
 	c.Settings.Subscribe = false
 	c.Settings.ConnectTimeout = time.Millisecond // the unit of the wait
-	lists := make(chan balancer.List, 10)
+	lists := make(chan balancer.EndpointList, 10)
 	a, _ := start(t, c, script(func(_ time.Duration, e balancer.Event) []balancer.Action {
-		if l, ok := e.(balancer.List); ok {
+		if l, ok := e.(balancer.EndpointList); ok {
 			lists <- l
 		}
 		return nil
@@ -217,7 +217,7 @@
 		t.Errorf("watched with %q", q)
 	}
 	d.say <- `{"version":2,"full":false,"servers":[` + entry("s0", "127.0.0.1:1", "DELETED") + `]}`
-	if e := receive(t, lists); e.Kind != balancer.ListDelta || e.Backends[0].State != balancer.Gone {
+	if e := receive(t, lists); e.Kind != balancer.ListDelta || e.Endpoints[0].State != balancer.Removed {
 		t.Errorf("event %+v", e)
 	}
 	for range 3 {
@@ -263,7 +263,7 @@
 	d.say <- pretty
 	d.say <- `  {"version":3,"full":false,"servers":[]} {"version":4,"full":false,` + "\n\n" + `"servers":[]}`
 	for i, n := range []int{1, 0, 0} {
-		if e := receive(t, events); e.Kind != balancer.ListDelta || len(e.Backends) != n {
+		if e := receive(t, events); e.Kind != balancer.ListDelta || len(e.Endpoints) != n {
 			t.Errorf("list %d: event %+v", i, e)
 		}
 	}
@@ -271,7 +271,7 @@
 		t.Error("a draining backend may still get work")
 	}
 	disc.fetch(context.Background())
-	if e := receive(t, events); e.Kind != balancer.ListFull || len(e.Backends) != 1 {
+	if e := receive(t, events); e.Kind != balancer.ListComplete || len(e.Endpoints) != 1 {
 		t.Errorf("called for: event %+v", e)
 	}
 }
@@ -367,11 +367,11 @@
 	d.say <- `{"version":2,"full":false,"servers":[` + entry("s0", "127.0.0.1:1", "DRAINING") + `]}`
 	receive(t, events)
 	close(answer)
-	if e := receive(t, events); e.Kind != balancer.ListDelta || len(e.Backends) != 0 {
+	if e := receive(t, events); e.Kind != balancer.ListDelta || len(e.Endpoints) != 0 {
 		t.Errorf("event %+v: the call is to be answered by no news", e)
 	}
 	d.say <- `{"version":1,"full":true,"servers":[` + entry("s0", "127.0.0.1:1", "SERVING") + `]}`
-	if e := receive(t, events); len(e.Backends) != 0 {
+	if e := receive(t, events); len(e.Endpoints) != 0 {
 		t.Errorf("event %+v of a line that is old", e)
 	}
 	if _, ok := disc.table.serving("s0"); ok {
@@ -466,8 +466,8 @@
 				go s.Serve(l)
 				t.Cleanup(func() { s.Close() })
 				c := config(t, l.Addr().String(), entry("s0", "127.0.0.1:1", "SERVING"))
-				c.Settings.Subscribe, c.Settings.Balancers = asked, 350
-				c.Settings.AskWithin = time.Minute // the waits come from the bound
+				c.Settings.Subscribe, c.Settings.Agents = asked, 350
+				c.Settings.PollWithin = time.Minute // the waits come from the bound
 				a, _ := startWith(t, c, func(a *Agent) {
 					a.loop.disc.silence, a.loop.disc.calling = 50*time.Millisecond, 50*time.Millisecond
 				})
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -88,7 +88,7 @@
 		return
 	}
 	at := f.loop.clock.At(arrived)
-	req := &request{q: q, class: event.Class, arrived: at, deadline: at + event.Left, answer: make(chan answer, 1)}
+	req := &request{q: q, class: event.Class, arrived: at, deadline: at + event.Timeout, answer: make(chan answer, 1)}
 	f.loop.post(arrival{r: req, event: event})
 	f.await(w, r, client, req)
 }
@@ -175,7 +175,7 @@
 	if !ok {
 		return e, http.StatusNotFound, "unknown class"
 	}
-	effect := f.settings.Classes[class].Effect
+	effect := f.settings.Classes[class].Idempotency
 	if want := method(effect); r.Method != want {
 		return e, http.StatusMethodNotAllowed, want + " wanted"
 	}
@@ -184,21 +184,21 @@
 			return e, http.StatusBadRequest, name + " twice"
 		}
 	}
-	if effect == balancer.Safe && r.ContentLength != 0 {
+	if effect == balancer.Idempotent && r.ContentLength != 0 {
 		return e, http.StatusBadRequest, "a body with GET"
 	}
 	e = balancer.Request{ID: r.Header.Get("X-Call-Id"), Class: class, Key: r.Header.Get("X-Route-Hash"),
-		Repeat: r.Header.Get("X-Again") == "1"}
+		ClientRetry: r.Header.Get("X-Again") == "1"}
 	if !validID(e.ID) {
 		return e, http.StatusBadRequest, "X-Call-Id: 16 hex digits wanted"
 	}
 	budget, err := strconv.ParseUint(r.Header.Get("X-Budget-Ms"), 10, 32)
-	if e.Left = time.Duration(budget) * time.Millisecond; err != nil || e.Left <= 0 || e.Left > maxBudget {
+	if e.Timeout = time.Duration(budget) * time.Millisecond; err != nil || e.Timeout <= 0 || e.Timeout > maxBudget {
 		return e, http.StatusBadRequest, "X-Budget-Ms: whole milliseconds wanted"
 	}
-	e.Left = min(e.Left, f.settings.Classes[class].Deadline) // no client of the class waits longer
+	e.Timeout = min(e.Timeout, f.settings.Classes[class].Deadline) // no client of the class waits longer
 	// Backends know a repeat by its key alone: without one, a second attempt might run again.
-	if key := r.Header.Get("Idempotency-Key"); (effect == balancer.Keyed) != (key != "") || len(key) > maxKey {
+	if key := r.Header.Get("Idempotency-Key"); (effect == balancer.IdempotentWithKey) != (key != "") || len(key) > maxKey {
 		return e, http.StatusBadRequest, "Idempotency-Key: wanted for a keyed class alone"
 	}
 	if text := r.Header.Get("X-Call-Cost"); text != "" {
@@ -213,8 +213,8 @@
 }
 
 // method is what requests of a kind come by.
-func method(e balancer.Effect) string {
-	if e == balancer.Safe {
+func method(e balancer.Idempotency) string {
+	if e == balancer.Idempotent {
 		return http.MethodGet
 	}
 	return http.MethodPost
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -65,7 +65,7 @@
 					}
 				case balancer.Abandoned:
 					if e.Request == id { // a bug that the loop has to hold back
-						return []balancer.Action{balancer.Send{Request: id, Backend: "s0"}, balancer.Note{Text: "sent late"}}
+						return []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}, balancer.LogMessage{Text: "sent late"}}
 					}
 				case balancer.Outcome:
 					done <- e.Result
@@ -104,7 +104,7 @@
 					if e.ID == id {
 						close(busy)
 						<-gate
-						return []balancer.Action{balancer.Send{Request: id, Backend: "s0"}}
+						return []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}}
 					}
 				case balancer.Outcome:
 					ended <- e.Result
@@ -141,7 +141,7 @@
 				switch e := e.(type) {
 				case balancer.Request:
 					if e.ID == id {
-						return []balancer.Action{balancer.Send{Request: id, Backend: "s0"}}
+						return []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}}
 					}
 				case balancer.Abandoned:
 					if e.Request == id {
@@ -241,7 +241,7 @@
 		leave(client)
 		receive(t, told)
 		close(gate)
-		if e := receive(t, ended); e.Result != balancer.Errored || !e.Done {
+		if e := receive(t, ended); e.Result != balancer.ServerError || !e.Done {
 			t.Errorf("outcome %+v", e)
 		}
 		if resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 502 {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -106,7 +106,7 @@
 
 func newLoop(c *Config, clock Clock, log *slog.Logger) (*Loop, error) {
 	settings := c.Settings
-	settings.MaxOpen, settings.AskSpread, settings.RefusedSpread = c.openRequests(), askSpread, refusedSpread
+	settings.MaxOpen, settings.PollSpread, settings.RefusedPollSpread = c.openRequests(), askSpread, refusedSpread
 	bal, err := balancer.New(settings, c.Seed)
 	if err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 	table := &members{m: map[string]Server{}}
 	l := &Loop{clock: clock, s: c.Settings, bal: bal, log: log, in: make(chan any, 1024), done: make(chan struct{}),
 		ready: make(chan struct{}), open: map[string]*request{}, last: clock.Now() - c.Settings.Tick}
-	l.back = &backends{pool: pool, table: table, reports: c.Settings.Reports,
+	l.back = &backends{pool: pool, table: table, reports: c.Settings.LoadReports,
 		probing: 2 * c.Settings.ConnectTimeout, stall: max(2*c.Settings.ConnectTimeout, 100*time.Millisecond), log: log}
 	l.disc = &discovery{addr: c.Discovery, client: newListClient(), table: table,
 		stale: pool.retire, post: l.post, silence: watchSilence, calling: callTime, event: lister(c, clock), log: log,
@@ -275,8 +275,8 @@
 	r.attempts[m.event.Attempt]()
 	r.attempts[m.event.Attempt] = nil
 	r.out--
-	r.risky = r.risky || !m.event.Result.NeverRan() || l.s.FullNoProof && m.event.Result == balancer.Full
-	if m.event.Result == balancer.OK && !r.ended {
+	r.risky = r.risky || !m.event.Result.NeverRan() || l.s.RejectedMayHaveRun && m.event.Result == balancer.Rejected
+	if m.event.Result == balancer.Served && !r.ended {
 		l.reply(r, answer{status: http.StatusOK, body: m.answer.body})
 	}
 	m.event.Done = r.ended
@@ -318,10 +318,10 @@
 			r := l.open[q.ID]
 			// A step comes within a tick of an arrival. When the machine is late with it, the module must
 			// not take the delay for a client with less patience, which it reads as one that tries again.
-			q.Left = r.deadline - cutMargin - r.arrived - min(now-r.arrived, l.s.Tick)
+			q.Timeout = r.deadline - cutMargin - r.arrived - min(now-r.arrived, l.s.Tick)
 			// An attempt that times out with the request must not do so before the module's deadline for
 			// that: the module would wait for another try that can't come, until the safety net answers.
-			r.cut = min(now+q.Left, r.deadline-2*netMargin)
+			r.cut = min(now+q.Timeout, r.deadline-2*netMargin)
 			events[i] = q
 		}
 	}
@@ -356,7 +356,7 @@
 		if r := l.open[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) && r.attempts[a.Attempt] != nil {
 			r.attempts[a.Attempt]()
 		}
-	case balancer.Refuse:
+	case balancer.Reject:
 		l.refuse(a)
 	case balancer.Fail:
 		if r := l.open[a.Request]; r != nil && !r.ended {
@@ -364,31 +364,31 @@
 		}
 	case balancer.SetTimer:
 		l.push(&timer{at: now + max(0, a.After), token: a.Token})
-	case balancer.Probe:
-		l.probe(a.Backend)
+	case balancer.HealthCheck:
+		l.probe(a.Endpoint)
 	case balancer.Subscribe:
 		l.disc.subscribe(l.ctx)
 	case balancer.Unsubscribe:
 		l.disc.unsubscribe()
-	case balancer.FetchList:
+	case balancer.PollEndpoints:
 		l.disc.fetch(l.ctx)
 	case balancer.CloseIdle:
-		l.back.pool.closeIdle(a.Backend)
-	case balancer.Note:
+		l.back.pool.closeIdle(a.Endpoint)
+	case balancer.LogMessage:
 		l.log.Info(a.Text)
 	default:
 		l.log.Error("bug: an action that this agent does not carry out", "action", fmt.Sprintf("%T", a))
 	}
 }
 
-func (l *Loop) refuse(a balancer.Refuse) {
+func (l *Loop) refuse(a balancer.Reject) {
 	r := l.open[a.Request]
 	if r == nil || r.ended {
 		return
 	}
 	// Once an attempt may have run, a refusal would invite a repeat of its effect.
-	if c := l.s.Classes[r.class]; (r.risky || r.out > 0) && c.Effect != balancer.Safe &&
-		!(c.Effect == balancer.Keyed && c.Group == balancer.GroupAll) {
+	if c := l.s.Classes[r.class]; (r.risky || r.out > 0) && c.Idempotency != balancer.Idempotent &&
+		!(c.Idempotency == balancer.IdempotentWithKey && c.DedupScope == balancer.DedupEverywhere) {
 		l.log.Error("bug: refusal of a request that may have run", "id", a.Request)
 		l.reply(r, answer{status: http.StatusBadGateway})
 		return
@@ -407,7 +407,7 @@
 	ctx, cancel := context.WithCancel(l.ctx)
 	r.attempts = append(r.attempts, cancel)
 	r.out++
-	event := balancer.Outcome{Request: a.Request, Attempt: no, Backend: a.Backend, Result: balancer.NotSent}
+	event := balancer.Outcome{Request: a.Request, Attempt: no, Endpoint: a.Endpoint, Result: balancer.NotSent}
 	cut := r.cut
 	if l.until > 0 {
 		cut = min(cut, l.until-cutMargin)
@@ -421,8 +421,8 @@
 	}
 	until := l.clock.base.Add(cut - clockStart)
 	go func() {
-		res, rep := l.back.attempt(ctx, r.q, a.Backend, until)
-		event.Result, event.Latency, event.Load = res, l.clock.At(rep.at)-now, loadReport(rep)
+		res, rep := l.back.attempt(ctx, r.q, a.Endpoint, until)
+		event.Result, event.Latency, event.LoadReport = res, l.clock.At(rep.at)-now, loadReport(rep)
 		l.post(outcome{r: r, event: event, answer: rep})
 	}()
 }
@@ -431,8 +431,8 @@
 	start := l.clock.Now()
 	go func() {
 		res, rep := l.back.probe(l.ctx, backend)
-		l.post(balancer.ProbeResult{Backend: backend, Result: res, Latency: l.clock.At(rep.at) - start,
-			Load: loadReport(rep)})
+		l.post(balancer.HealthCheckResult{Endpoint: backend, Result: res, Latency: l.clock.At(rep.at) - start,
+			LoadReport: loadReport(rep)})
 	}()
 }
 
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -173,13 +173,13 @@
 	a, logged, stop, ended := stoppable(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")),
 		func(a *Agent) {
 			wait := []balancer.Action{balancer.SetTimer{After: time.Millisecond, Token: 1}}
-			send := []balancer.Action{balancer.Send{Request: id, Backend: "s0"}}
+			send := []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}}
 			a.loop.bal = script(func(_ time.Duration, e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
 				case balancer.Request:
 					return send
 				case balancer.Outcome:
-					if e.Result == balancer.Errored {
+					if e.Result == balancer.ServerError {
 						close(failed)
 						return wait
 					}
--- a/internal/agent/trouble_test.go
+++ b/internal/agent/trouble_test.go
@@ -88,9 +88,9 @@
 	c.Sockets = 30 // ten open requests, of which one is kept free
 	for i := range c.Settings.Classes {
 		class := &c.Settings.Classes[i]
-		class.Aim, class.Deadline = 10*long, 10*long
+		class.Objective, class.Deadline = 10*long, 10*long
 	}
-	c.Settings.Classes[2].Worth, c.Settings.GoalWhole = 10, 1 // settle
+	c.Settings.Classes[2].Priority, c.Settings.WeightOverall = 10, 1 // settle
 	a, _ := start(t, c, nil)
 	defer close(h.end)
 	n := 0
@@ -132,7 +132,7 @@
 	d := newLists(t)
 	c := config(t, d.addr, entry("s0", s0.addr(), "SERVING"))
 	for i := range c.Settings.Classes {
-		c.Settings.Classes[i].Aim, c.Settings.Classes[i].Deadline = 200*time.Millisecond, 3*long
+		c.Settings.Classes[i].Objective, c.Settings.Classes[i].Deadline = 200*time.Millisecond, 3*long
 	}
 	a, _ := start(t, c, nil)
 	no := 0
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -70,12 +70,12 @@
 	"rough": balancer.WeightsRough, "live": balancer.WeightsLive,
 }
 
-var sources = map[string]balancer.Reports{
-	"": balancer.ReportsNone, "off": balancer.ReportsNone,
-	"inline": balancer.ReportsAnswers, "on_probe": balancer.ReportsProbes,
+var sources = map[string]balancer.LoadReportSource{
+	"": balancer.LoadReportsNone, "off": balancer.LoadReportsNone,
+	"inline": balancer.LoadReportsWithResponses, "on_probe": balancer.LoadReportsWithHealthChecks,
 }
 
-var fields = map[string]balancer.Fields{
+var fields = map[string]balancer.LoadReportFields{
 	"outstanding": balancer.FieldInFlight, "backlog": balancer.FieldQueue,
 	"utilization": balancer.FieldUtilization, "recent_ms": balancer.FieldService,
 	"throughput": balancer.FieldThroughput, "errors_per_s": balancer.FieldErrors,
@@ -110,75 +110,75 @@
 
 func (f *facts) settings() (balancer.Settings, error) {
 	s := balancer.Settings{
-		Balancers:      f.Balancers,
-		Self:           f.Me,
-		Zone:           f.Zone,
-		ByWork:         f.CountedBy == "work",
-		Subscribe:      f.MembershipMode == "subscribe",
-		Tick:           duration(f.TickMs),
-		MaxAttempts:    f.PolicyLimits.TryLimit,
-		SecondCopies:   f.PolicyLimits.SecondCopies,
-		MayProbe:       f.PolicyLimits.MayProbe,
-		MayCancel:      f.PolicyLimits.Cancel,
-		RetryAfter:     f.PolicyLimits.RetryAfter,
-		Peers:          f.PolicyLimits.Peers,
-		MaxRetryAfter:  duration(f.PolicyLimits.MaxRetryAfterMs),
-		ConnectTimeout: duration(f.PolicyLimits.ConnectTimeoutMs),
-		IdleClose:      duration(f.PolicyLimits.IdleCloseMs),
-		DrainGrace:     duration(f.Contract.DrainGraceMs),
-		AnswerGrace:    duration(f.Contract.GraceToAnswerMs),
-		AskWithin:      duration(f.Contract.AskWithinMs),
-		ColdShare:      f.Contract.ColdFrom,
-		RampTime:       duration(f.Contract.RampTimeMs),
-		FallMultiple:   f.Contract.FallMultiple,
-		FallWindow:     duration(f.Contract.FallMs),
-		GoalWhole:      f.Goal.Whole,
-		GoalWindow:     f.Goal.WorstWindow,
-		GoalClass:      f.Goal.WorstClass,
-		GoalTenant:     f.Goal.WorstTenant,
-		OverShareWorth: f.OverShareWorth,
+		Agents:               f.Balancers,
+		AgentIndex:           f.Me,
+		Zone:                 f.Zone,
+		PriorityByWork:       f.CountedBy == "work",
+		Subscribe:            f.MembershipMode == "subscribe",
+		Tick:                 duration(f.TickMs),
+		MaxAttempts:          f.PolicyLimits.TryLimit,
+		AllowHedging:         f.PolicyLimits.SecondCopies,
+		AllowHealthChecks:    f.PolicyLimits.MayProbe,
+		AllowCancel:          f.PolicyLimits.Cancel,
+		SendRetryAfter:       f.PolicyLimits.RetryAfter,
+		AllowGossip:          f.PolicyLimits.Peers,
+		MaxRetryAfter:        duration(f.PolicyLimits.MaxRetryAfterMs),
+		ConnectTimeout:       duration(f.PolicyLimits.ConnectTimeoutMs),
+		IdleClose:            duration(f.PolicyLimits.IdleCloseMs),
+		DrainGrace:           duration(f.Contract.DrainGraceMs),
+		ResponseGrace:        duration(f.Contract.GraceToAnswerMs),
+		PollWithin:           duration(f.Contract.AskWithinMs),
+		ColdCapacity:         f.Contract.ColdFrom,
+		SlowStart:            duration(f.Contract.RampTimeMs),
+		ColdOverloadMultiple: f.Contract.FallMultiple,
+		ColdOverloadWindow:   duration(f.Contract.FallMs),
+		WeightOverall:        f.Goal.Whole,
+		WeightWorstWindow:    f.Goal.WorstWindow,
+		WeightWorstClass:     f.Goal.WorstClass,
+		WeightWorstTenant:    f.Goal.WorstTenant,
+		OverQuotaPriority:    f.OverShareWorth,
 
 		Zones: len(f.Dcs), Kinds: len(f.Kinds), Tier: f.Tier, Tiers: len(f.Tiers),
-		MarksRetry:     f.Clients.MarksRetry,
-		WarmKeys:       f.FamilyInfo.WarmKeys,
-		PassesDeadline: f.FamilyInfo.PassesDeadline,
-		MaxOpen:        f.PolicyLimits.MaxOpen,
-		StreamsPerConn: f.PolicyLimits.StreamsPerConn,
-		CPUPerSecond:   duration(f.PolicyLimits.CpuUsPerS / 1000),
-		CPUPerRequest:  duration(f.PolicyLimits.CpuUsPerRequest / 1000),
-		FullNoProof:    f.Contract.BusyIsNoProof,
-		KeyRest:        duration(f.Contract.KeyRestMs),
+		MarksRetry:         f.Clients.MarksRetry,
+		CacheAffinity:      f.FamilyInfo.WarmKeys,
+		PassesDeadline:     f.FamilyInfo.PassesDeadline,
+		MaxOpen:            f.PolicyLimits.MaxOpen,
+		StreamsPerConn:     f.PolicyLimits.StreamsPerConn,
+		CPUPerSecond:       duration(f.PolicyLimits.CpuUsPerS / 1000),
+		CPUPerRequest:      duration(f.PolicyLimits.CpuUsPerRequest / 1000),
+		RejectedMayHaveRun: f.Contract.BusyIsNoProof,
+		KeyQuietPeriod:     duration(f.Contract.KeyRestMs),
 
-		CrossZonePrice:  f.Prices.CrossZone,
-		WastePrice:      f.Prices.Waste,
-		LateFailPrice:   f.Prices.LateFail,
-		ProbePrice:      f.Prices.Probe,
-		PeerPrice:       f.Prices.Peer,
-		HandshakePrice:  f.Prices.Handshake,
-		ConnectionPrice: f.Prices.Connection,
-		ListPrice:       f.Prices.MembershipMode,
-		MovePrice:       f.Prices.Moves,
-		OriginPrice:     f.Prices.Origin,
-		FleetPrice:      f.Prices.Fleet,
+		CrossZonePrice:   f.Prices.CrossZone,
+		WastePrice:       f.Prices.Waste,
+		LateFailPrice:    f.Prices.LateFail,
+		HealthCheckPrice: f.Prices.Probe,
+		GossipPrice:      f.Prices.Peer,
+		HandshakePrice:   f.Prices.Handshake,
+		ConnectionPrice:  f.Prices.Connection,
+		PollPrice:        f.Prices.MembershipMode,
+		MigrationPrice:   f.Prices.Moves,
+		OriginPrice:      f.Prices.Origin,
+		FleetPrice:       f.Prices.Fleet,
 	}
 	var ok bool
 	if s.Weights, ok = weights[f.Weights]; !ok {
 		return s, fmt.Errorf("Weights: unknown meaning %q", f.Weights)
 	}
-	if s.Reports, ok = sources[f.Report.Source]; !ok {
+	if s.LoadReports, ok = sources[f.Report.Source]; !ok {
 		return s, fmt.Errorf("Report.Source: unknown source %q", f.Report.Source)
 	}
 	for _, name := range f.Report.Fields {
-		s.Fields |= fields[name] // values that a later wire adds carry no bit
+		s.LoadReportFields |= fields[name] // values that a later wire adds carry no bit
 	}
 	for _, t := range f.Tenants {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Share: t.Portion, Quota: t.QuotaPerS})
 	}
-	effects := map[string]balancer.Effect{
-		"repeatable": balancer.Safe, "by_key": balancer.Keyed, "once": balancer.Unsafe}
-	groups := map[string]balancer.Group{
-		"": balancer.GroupAll, "all": balancer.GroupAll,
-		"zone": balancer.GroupZone, "cell": balancer.GroupCell}
+	effects := map[string]balancer.Idempotency{
+		"repeatable": balancer.Idempotent, "by_key": balancer.IdempotentWithKey, "once": balancer.NotIdempotent}
+	groups := map[string]balancer.DedupScope{
+		"": balancer.DedupEverywhere, "all": balancer.DedupEverywhere,
+		"zone": balancer.DedupInZone, "cell": balancer.DedupInCell}
 	for i, p := range f.Profiles {
 		effect, ok := effects[p.Semantics]
 		if !ok {
@@ -189,10 +189,10 @@
 			return s, fmt.Errorf("Profiles[%d].Group: unknown group %q", i, p.Group)
 		}
 		s.Classes = append(s.Classes, balancer.Class{
-			Aim: duration(p.AimMs), Deadline: duration(p.DeadlineMs),
-			Worth: p.Worth, LateWorth: p.LateValue,
-			Effect: effect, Group: group, Window: duration(p.WindowMs),
-			KeepOrder: p.KeepOrder, AimStretch: p.AimStretch, Stream: p.Stream,
+			Objective: duration(p.AimMs), Deadline: duration(p.DeadlineMs),
+			Priority: p.Worth, LatePriority: p.LateValue,
+			Idempotency: effect, DedupScope: group, DedupWindow: duration(p.WindowMs),
+			Ordered: p.KeepOrder, ObjectiveStretch: p.AimStretch, Streamed: p.Stream,
 		})
 	}
 	return s, nil
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -42,12 +42,12 @@
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	lists map[int][]balancer.Backend
+	lists map[int][]balancer.Endpoint
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<16), lists: map[int][]balancer.Backend{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<16), lists: map[int][]balancer.Endpoint{}}
 }
 
 type entry struct {
@@ -96,18 +96,18 @@
 )
 
 var results = map[string]balancer.Result{
-	"pass": balancer.OK, "fault": balancer.Errored, "no_room": balancer.Full,
+	"pass": balancer.Served, "fault": balancer.ServerError, "no_room": balancer.Rejected,
 	"too_slow": balancer.TimedOut, "no_route": balancer.ConnectFailed, "cut": balancer.Reset,
 	"undone": balancer.Cancelled, "stale_send": balancer.NotSent,
 }
 
 var listKinds = map[string]balancer.ListKind{
-	"diff": balancer.ListDelta, "snapshot": balancer.ListFull,
+	"diff": balancer.ListDelta, "snapshot": balancer.ListComplete,
 	"disk": balancer.ListCached, "error": balancer.ListFailed,
 }
 
-var states = map[string]balancer.BackendState{
-	"on": balancer.Up, "fading": balancer.Draining, "off": balancer.Gone,
+var states = map[string]balancer.EndpointState{
+	"on": balancer.Serving, "fading": balancer.Draining, "off": balancer.Removed,
 }
 
 // Next reads one batch. It returns io.EOF where the input ends between batches.
@@ -181,8 +181,8 @@
 		if m.Job == nil || m.TierClass == nil || m.GraceMs == nil {
 			return errors.New("missing Job, TierClass or GraceMs")
 		}
-		q := balancer.Request{ID: *m.Job, Class: *m.TierClass, Left: duration(*m.GraceMs),
-			Repeat: m.StateBits&bitRepeat != 0, Write: m.StateBits&bitWrite != 0,
+		q := balancer.Request{ID: *m.Job, Class: *m.TierClass, Timeout: duration(*m.GraceMs),
+			ClientRetry: m.StateBits&bitRepeat != 0, Write: m.StateBits&bitWrite != 0,
 			Key: m.Item, Tenant: m.Project}
 		if m.StateBits&bitHintValid != 0 {
 			q.Work = duration(m.WorkHintMs)
@@ -196,8 +196,8 @@
 		if !ok {
 			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
 		}
-		e.Event = balancer.Outcome{Request: *m.Job, Attempt: *m.SendNo, Backend: *m.Backend, Result: res,
-			Latency: duration(*m.WaitTimeMs), Done: m.Ended, Load: load(m.Usage)}
+		e.Event = balancer.Outcome{Request: *m.Job, Attempt: *m.SendNo, Endpoint: *m.Backend, Result: res,
+			Latency: duration(*m.WaitTimeMs), Done: m.Ended, LoadReport: load(m.Usage)}
 	case "ProbeDone":
 		if m.Backend == nil || m.Outcome == nil || m.WaitTimeMs == nil {
 			return errors.New("missing Backend, Outcome or WaitTimeMs")
@@ -206,8 +206,8 @@
 		if !ok {
 			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
 		}
-		e.Event = balancer.ProbeResult{Backend: *m.Backend, Result: res,
-			Latency: duration(*m.WaitTimeMs), Load: load(m.Usage)}
+		e.Event = balancer.HealthCheckResult{Endpoint: *m.Backend, Result: res,
+			Latency: duration(*m.WaitTimeMs), LoadReport: load(m.Usage)}
 	case "Streaming":
 		if m.Job == nil || m.SendNo == nil {
 			return errors.New("missing Job or SendNo")
@@ -231,7 +231,7 @@
 		if err != nil {
 			return fmt.Errorf("Msg: %w", err)
 		}
-		e.Event = balancer.PeerMessage{From: *m.From, Data: data}
+		e.Event = balancer.GossipMessage{From: *m.From, Data: data}
 	default:
 		return errors.New("unknown message")
 	}
@@ -250,7 +250,7 @@
 	if m.Sheet == nil || m.Items == nil {
 		return errors.New("missing Sheet or Items")
 	}
-	list := make([]balancer.Backend, 0, len(*m.Items))
+	list := make([]balancer.Endpoint, 0, len(*m.Items))
 	for _, it := range *m.Items {
 		state, ok := states[it.Availability]
 		if !ok {
@@ -259,7 +259,7 @@
 		if it.Backend == "" {
 			return errors.New("missing Backend")
 		}
-		list = append(list, balancer.Backend{ID: it.Backend, State: state, Zone: it.Dc, Cell: it.Block,
+		list = append(list, balancer.Endpoint{ID: it.Backend, State: state, Zone: it.Dc, Cell: it.Block,
 			Kind: it.Sku, Weight: it.Rating, Started: duration(it.LaunchedMs)})
 	}
 	r.lists[*m.Sheet] = list
@@ -275,7 +275,7 @@
 		return nil, fmt.Errorf("unknown How %q", *m.How)
 	}
 	if kind == balancer.ListFailed {
-		return balancer.List{Kind: kind}, nil
+		return balancer.EndpointList{Kind: kind}, nil
 	}
 	if m.Sheet == nil {
 		return nil, errors.New("missing Sheet")
@@ -284,17 +284,17 @@
 	if !ok {
 		return nil, fmt.Errorf("Sheet %d was never defined", *m.Sheet)
 	}
-	return balancer.List{Kind: kind, Backends: list}, nil
+	return balancer.EndpointList{Kind: kind, Endpoints: list}, nil
 }
 
-func load(usage map[string]float64) balancer.Load {
+func load(usage map[string]float64) balancer.LoadReport {
 	value := func(name string) float64 {
 		if v, ok := usage[name]; ok {
 			return v
 		}
 		return -1
 	}
-	l := balancer.Load{Valid: usage != nil, Service: -1, InFlight: value("outstanding"), Queue: value("backlog"),
+	l := balancer.LoadReport{Valid: usage != nil, Service: -1, InFlight: value("outstanding"), Queue: value("backlog"),
 		Utilization: value("utilization"), Throughput: value("throughput"), ErrorsPerSec: value("errors_per_s")}
 	if v, ok := usage["recent_ms"]; ok {
 		l.Service = duration(v)
@@ -304,7 +304,7 @@
 
 // LoadReport translates a load report, by the names of the wire or by the bench's own, which real
 // backends use.
-func LoadReport(usage map[string]float64) balancer.Load {
+func LoadReport(usage map[string]float64) balancer.LoadReport {
 	for own, name := range map[string]string{"inflight": "outstanding", "queue": "backlog", "util": "utilization",
 		"latency_ms": "recent_ms", "qps": "throughput", "eps": "errors_per_s"} {
 		if v, ok := usage[own]; ok {
@@ -330,13 +330,13 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case balancer.Send:
-			w.begin("Try", agent).str("Job", a.Request).str("Backend", a.Backend)
+			w.begin("Try", agent).str("Job", a.Request).str("Backend", a.Endpoint)
 			if a.Timeout > 0 {
 				w.ms("PatienceMs", a.Timeout)
 			}
 		case balancer.Cancel:
 			w.begin("Cancel", agent).str("Job", a.Request).num("SendNo", int64(a.Attempt))
-		case balancer.Refuse:
+		case balancer.Reject:
 			w.begin("SayNo", agent).str("Job", a.Request)
 			if a.RetryAfter > 0 {
 				w.ms("WaitMs", a.RetryAfter)
@@ -345,9 +345,9 @@
 			w.begin("DropRequest", agent).str("Job", a.Request)
 		case balancer.SetTimer:
 			w.begin("SetTimer", agent).ms("SpanMs", a.After).num("Cookie", a.Token)
-		case balancer.Probe:
-			w.begin("Test", agent).str("Backend", a.Backend)
-		case balancer.TellPeers:
+		case balancer.HealthCheck:
+			w.begin("Test", agent).str("Backend", a.Endpoint)
+		case balancer.Gossip:
 			w.begin("WritePeer", agent)
 			if a.One {
 				w.num("Whom", int64(a.To))
@@ -361,11 +361,11 @@
 		case balancer.Unsubscribe:
 			w.begin("KeepInformed", agent)
 			w.buf = append(w.buf, `,"Enable":false`...)
-		case balancer.FetchList:
+		case balancer.PollEndpoints:
 			w.begin("ListAll", agent)
 		case balancer.CloseIdle:
-			w.begin("CloseIdle", agent).str("Backend", a.Backend)
-		case balancer.Note:
+			w.begin("CloseIdle", agent).str("Backend", a.Endpoint)
+		case balancer.LogMessage:
 			w.begin("Trace", agent).str("Msg", a.Text)
 		default:
 			return fmt.Errorf("no wire form for action %T", a)
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -23,35 +23,35 @@
 	const list = `{"msg":"DefineList","Sheet":3,"Items":[` +
 		`{"Backend":"10.0.0.1:80","Availability":"on","Rating":1.5,"Block":2,"LaunchedMs":900,"Sku":1,"Dc":1},` +
 		`{"Backend":"10.0.0.2:80","Availability":"fading"},{"Backend":"10.0.0.3:80","Availability":"off"}]}`
-	entries := []balancer.Backend{
+	entries := []balancer.Endpoint{
 		{ID: "10.0.0.1:80", Weight: 1.5, Cell: 2, Started: 900 * ms, Kind: 1, Zone: 1},
-		{ID: "10.0.0.2:80", State: balancer.Draining}, {ID: "10.0.0.3:80", State: balancer.Gone}}
+		{ID: "10.0.0.2:80", State: balancer.Draining}, {ID: "10.0.0.3:80", State: balancer.Removed}}
 	tests := []struct {
 		line string
 		want balancer.Event
 	}{
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":240.5,"WorkHintMs":12,"StateBits":7,"Project":2,"Item":"91f0"}`,
-			balancer.Request{ID: "d0", Class: 1, Left: 240500 * time.Microsecond, Work: 12 * ms, Repeat: true,
+			balancer.Request{ID: "d0", Class: 1, Timeout: 240500 * time.Microsecond, Work: 12 * ms, ClientRetry: true,
 				Write: true, Tenant: 2, Key: "91f0"}},
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":240,"WorkHintMs":12,"Later":{"x":1}}`,
-			balancer.Request{ID: "d0", Left: 240 * ms}},
+			balancer.Request{ID: "d0", Timeout: 240 * ms}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"pass","WaitTimeMs":18.5,"Backend":"b","SendNo":2,"Ended":true,"Usage":{"backlog":4,"recent_ms":7,"errors_per_s":0.5,"outstanding":6,"utilization":0.75,"throughput":90,"later":1}}`,
-			balancer.Outcome{Request: "d0", Attempt: 2, Backend: "b", Latency: 18500 * time.Microsecond, Done: true,
-				Load: balancer.Load{Valid: true, InFlight: 6, Queue: 4, Utilization: 0.75, Throughput: 90, Service: 7 * ms,
+			balancer.Outcome{Request: "d0", Attempt: 2, Endpoint: "b", Latency: 18500 * time.Microsecond, Done: true,
+				LoadReport: balancer.LoadReport{Valid: true, InFlight: 6, Queue: 4, Utilization: 0.75, Throughput: 90, Service: 7 * ms,
 					ErrorsPerSec: 0.5}}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"stale_send","WaitTimeMs":0,"Backend":"b","SendNo":0}`,
-			balancer.Outcome{Request: "d0", Backend: "b", Result: balancer.NotSent, Load: load(nil)}},
+			balancer.Outcome{Request: "d0", Endpoint: "b", Result: balancer.NotSent, LoadReport: load(nil)}},
 		{`{"msg":"Expired","Agent":3,"Job":"d0"}`, balancer.Abandoned{Request: "d0"}},
 		{`{"msg":"Reminder","Agent":3,"Cookie":9223372036854775807}`, balancer.TimerFired{Token: 1<<63 - 1}},
 		{`{"msg":"Streaming","Agent":3,"Job":"d0","WaitTimeMs":1,"SendNo":1,"Backend":"b"}`,
 			balancer.StreamStarted{Request: "d0", Attempt: 1}},
 		{`{"msg":"Peer","Agent":3,"From":2,"Msg":"68692037"}`,
-			balancer.PeerMessage{From: 2, Data: []byte("hi 7")}},
+			balancer.GossipMessage{From: 2, Data: []byte("hi 7")}},
 		{`{"msg":"ProbeDone","Agent":3,"Backend":"b","Outcome":"no_route","WaitTimeMs":2}`,
-			balancer.ProbeResult{Backend: "b", Result: balancer.ConnectFailed, Latency: 2 * ms, Load: load(nil)}},
-		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`, balancer.List{Kind: balancer.ListFailed}},
+			balancer.HealthCheckResult{Endpoint: "b", Result: balancer.ConnectFailed, Latency: 2 * ms, LoadReport: load(nil)}},
+		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`, balancer.EndpointList{Kind: balancer.ListFailed}},
 		{list + "\n" + `{"msg":"View","Agent":3,"How":"diff","Index":4,"Sheet":3}`,
-			balancer.List{Kind: balancer.ListDelta, Backends: entries}},
+			balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: entries}},
 	}
 	for _, tt := range tests {
 		b, err := NewReader(strings.NewReader(frame(tt.line))).Next()
@@ -86,21 +86,21 @@
 		t.Fatal(err)
 	}
 	want := balancer.Settings{
-		Balancers: 3, Self: 1, Zone: 2, ByWork: true, Subscribe: true, Tick: 5 * ms,
-		Classes: []balancer.Class{{Aim: 400 * ms, Deadline: 1500 * ms, Worth: 3, LateWorth: 0.25,
-			Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 3 * time.Second, KeepOrder: true, AimStretch: 1.5, Stream: true}},
-		Zones: 3, Kinds: 1, Tier: 1, Tiers: 2, Weights: balancer.WeightsRough, MarksRetry: true, WarmKeys: true,
-		PassesDeadline: true, OverShareWorth: 0.05, Tenants: []balancer.Tenant{{Share: 0.28, Quota: 11}},
-		Reports: balancer.ReportsProbes, Fields: balancer.FieldInFlight | balancer.FieldQueue,
+		Agents: 3, AgentIndex: 1, Zone: 2, PriorityByWork: true, Subscribe: true, Tick: 5 * ms,
+		Classes: []balancer.Class{{Objective: 400 * ms, Deadline: 1500 * ms, Priority: 3, LatePriority: 0.25,
+			Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupInCell, DedupWindow: 3 * time.Second, Ordered: true, ObjectiveStretch: 1.5, Streamed: true}},
+		Zones: 3, Kinds: 1, Tier: 1, Tiers: 2, Weights: balancer.WeightsRough, MarksRetry: true, CacheAffinity: true,
+		PassesDeadline: true, OverQuotaPriority: 0.05, Tenants: []balancer.Tenant{{Share: 0.28, Quota: 11}},
+		LoadReports: balancer.LoadReportsWithHealthChecks, LoadReportFields: balancer.FieldInFlight | balancer.FieldQueue,
 		MaxOpen: 20000, StreamsPerConn: 1, CPUPerSecond: 8 * ms, CPUPerRequest: 10 * time.Microsecond,
-		MayProbe: true, MayCancel: true, RetryAfter: true, ConnectTimeout: 250 * ms,
-		FullNoProof: true, KeyRest: 200 * ms, GoalTenant: 0.25,
-		WastePrice: 0.15, LateFailPrice: 0.08, ProbePrice: 0.01, PeerPrice: 0.03, HandshakePrice: 0.04,
-		ConnectionPrice: 0.05, ListPrice: 0.06, MovePrice: 0.07, OriginPrice: 0.09, FleetPrice: 0.11,
-		MaxAttempts: 4, SecondCopies: true, Peers: true, MaxRetryAfter: 1500 * ms, IdleClose: time.Minute,
-		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, AskWithin: 10 * time.Second, ColdShare: 0.16,
-		RampTime: 20 * time.Second, FallMultiple: 2.5, FallWindow: time.Second,
-		GoalWhole: 0.55, GoalWindow: 0.15, GoalClass: 0.3, CrossZonePrice: 0.02,
+		AllowHealthChecks: true, AllowCancel: true, SendRetryAfter: true, ConnectTimeout: 250 * ms,
+		RejectedMayHaveRun: true, KeyQuietPeriod: 200 * ms, WeightWorstTenant: 0.25,
+		WastePrice: 0.15, LateFailPrice: 0.08, HealthCheckPrice: 0.01, GossipPrice: 0.03, HandshakePrice: 0.04,
+		ConnectionPrice: 0.05, PollPrice: 0.06, MigrationPrice: 0.07, OriginPrice: 0.09, FleetPrice: 0.11,
+		MaxAttempts: 4, AllowHedging: true, AllowGossip: true, MaxRetryAfter: 1500 * ms, IdleClose: time.Minute,
+		DrainGrace: 500 * ms, ResponseGrace: 20 * ms, PollWithin: 10 * time.Second, ColdCapacity: 0.16,
+		SlowStart: 20 * time.Second, ColdOverloadMultiple: 2.5, ColdOverloadWindow: time.Second,
+		WeightOverall: 0.55, WeightWorstWindow: 0.15, WeightWorstClass: 0.3, CrossZonePrice: 0.02,
 	}
 	if o := b.Events[0].Open; o == nil || o.Seed != 77 || !reflect.DeepEqual(o.Settings, want) {
 		t.Errorf("got %+v\nwant %+v", o, want)
@@ -140,22 +140,22 @@
 		action balancer.Action
 		want   string
 	}{
-		{balancer.Send{Request: "d0", Backend: "b", Timeout: 80500 * time.Microsecond},
+		{balancer.Send{Request: "d0", Endpoint: "b", Timeout: 80500 * time.Microsecond},
 			`{"msg":"Try","Agent":4,"Job":"d0","Backend":"b","PatienceMs":80.5}`},
-		{balancer.Send{Request: "d0", Backend: "b"}, `{"msg":"Try","Agent":4,"Job":"d0","Backend":"b"}`},
+		{balancer.Send{Request: "d0", Endpoint: "b"}, `{"msg":"Try","Agent":4,"Job":"d0","Backend":"b"}`},
 		{balancer.Cancel{Request: "d0", Attempt: 2}, `{"msg":"Cancel","Agent":4,"Job":"d0","SendNo":2}`},
-		{balancer.Refuse{Request: "d0", RetryAfter: 5 * ms}, `{"msg":"SayNo","Agent":4,"Job":"d0","WaitMs":5}`},
-		{balancer.Refuse{Request: "d0"}, `{"msg":"SayNo","Agent":4,"Job":"d0"}`},
+		{balancer.Reject{Request: "d0", RetryAfter: 5 * ms}, `{"msg":"SayNo","Agent":4,"Job":"d0","WaitMs":5}`},
+		{balancer.Reject{Request: "d0"}, `{"msg":"SayNo","Agent":4,"Job":"d0"}`},
 		{balancer.Fail{Request: `q"\`}, `{"msg":"DropRequest","Agent":4,"Job":"q\"\\"}`},
 		{balancer.SetTimer{After: ms / 4, Token: 9}, `{"msg":"SetTimer","Agent":4,"SpanMs":0.25,"Cookie":9}`},
-		{balancer.Probe{Backend: "b"}, `{"msg":"Test","Agent":4,"Backend":"b"}`},
-		{balancer.TellPeers{Data: []byte("hi 7")}, `{"msg":"WritePeer","Agent":4,"Whom":null,"Msg":"68692037"}`},
-		{balancer.TellPeers{Data: []byte("hi 7"), One: true, To: 2},
+		{balancer.HealthCheck{Endpoint: "b"}, `{"msg":"Test","Agent":4,"Backend":"b"}`},
+		{balancer.Gossip{Data: []byte("hi 7")}, `{"msg":"WritePeer","Agent":4,"Whom":null,"Msg":"68692037"}`},
+		{balancer.Gossip{Data: []byte("hi 7"), One: true, To: 2},
 			`{"msg":"WritePeer","Agent":4,"Whom":2,"Msg":"68692037"}`},
 		{balancer.Unsubscribe{}, `{"msg":"KeepInformed","Agent":4,"Enable":false}`},
-		{balancer.FetchList{}, `{"msg":"ListAll","Agent":4}`},
-		{balancer.CloseIdle{Backend: "b"}, `{"msg":"CloseIdle","Agent":4,"Backend":"b"}`},
-		{balancer.Note{Text: "two known"}, `{"msg":"Trace","Agent":4,"Msg":"two known"}`},
+		{balancer.PollEndpoints{}, `{"msg":"ListAll","Agent":4}`},
+		{balancer.CloseIdle{Endpoint: "b"}, `{"msg":"CloseIdle","Agent":4,"Backend":"b"}`},
+		{balancer.LogMessage{Text: "two known"}, `{"msg":"Trace","Agent":4,"Msg":"two known"}`},
 		{balancer.Subscribe{}, `{"msg":"KeepInformed","Agent":4,"Enable":true}`},
 	}
 	for _, tt := range tests {
