--- a/cmd/ashshunt-sim/main.go
+++ b/cmd/ashshunt-sim/main.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/config"
 	"ashshunt/internal/simwire"
 )
 
@@ -77,7 +78,7 @@
 			}
 			b, err := balancer.New(e.Open.Settings, e.Open.Seed)
 			if err != nil {
-				return fmt.Errorf("line %d: OpenInstance: %w", e.Line, simwire.SettingsError(err))
+				return fmt.Errorf("line %d: OpenInstance: %w", e.Line, config.SettingsError(err))
 			}
 			instances[e.Agent] = b
 		case instances[e.Agent] == nil:
--- a/cmd/ashshunt/main.go
+++ b/cmd/ashshunt/main.go
@@ -13,6 +13,8 @@
 	"syscall"
 
 	"ashshunt/internal/agent"
+	"ashshunt/internal/config"
+	"ashshunt/internal/telemetry"
 )
 
 func main() {
@@ -33,7 +35,7 @@
 	if path == "" {
 		return errors.New("GW_CONFIG names no configuration file")
 	}
-	c, err := agent.LoadConfig(path)
+	c, err := config.Load(path)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -41,14 +43,14 @@
 	if c.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 5 / 8) // the program itself counts too
 	}
-	log := slog.New(agent.Sparing(slog.NewTextHandler(os.Stderr, nil))).With("agent", c.Name)
+	log := slog.New(telemetry.RateLimited(slog.NewTextHandler(os.Stderr, nil))).With("agent", c.Name)
 	a, err := agent.New(c, log)
 	if err != nil {
 		return err
 	}
 	go func() {
 		for range again {
-			if c, err := agent.LoadConfig(path); err != nil {
+			if c, err := config.Load(path); err != nil {
 				log.Warn("the old configuration stays", "err", err)
 			} else {
 				a.Reload(c)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -7,6 +7,9 @@
 	"net"
 	"net/http"
 	"time"
+
+	"ashshunt/internal/clock"
+	"ashshunt/internal/config"
 )
 
 // acceptFor after a stop was asked for, new connections are still taken: clients hear of it late, and
@@ -36,8 +39,8 @@
 }
 
 // New makes an agent and listens; it serves once Run is called.
-func New(c *Config, log *slog.Logger) (*Agent, error) {
-	loop, err := newLoop(c, NewClock(), log)
+func New(c *config.Config, log *slog.Logger) (*Agent, error) {
+	loop, err := newLoop(c, clock.New(), log)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +48,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	conns := newClients(listener, c.clientConns())
+	conns := newClients(listener, c.ClientConnections())
 	a := &Agent{loop: loop, front: newFront(c, loop), clients: conns, log: log, acceptFor: acceptFor}
 	a.front.crowded = conns.crowded
 	a.server = &http.Server{Handler: a.front, ReadHeaderTimeout: headTime, IdleTimeout: idleTime, ConnState: conns.note,
@@ -58,7 +61,7 @@
 
 // Reload takes over from a new configuration what may change while the agent runs: the address of
 // discovery. All else waits for the next start.
-func (a *Agent) Reload(c *Config) {
+func (a *Agent) Reload(c *config.Config) {
 	a.log.Info("configuration read again", "discovery", c.Discovery)
 	a.loop.post(reload{discovery: c.Discovery})
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -11,20 +11,22 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/clock"
+	"ashshunt/internal/testutil"
 )
 
 const id = "00000000000000a1"
 
 func TestServed(t *testing.T) {
 	t.Parallel()
-	p := newPeer(t, echo)
-	a, _ := start(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")), nil)
+	p := testutil.NewServer(t, testutil.Echo)
+	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), nil)
 	resp, body := ask(t, a, "POST", "/hold/a%2Fb?x=%20y", "work", "X-Call-Id", id, "X-Budget-Ms", "7000",
 		"Idempotency-Key", "k1", "X-Caller", "acme")
 	if resp.StatusCode != 200 || body != "did work" {
 		t.Errorf("answer %d %q", resp.StatusCode, body)
 	}
-	r := receive(t, p.got)
+	r := testutil.Receive(t, p.Received)
 	if r.Method != "POST" || r.RequestURI != "/hold/a%2Fb?x=%20y" || r.Header.Get("X-Call-Id") != id ||
 		r.Header.Get("Idempotency-Key") != "k1" {
 		t.Errorf("the backend got %s %s %v", r.Method, r.RequestURI, r.Header)
@@ -39,7 +41,7 @@
 
 func TestHealthWithoutBackends(t *testing.T) {
 	t.Parallel()
-	a, _ := start(t, config(t, newLists(t).addr), nil)
+	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr), nil)
 	if resp, _ := ask(t, a, "GET", "/healthz", ""); resp.StatusCode != 503 {
 		t.Errorf("healthz %d with no backend known", resp.StatusCode)
 	}
@@ -49,22 +51,22 @@
 // its start, one that knows none soon after it, and says so to the application by its refusals.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
-	down := newPeer(t, hang).addr()
-	p := newPeer(t, echo)
+	down := testutil.NewServer(t, testutil.Hang).Addr()
+	p := testutil.NewServer(t, testutil.Echo)
 	const fleet = 350 // started together
 	for i := range fleet {
-		c := config(t, down, entry("s0", p.addr(), "SERVING"))
+		c := testutil.Config(t, down, testutil.EntryJSON("s0", p.Addr(), "SERVING"))
 		c.Settings.Subscribe, c.Settings.Agents, c.Settings.AgentIndex = i%2 == 0, fleet, i
 		a, _ := startWith(t, c, func(a *Agent) { a.acceptFor = time.Millisecond })
 		if resp, _ := ask(t, a, "GET", "/healthz", ""); resp.StatusCode != 200 {
 			t.Fatalf("agent %d: healthz %d with backends known", i, resp.StatusCode)
 		}
 	}
-	a, _ := startWith(t, config(t, down), func(a *Agent) { a.front.listed = time.Now() })
+	a, _ := startWith(t, testutil.Config(t, down), func(a *Agent) { a.front.listed = time.Now() })
 	if resp, _ := ask(t, a, "GET", "/healthz", ""); resp.StatusCode != 200 {
 		t.Errorf("healthz %d with no backend known after the wait for a list", resp.StatusCode)
 	}
-	if wait := time.Until(newFront(config(t, down), a.loop).listed); wait > 8*time.Second {
+	if wait := time.Until(newFront(testutil.Config(t, down), a.loop).listed); wait > 8*time.Second {
 		t.Errorf("that wait is %v", wait)
 	}
 }
@@ -72,22 +74,22 @@
 // Guards against bounds on the size of a fleet, and against memory for those of it that one never meets.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
-	p, d := newPeer(t, echo), newLists(t)
+	p, d := testutil.NewServer(t, testutil.Echo), testutil.NewDiscovery(t)
 	const size = 2000
 	list := make([]string, size)
 	for i := range list {
-		list[i] = entry(fmt.Sprint("s", i), p.addr(), "SERVING")
+		list[i] = testutil.EntryJSON(fmt.Sprint("s", i), p.Addr(), "SERVING")
 	}
-	c := config(t, d.addr, list...)
+	c := testutil.Config(t, d.Addr, list...)
 	c.Settings.Agents, c.Settings.AgentIndex = size, size-1
 	before := runtime.NumGoroutine()
 	a, _ := start(t, c, nil)
 	for i := range size {
-		list[i] = entry(fmt.Sprint("s", size+i), p.addr(), "SERVING")
+		list[i] = testutil.EntryJSON(fmt.Sprint("s", size+i), p.Addr(), "SERVING")
 	}
-	receive(t, d.watch)
-	d.say <- `{"version":2,"full":true,"servers":[` + strings.Join(list, ",") + `]}`
-	until(t, "the list", func() bool { _, ok := a.loop.back.table.serving(fmt.Sprint("s", 2*size-1)); return ok })
+	testutil.Receive(t, d.Watches)
+	d.Say <- `{"version":2,"full":true,"servers":[` + strings.Join(list, ",") + `]}`
+	testutil.Eventually(t, "the list", func() bool { _, ok := a.loop.back.table.Serving(fmt.Sprint("s", 2*size-1)); return ok })
 	if resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
@@ -102,9 +104,9 @@
 // Guards against input that is no request: each is answered, none reaches a backend.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
-	p := newPeer(t, echo)
-	a, _ := startWith(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")),
-		func(a *Agent) { a.front.linger = long }) // a body that is turned away may take its time here
+	p := testutil.NewServer(t, testutil.Echo)
+	a, _ := startWith(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
+		func(a *Agent) { a.front.linger = testutil.Timeout }) // a body that is turned away may take its time here
 	tests := []struct {
 		name, method, path, body string
 		head                     []string
@@ -131,8 +133,8 @@
 			t.Errorf("%s: status %d, want %d", tt.name, resp.StatusCode, tt.want)
 		}
 	}
-	if len(p.got) != 0 {
-		t.Errorf("the backend got %d requests", len(p.got))
+	if len(p.Received) != 0 {
+		t.Errorf("the backend got %d requests", len(p.Received))
 	}
 	most := strings.Repeat("x", maxBody-len("did ")) // its answer just fits as well
 	if resp, _ := ask(t, a, "POST", "/settle", most, "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 200 {
@@ -143,18 +145,18 @@
 // Guards against an id that is open twice: two requests would share one answer.
 func TestIDOpenAlready(t *testing.T) {
 	t.Parallel()
-	p := newPeer(t, hang)
-	a, _ := start(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")), nil)
+	p := testutil.NewServer(t, testutil.Hang)
+	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), nil)
 	first := make(chan int, 1)
 	go func() {
 		resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "4000")
 		first <- resp.StatusCode
 	}()
-	receive(t, p.got)
+	testutil.Receive(t, p.Received)
 	if resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "4000"); resp.StatusCode != 400 {
 		t.Errorf("status %d, want 400", resp.StatusCode)
 	}
-	if status := receive(t, first); status != 502 {
+	if status := testutil.Receive(t, first); status != 502 {
 		t.Errorf("the first one got %d, want 502", status)
 	}
 }
@@ -163,25 +165,25 @@
 // an answer that comes after its client's time.
 func TestSilentBackendFails(t *testing.T) {
 	t.Parallel()
-	p := newPeer(t, hang)
-	a, _ := start(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")), nil)
+	p := testutil.NewServer(t, testutil.Hang)
+	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), nil)
 	begun := time.Now()
 	resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "1500")
 	if took := time.Since(begun); resp.StatusCode != 502 || took < time.Second {
 		t.Errorf("status %d after %v", resp.StatusCode, took)
 	}
-	if len(p.got) != 1 {
-		t.Errorf("%d attempts of an unsafe request that may have run", len(p.got))
+	if len(p.Received) != 1 {
+		t.Errorf("%d attempts of an unsafe request that may have run", len(p.Received))
 	}
 }
 
 // Guards against a failed connect that is held for an effect: the request goes elsewhere.
 func TestUnsafeGoesOnAfterNoConnection(t *testing.T) {
 	t.Parallel()
-	dead, p := newPeer(t, echo), newPeer(t, echo)
+	dead, p := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
 	dead.Close()
 	served := 0
-	a, _ := start(t, config(t, newLists(t).addr, entry("s0", dead.addr(), "SERVING"), entry("s1", p.addr(), "SERVING")), nil)
+	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", dead.Addr(), "SERVING"), testutil.EntryJSON("s1", p.Addr(), "SERVING")), nil)
 	for i := range 4 {
 		if resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id[:15]+string(rune('0'+i)), "X-Budget-Ms", "7000"); resp.StatusCode == 200 {
 			served++
@@ -195,9 +197,9 @@
 // Guards against work for a client that has left: the module hears of it, and nothing goes out after.
 func TestClientLeaves(t *testing.T) {
 	t.Parallel()
-	p := newPeer(t, echo)
+	p := testutil.NewServer(t, testutil.Echo)
 	heard, told := make(chan balancer.Request, 1), make(chan balancer.Abandoned, 1)
-	a, logged := start(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")),
+	a, logged := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
 		script(func(_ time.Duration, e balancer.Event) []balancer.Action {
 			switch e := e.(type) {
 			case balancer.Request:
@@ -213,13 +215,13 @@
 		t.Fatal(err)
 	}
 	conn.Write([]byte("GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 9000\r\n\r\n"))
-	receive(t, heard)
+	testutil.Receive(t, heard)
 	conn.Close()
-	if e := receive(t, told); e.Request != id {
+	if e := testutil.Receive(t, told); e.Request != id {
 		t.Errorf("told of %q", e.Request)
 	}
-	until(t, "the step to end", func() bool { return logged.has("sent late") })
-	if len(p.got) != 0 {
+	testutil.Eventually(t, "the step to end", func() bool { return logged.Contains("sent late") })
+	if len(p.Received) != 0 {
 		t.Error("a request went out after its client had left")
 	}
 }
@@ -227,7 +229,7 @@
 // Guards against a module that forgets a request, or panics: the client still gets one answer in time.
 func TestSafetyNet(t *testing.T) {
 	t.Parallel()
-	a, logged := start(t, config(t, newLists(t).addr, entry("s0", "127.0.0.1:1", "SERVING")),
+	a, logged := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING")),
 		script(func(_ time.Duration, e balancer.Event) []balancer.Action {
 			if _, ok := e.(balancer.Request); ok {
 				panic("out of ideas")
@@ -235,7 +237,7 @@
 			return nil
 		}))
 	resp, _ := ask(t, a, "GET", "/look", "", "X-Call-Id", id, "X-Budget-Ms", "300")
-	if resp.StatusCode != 502 || !logged.has("out of ideas") || !logged.has("no final answer by the deadline") {
+	if resp.StatusCode != 502 || !logged.Contains("out of ideas") || !logged.Contains("no final answer by the deadline") {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -243,9 +245,9 @@
 // Guards the rule on refusals, whatever the module says, and passes its advice on.
 func TestRefusals(t *testing.T) {
 	t.Parallel()
-	p := newPeer(t, hang)
+	p := testutil.NewServer(t, testutil.Hang)
 	send := true
-	a, logged := start(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")),
+	a, logged := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
 		script(func(_ time.Duration, e balancer.Event) []balancer.Action {
 			switch e := e.(type) {
 			case balancer.Request:
@@ -258,7 +260,7 @@
 			}
 			return nil
 		}))
-	if resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 502 || !logged.has("bug") {
+	if resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 502 || !logged.Contains("bug") {
 		t.Errorf("refused with an attempt out: status %d, want 502", resp.StatusCode)
 	}
 	resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id[:15]+"2", "X-Budget-Ms", "7000")
@@ -271,9 +273,9 @@
 // a cancel.
 func TestAttempts(t *testing.T) {
 	t.Parallel()
-	p, q := newPeer(t, hang), newPeer(t, echo)
+	p, q := testutil.NewServer(t, testutil.Hang), testutil.NewServer(t, testutil.Echo)
 	outcomes := make(chan balancer.Outcome, 10)
-	a, _ := start(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING"), entry("s1", q.addr(), "SERVING")),
+	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING"), testutil.EntryJSON("s1", q.Addr(), "SERVING")),
 		script(func(_ time.Duration, e balancer.Event) []balancer.Action {
 			switch e := e.(type) {
 			case balancer.Request:
@@ -298,12 +300,12 @@
 	}
 	want := map[int]balancer.Result{0: balancer.Cancelled, 1: balancer.ConnectFailed, 2: balancer.TimedOut, 3: balancer.NotSent}
 	for range want {
-		if o := receive(t, outcomes); o.Result != want[o.Attempt] || o.Done {
+		if o := testutil.Receive(t, outcomes); o.Result != want[o.Attempt] || o.Done {
 			t.Errorf("attempt %d: result %d, done %v", o.Attempt, o.Result, o.Done)
 		}
 	}
-	if len(outcomes) != 0 || len(q.got) != 0 {
-		t.Errorf("%d outcomes too many; %d sends past the limit", len(outcomes), len(q.got))
+	if len(outcomes) != 0 || len(q.Received) != 0 {
+		t.Errorf("%d outcomes too many; %d sends past the limit", len(outcomes), len(q.Received))
 	}
 }
 
@@ -319,7 +321,7 @@
 // module was told to be left.
 func stepOnce(t *testing.T, late time.Duration) (r *request, now, left time.Duration) {
 	t.Helper()
-	l, err := newLoop(config(t, "127.0.0.1:1"), NewClock(), logTo(&capture{}))
+	l, err := newLoop(testutil.Config(t, "127.0.0.1:1"), clock.New(), testutil.NewLogger(&testutil.Log{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -358,10 +360,10 @@
 	ended chan error // of Run
 }
 
-func stopWhile(t *testing.T, p *peer, method, path, budget string) stopping {
+func stopWhile(t *testing.T, p *testutil.Server, method, path, budget string) stopping {
 	t.Helper()
-	logged := &capture{}
-	a, err := New(config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")), logTo(logged))
+	logged := &testutil.Log{}
+	a, err := New(testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), testutil.NewLogger(logged))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -373,9 +375,9 @@
 		resp, _ := ask(t, a, method, path, "", "X-Call-Id", id, "X-Budget-Ms", budget)
 		s.first <- resp.StatusCode
 	}()
-	receive(t, p.got)
+	testutil.Receive(t, p.Received)
 	cancel()
-	until(t, "the drain", func() bool { return logged.has("draining") })
+	testutil.Eventually(t, "the drain", func() bool { return logged.Contains("draining") })
 	return s
 }
 
@@ -384,11 +386,11 @@
 func TestStop(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
-	p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.URL.Path == "/look/slow" {
 			<-gate
 		}
-		return echo(c, r, body)
+		return testutil.Echo(c, r, body)
 	})
 	s := stopWhile(t, p, "GET", "/look/slow", "9000")
 	resp, _ := ask(t, s.Agent, "GET", "/look", "", "X-Call-Id", id[:15]+"2", "X-Budget-Ms", "9000")
@@ -396,10 +398,10 @@
 		t.Errorf("while stopping: status %d, close %v", resp.StatusCode, resp.Close)
 	}
 	close(gate)
-	if status := receive(t, s.first); status != 200 {
+	if status := testutil.Receive(t, s.first); status != 200 {
 		t.Errorf("what was under way got %d", status)
 	}
-	if err := receive(t, s.ended); err != nil {
+	if err := testutil.Receive(t, s.ended); err != nil {
 		t.Error(err)
 	}
 	if c, err := net.Dial("tcp", s.Addr().String()); err == nil {
@@ -411,11 +413,11 @@
 // Guards against a kill that finds requests open: a stop ends them in time, by a failure.
 func TestStopEndsWhatWouldOutlastIt(t *testing.T) {
 	t.Parallel()
-	s := stopWhile(t, newPeer(t, hang), "POST", "/settle", "600000")
-	if status := receive(t, s.first); status != 502 {
+	s := stopWhile(t, testutil.NewServer(t, testutil.Hang), "POST", "/settle", "600000")
+	if status := testutil.Receive(t, s.first); status != 502 {
 		t.Errorf("status %d, want 502", status)
 	}
-	if err := receive(t, s.ended); err != nil {
+	if err := testutil.Receive(t, s.ended); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -15,13 +15,14 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/endpoint"
 	"ashshunt/internal/simwire"
 )
 
 // backends carries out attempts and probes. Each ends with exactly one outcome.
 type backends struct {
 	pool    *pool
-	table   *members
+	table   *endpoint.Table
 	reports balancer.LoadReportSource
 	probing time.Duration // how long a probe waits
 	stall   time.Duration // an answer that has begun and brings nothing for so long is spoilt
@@ -68,7 +69,7 @@
 // would pass for that of a request which may have run.
 func (b *backends) connect(ctx context.Context, backend string, cut time.Time) (*conn, balancer.Result, error) {
 	for {
-		to, ok := b.table.serving(backend)
+		to, ok := b.table.Serving(backend)
 		if !ok { // since it was chosen: there is no connection for this, and another may serve it
 			return nil, balancer.ConnectFailed, nil
 		}
@@ -87,7 +88,7 @@
 				return nil, balancer.ConnectFailed, err
 			}
 		}
-		if now, ok := b.table.serving(backend); ok && c.to.sameProcess(now) {
+		if now, ok := b.table.Serving(backend); ok && c.to.SameProcess(now) {
 			return c, 0, nil
 		}
 		b.pool.close(c)
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -13,19 +13,22 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/endpoint"
+	"ashshunt/internal/socket"
+	"ashshunt/internal/testutil"
 )
 
 // newBackends knows the given addresses as s0, s1 ...
 func newBackends(t *testing.T, addrs ...string) *backends {
 	t.Helper()
-	l := Listing{Full: true}
+	l := endpoint.List{Full: true}
 	for i, addr := range addrs {
-		l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%d", i), Addr: addr, State: "SERVING"})
+		l.Entries = append(l.Entries, endpoint.Entry{ID: fmt.Sprintf("s%d", i), Addr: addr, State: "SERVING"})
 	}
-	table := &members{m: map[string]Server{}}
-	table.apply(l)
-	return &backends{pool: newPool(time.Minute, long, 0), table: table, probing: long, stall: time.Second,
-		log: logTo(&capture{})}
+	table := endpoint.NewTable()
+	table.Apply(l)
+	return &backends{pool: newPool(time.Minute, testutil.Timeout, 0), table: table, probing: testutil.Timeout, stall: time.Second,
+		log: testutil.NewLogger(&testutil.Log{})}
 }
 
 func settle() *call {
@@ -42,18 +45,21 @@
 func TestOutcomes(t *testing.T) {
 	rejected := func(status int) func(net.Conn, *http.Request, []byte) bool {
 		return func(c net.Conn, _ *http.Request, _ []byte) bool {
-			answerWith(c, status, "X-Rejected: 1\r\n", "")
+			testutil.Respond(c, status, "X-Rejected: 1\r\n", "")
 			return true
 		}
 	}
 	plain := func(status int, body string) func(net.Conn, *http.Request, []byte) bool {
-		return func(c net.Conn, _ *http.Request, _ []byte) bool { answerWith(c, status, "", body); return true }
+		return func(c net.Conn, _ *http.Request, _ []byte) bool { testutil.Respond(c, status, "", body); return true }
 	}
 	raw := func(text string) func(net.Conn, *http.Request, []byte) bool {
 		return func(c net.Conn, _ *http.Request, _ []byte) bool { fmt.Fprint(c, text); return false }
 	}
 	open := func(text string) func(net.Conn, *http.Request, []byte) bool {
-		return func(c net.Conn, r *http.Request, body []byte) bool { fmt.Fprint(c, text); return hang(c, r, body) }
+		return func(c net.Conn, r *http.Request, body []byte) bool {
+			fmt.Fprint(c, text)
+			return testutil.Hang(c, r, body)
+		}
 	}
 	tests := []struct {
 		name string
@@ -61,44 +67,44 @@
 		wait time.Duration
 		want balancer.Result
 	}{
-		{"served", echo, long, balancer.Served},
-		{"error", plain(500, "no"), long, balancer.ServerError},
-		{"turned away", rejected(503), long, balancer.Rejected},
-		{"turned away as over", rejected(504), long, balancer.Rejected},
-		{"503 with no word of having run", plain(503, ""), long, balancer.ServerError},
-		{"an unknown status", plain(302, ""), long, balancer.ServerError},
-		{"an error marked as rejected", rejected(500), long, balancer.ServerError},
-		{"closed with no answer", raw(""), long, balancer.Reset},
-		{"half a head", raw("HTTP/1.1 200 OK\r\nCont"), long, balancer.Reset},
-		{"half a body", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), long, balancer.Reset},
-		{"half a chunked body", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), long, balancer.Reset},
-		{"no HTTP at all", raw("220 mail\r\n\r\n"), long, balancer.ServerError},
-		{"an endless head", raw("HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 1<<16)), long, balancer.ServerError},
-		{"an early answer ahead", raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), long, balancer.Served},
-		{"early answers without end", raw(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)), long, balancer.ServerError},
-		{"another protocol", raw("HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), long, balancer.ServerError},
-		{"chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), long, balancer.Served},
-		{"noise on a connection that stays open", open("\x00\xff\x17"), long, balancer.ServerError},
-		{"a length that is not kept", open("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), long, balancer.ServerError},
-		{"an answer of 3 GB", open("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), long, balancer.ServerError},
-		{"two lengths", open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 4\r\n\r\nfour"), long, balancer.ServerError},
-		{"length and encoding", open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), long, balancer.ServerError},
-		{"a negative length", open("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n"), long, balancer.ServerError},
-		{"no length", open("HTTP/1.1 200 OK\r\n\r\nbody"), long, balancer.ServerError},
-		{"too large a body", plain(200, strings.Repeat("x", maxBody+1)), long, balancer.ServerError},
-		{"the largest body", plain(200, strings.Repeat("x", maxBody)), long, balancer.Served},
-		{"silence", hang, time.Second, balancer.TimedOut},
+		{"served", testutil.Echo, testutil.Timeout, balancer.Served},
+		{"error", plain(500, "no"), testutil.Timeout, balancer.ServerError},
+		{"turned away", rejected(503), testutil.Timeout, balancer.Rejected},
+		{"turned away as over", rejected(504), testutil.Timeout, balancer.Rejected},
+		{"503 with no word of having run", plain(503, ""), testutil.Timeout, balancer.ServerError},
+		{"an unknown status", plain(302, ""), testutil.Timeout, balancer.ServerError},
+		{"an error marked as rejected", rejected(500), testutil.Timeout, balancer.ServerError},
+		{"closed with no answer", raw(""), testutil.Timeout, balancer.Reset},
+		{"half a head", raw("HTTP/1.1 200 OK\r\nCont"), testutil.Timeout, balancer.Reset},
+		{"half a body", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), testutil.Timeout, balancer.Reset},
+		{"half a chunked body", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), testutil.Timeout, balancer.Reset},
+		{"no HTTP at all", raw("220 mail\r\n\r\n"), testutil.Timeout, balancer.ServerError},
+		{"an endless head", raw("HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 1<<16)), testutil.Timeout, balancer.ServerError},
+		{"an early answer ahead", raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), testutil.Timeout, balancer.Served},
+		{"early answers without end", raw(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)), testutil.Timeout, balancer.ServerError},
+		{"another protocol", raw("HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), testutil.Timeout, balancer.ServerError},
+		{"chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), testutil.Timeout, balancer.Served},
+		{"noise on a connection that stays open", open("\x00\xff\x17"), testutil.Timeout, balancer.ServerError},
+		{"a length that is not kept", open("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), testutil.Timeout, balancer.ServerError},
+		{"an answer of 3 GB", open("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), testutil.Timeout, balancer.ServerError},
+		{"two lengths", open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 4\r\n\r\nfour"), testutil.Timeout, balancer.ServerError},
+		{"length and encoding", open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), testutil.Timeout, balancer.ServerError},
+		{"a negative length", open("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n"), testutil.Timeout, balancer.ServerError},
+		{"no length", open("HTTP/1.1 200 OK\r\n\r\nbody"), testutil.Timeout, balancer.ServerError},
+		{"too large a body", plain(200, strings.Repeat("x", maxBody+1)), testutil.Timeout, balancer.ServerError},
+		{"the largest body", plain(200, strings.Repeat("x", maxBody)), testutil.Timeout, balancer.Served},
+		{"silence", testutil.Hang, time.Second, balancer.TimedOut},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			p := newPeer(t, tt.do)
-			b := newBackends(t, p.addr())
+			p := testutil.NewServer(t, tt.do)
+			b := newBackends(t, p.Addr())
 			res, _ := b.try(settle(), tt.wait)
 			if res != tt.want {
 				t.Errorf("result %d, want %d", res, tt.want)
 			}
-			if n := len(p.got); n != 1 {
+			if n := len(p.Received); n != 1 {
 				t.Errorf("the backend got %d requests for one attempt", n)
 			}
 		})
@@ -106,10 +112,10 @@
 }
 
 func TestRefusedConnection(t *testing.T) {
-	p := newPeer(t, echo)
+	p := testutil.NewServer(t, testutil.Echo)
 	p.Close()
-	b := newBackends(t, p.addr())
-	if res, _ := b.try(settle(), long); res != balancer.ConnectFailed {
+	b := newBackends(t, p.Addr())
+	if res, _ := b.try(settle(), testutil.Timeout); res != balancer.ConnectFailed {
 		t.Errorf("result %d, want ConnectFailed", res)
 	}
 }
@@ -147,8 +153,8 @@
 	b := newBackends(t, addr)
 	b.pool.dialer.Timeout = 250 * time.Millisecond
 	begun := time.Now()
-	res, _ := b.try(settle(), long)
-	if took := time.Since(begun); res != balancer.ConnectFailed || took > long/2 {
+	res, _ := b.try(settle(), testutil.Timeout)
+	if took := time.Since(begun); res != balancer.ConnectFailed || took > testutil.Timeout/2 {
 		t.Errorf("result %d after %v, want ConnectFailed within the connect time-out", res, took)
 	}
 }
@@ -157,33 +163,33 @@
 // request, even if nothing came back, and nothing may send that again by itself.
 func TestReusedConnectionBreaks(t *testing.T) {
 	var n atomic.Int32
-	p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if n.Add(1) == 2 {
 			return false
 		}
-		return echo(c, r, body)
+		return testutil.Echo(c, r, body)
 	})
-	b := newBackends(t, p.addr())
-	if res, _ := b.try(settle(), long); res != balancer.Served {
+	b := newBackends(t, p.Addr())
+	if res, _ := b.try(settle(), testutil.Timeout); res != balancer.Served {
 		t.Fatalf("first: result %d", res)
 	}
-	if res, _ := b.try(settle(), long); res != balancer.Reset {
+	if res, _ := b.try(settle(), testutil.Timeout); res != balancer.Reset {
 		t.Errorf("second: result %d, want Reset", res)
 	}
-	if len(p.got) != 2 {
-		t.Errorf("the backend got %d requests for two attempts", len(p.got))
+	if len(p.Received) != 2 {
+		t.Errorf("the backend got %d requests for two attempts", len(p.Received))
 	}
 }
 
 func TestConnectionIsReused(t *testing.T) {
 	addrs := map[string]bool{}
-	p := newPeer(t, echo)
-	b := newBackends(t, p.addr())
+	p := testutil.NewServer(t, testutil.Echo)
+	b := newBackends(t, p.Addr())
 	for range 5 {
-		if res, r := b.try(settle(), long); res != balancer.Served || string(r.body) != "did x" {
+		if res, r := b.try(settle(), testutil.Timeout); res != balancer.Served || string(r.body) != "did x" {
 			t.Fatalf("result %d, body %q", res, r.body)
 		}
-		addrs[receive(t, p.got).RemoteAddr] = true
+		addrs[testutil.Receive(t, p.Received).RemoteAddr] = true
 	}
 	if len(addrs) != 1 {
 		t.Errorf("5 requests one after the other took %d connections", len(addrs))
@@ -194,19 +200,19 @@
 // would end as a reset, which an unsafe one does not survive.
 func TestIdleEndIsNoticed(t *testing.T) {
 	var n atomic.Int32
-	p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		echo(c, r, body)
+	p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		testutil.Echo(c, r, body)
 		return n.Add(1) > 1 // closes the first connection after its answer, unannounced
 	})
-	b := newBackends(t, p.addr())
-	b.try(settle(), long)
-	until(t, "the end to arrive", func() bool {
+	b := newBackends(t, p.Addr())
+	b.try(settle(), testutil.Timeout)
+	testutil.Eventually(t, "the end to arrive", func() bool {
 		b.pool.mu.Lock()
 		defer b.pool.mu.Unlock()
-		quiet, _ := look(b.pool.groups["s0"].idle[0].Conn)
+		quiet, _ := socket.Peek(b.pool.groups["s0"].idle[0].Conn)
 		return !quiet
 	})
-	if res, _ := b.try(settle(), long); res != balancer.Served {
+	if res, _ := b.try(settle(), testutil.Timeout); res != balancer.Served {
 		t.Errorf("result %d, want OK on a new connection", res)
 	}
 }
@@ -214,8 +220,8 @@
 // Guards against settings under which backends never close a connection: each request opened a new one.
 func TestIdleForNever(t *testing.T) {
 	t.Parallel()
-	p := newPeer(t, echo)
-	c := config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING"))
+	p := testutil.NewServer(t, testutil.Echo)
+	c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING"))
 	c.Settings.IdleClose = 0
 	a, _ := start(t, c, nil)
 	var from []string
@@ -223,7 +229,7 @@
 		if resp, _ := ask(t, a, "GET", "/look", "", "X-Call-Id", id[:15]+string(rune('0'+i)), "X-Budget-Ms", "7000"); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
-		from = append(from, receive(t, p.got).RemoteAddr)
+		from = append(from, testutil.Receive(t, p.Received).RemoteAddr)
 	}
 	if from[0] != from[1] {
 		t.Error("two connections for two requests, one after the other")
@@ -232,14 +238,14 @@
 
 // Guards against meeting the backend's own idle time-out: the agent closes first.
 func TestIdleTimeout(t *testing.T) {
-	p := newPeer(t, echo)
-	b := newBackends(t, p.addr())
+	p := testutil.NewServer(t, testutil.Echo)
+	b := newBackends(t, p.Addr())
 	b.pool.maxIdle = 10 * time.Millisecond
-	if res, _ := b.try(settle(), long); res != balancer.Served {
+	if res, _ := b.try(settle(), testutil.Timeout); res != balancer.Served {
 		t.Fatal("not served")
 	}
-	receive(t, p.closed)
-	until(t, "the pool to forget it", func() bool { return b.pool.count() == 0 })
+	testutil.Receive(t, p.Closed)
+	testutil.Eventually(t, "the pool to forget it", func() bool { return b.pool.count() == 0 })
 }
 
 // Guards against sends that are under way when the word of a drain, or the request's end, comes.
@@ -250,28 +256,28 @@
 		want  balancer.Result
 	}{
 		{"draining", func(b *backends, _ *call, _ func()) {
-			b.table.apply(Listing{Servers: []Server{{ID: "s0", Addr: "127.0.0.1:1", State: "DRAINING"}}})
+			b.table.Apply(endpoint.List{Entries: []endpoint.Entry{{ID: "s0", Addr: "127.0.0.1:1", State: "DRAINING"}}})
 		}, balancer.ConnectFailed},
-		{"gone", func(b *backends, _ *call, _ func()) { b.table.apply(Listing{Full: true}) }, balancer.ConnectFailed},
+		{"gone", func(b *backends, _ *call, _ func()) { b.table.Apply(endpoint.List{Full: true}) }, balancer.ConnectFailed},
 		{"ended", func(_ *backends, _ *call, end func()) { end() }, balancer.NotSent},
 		{"its client has left", func(_ *backends, q *call, _ func()) { q.left = func() bool { return true } }, balancer.NotSent},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := newPeer(t, echo)
-			b, q := newBackends(t, p.addr()), settle()
+			p := testutil.NewServer(t, testutil.Echo)
+			b, q := newBackends(t, p.Addr()), settle()
 			over, end := context.WithCancel(context.Background())
 			defer end()
 			q.over = over
 			b.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error { tt.event(b, q, end); return nil }
-			if res, _ := b.try(q, long); res != tt.want {
+			if res, _ := b.try(q, testutil.Timeout); res != tt.want {
 				t.Errorf("result %d, want %d", res, tt.want)
 			}
 			b.pool.closeIdle("s0")
 			if tt.name != "ended" { // that dial is given up
-				receive(t, p.closed) // the connection ended, with no request on it
+				testutil.Receive(t, p.Closed) // the connection ended, with no request on it
 			}
-			if len(p.got) != 0 {
+			if len(p.Received) != 0 {
 				t.Error("the backend got a request")
 			}
 		})
@@ -284,45 +290,49 @@
 	for _, tt := range []struct {
 		name   string
 		kept   bool // on a connection that was at rest, which the restart has not retired yet
-		listed func(old, other *peer) Server
+		listed func(old, other *testutil.Server) endpoint.Entry
 	}{
-		{"started again during the dial", false, func(old, _ *peer) Server { return Server{ID: "s0", Addr: old.addr(), StartedMs: 7} }},
-		{"moved during the dial", false, func(_, other *peer) Server { return Server{ID: "s0", Addr: other.addr()} }},
-		{"started again, on a kept connection", true, func(old, _ *peer) Server { return Server{ID: "s0", Addr: old.addr(), StartedMs: 7} }},
-		{"moved, on a kept connection", true, func(_, other *peer) Server { return Server{ID: "s0", Addr: other.addr()} }},
+		{"started again during the dial", false, func(old, _ *testutil.Server) endpoint.Entry {
+			return endpoint.Entry{ID: "s0", Addr: old.Addr(), StartedMs: 7}
+		}},
+		{"moved during the dial", false, func(_, other *testutil.Server) endpoint.Entry { return endpoint.Entry{ID: "s0", Addr: other.Addr()} }},
+		{"started again, on a kept connection", true, func(old, _ *testutil.Server) endpoint.Entry {
+			return endpoint.Entry{ID: "s0", Addr: old.Addr(), StartedMs: 7}
+		}},
+		{"moved, on a kept connection", true, func(_, other *testutil.Server) endpoint.Entry { return endpoint.Entry{ID: "s0", Addr: other.Addr()} }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			old, other := newPeer(t, echo), newPeer(t, echo)
-			b := newBackends(t, old.addr())
+			old, other := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
+			b := newBackends(t, old.Addr())
 			told := false
 			tell := func() {
 				if !told {
 					told = true
 					s := tt.listed(old, other)
 					s.State = "SERVING"
-					b.table.apply(Listing{Servers: []Server{s}})
+					b.table.Apply(endpoint.List{Entries: []endpoint.Entry{s}})
 				}
 			}
 			before := ""
 			if tt.kept {
-				b.try(settle(), long)
-				before = receive(t, old.got).RemoteAddr
+				b.try(settle(), testutil.Timeout)
+				before = testutil.Receive(t, old.Received).RemoteAddr
 				tell()
 			} else {
 				b.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error { tell(); return nil }
 			}
-			if res, _ := b.try(settle(), long); res != balancer.Served {
+			if res, _ := b.try(settle(), testutil.Timeout); res != balancer.Served {
 				t.Fatalf("result %d, want OK", res)
 			}
-			receive(t, old.closed)
+			testutil.Receive(t, old.Closed)
 			to, not := old, other
-			if tt.listed(old, other).Addr == other.addr() {
+			if tt.listed(old, other).Addr == other.Addr() {
 				to, not = other, old
 			}
-			if r := receive(t, to.got); r.RemoteAddr == before {
+			if r := testutil.Receive(t, to.Received); r.RemoteAddr == before {
 				t.Error("it went out on the old connection")
 			}
-			if len(to.got)+len(not.got) != 0 {
+			if len(to.Received)+len(not.Received) != 0 {
 				t.Error("it went out twice, or to the old address")
 			}
 		})
@@ -333,24 +343,24 @@
 // swallowed, and an unsafe request never gets another attempt.
 func TestSilenceClosesIdleConnections(t *testing.T) {
 	quiet, gate := make(chan bool, 1), make(chan struct{})
-	p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		select {
 		case <-quiet:
-			return hang(c, r, body)
+			return testutil.Hang(c, r, body)
 		default:
 			<-gate
-			return echo(c, r, body)
+			return testutil.Echo(c, r, body)
 		}
 	})
-	b := newBackends(t, p.addr())
+	b := newBackends(t, p.Addr())
 	done := make(chan balancer.Result, 2)
 	for range 2 { // two at a time need two connections
-		go func() { res, _ := b.try(settle(), long); done <- res }()
+		go func() { res, _ := b.try(settle(), testutil.Timeout); done <- res }()
 	}
-	receive(t, p.got)
-	receive(t, p.got)
+	testutil.Receive(t, p.Received)
+	testutil.Receive(t, p.Received)
 	close(gate)
-	if receive(t, done) != balancer.Served || receive(t, done) != balancer.Served {
+	if testutil.Receive(t, done) != balancer.Served || testutil.Receive(t, done) != balancer.Served {
 		t.Fatal("not served")
 	}
 	quiet <- true
@@ -375,14 +385,14 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			gate := make(chan struct{})
-			p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool { <-gate; return echo(c, r, body) })
-			b := newBackends(t, p.addr())
+			p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool { <-gate; return testutil.Echo(c, r, body) })
+			b := newBackends(t, p.Addr())
 			done := make(chan balancer.Result, 1)
-			go func() { res, _ := b.try(settle(), long); done <- res }()
-			receive(t, p.got)
+			go func() { res, _ := b.try(settle(), testutil.Timeout); done <- res }()
+			testutil.Receive(t, p.Received)
 			tt.event(b)
 			close(gate)
-			if res := receive(t, done); res != balancer.Served || b.pool.count() != tt.remain {
+			if res := testutil.Receive(t, done); res != balancer.Served || b.pool.count() != tt.remain {
 				t.Errorf("result %d, %d connections open, want %d", res, b.pool.count(), tt.remain)
 			}
 		})
@@ -391,37 +401,37 @@
 
 // Guards against giving up an attempt without closing its connection, on which it would still count.
 func TestCancelClosesTheConnection(t *testing.T) {
-	p := newPeer(t, func(c net.Conn, _ *http.Request, _ []byte) bool { return true }) // reads on
-	b := newBackends(t, p.addr())
+	p := testutil.NewServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool { return true }) // reads on
+	b := newBackends(t, p.Addr())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan balancer.Result, 1)
 	go func() {
-		res, _ := b.attempt(ctx, settle(), "s0", time.Now().Add(long))
+		res, _ := b.attempt(ctx, settle(), "s0", time.Now().Add(testutil.Timeout))
 		done <- res
 	}()
-	receive(t, p.got)
+	testutil.Receive(t, p.Received)
 	cancel()
-	if res := receive(t, done); res != balancer.Cancelled {
+	if res := testutil.Receive(t, done); res != balancer.Cancelled {
 		t.Errorf("result %d, want Cancelled", res)
 	}
-	receive(t, p.closed)
+	testutil.Receive(t, p.Closed)
 }
 
 // Guards against running out of descriptors: an idle connection elsewhere makes room, and when none
 // is idle the attempt fails unsent.
 func TestConnectionLimit(t *testing.T) {
-	p, q := newPeer(t, echo), newPeer(t, echo)
-	b := newBackends(t, p.addr(), q.addr())
+	p, q := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
+	b := newBackends(t, p.Addr(), q.Addr())
 	b.pool.limit = 1
-	if res, _ := b.try(settle(), long); res != balancer.Served {
+	if res, _ := b.try(settle(), testutil.Timeout); res != balancer.Served {
 		t.Fatal("not served")
 	}
-	if res, _ := b.attempt(context.Background(), settle(), "s1", time.Now().Add(long)); res != balancer.Served {
+	if res, _ := b.attempt(context.Background(), settle(), "s1", time.Now().Add(testutil.Timeout)); res != balancer.Served {
 		t.Errorf("result %d, want OK in place of the idle connection", res)
 	}
-	receive(t, p.closed)
+	testutil.Receive(t, p.Closed)
 	c := b.pool.take("s1")
-	if res, _ := b.try(settle(), long); res != balancer.ConnectFailed {
+	if res, _ := b.try(settle(), testutil.Timeout); res != balancer.ConnectFailed {
 		t.Errorf("result %d, want ConnectFailed at the limit", res)
 	}
 	b.pool.close(c)
@@ -433,27 +443,27 @@
 	for name, late := range map[string]bool{"in one piece": false, "later, while idle": true} {
 		t.Run(name, func(t *testing.T) {
 			more := make(chan struct{})
-			p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 				if late {
-					echo(c, r, body)
+					testutil.Echo(c, r, body)
 					<-more
-					answerWith(c, 200, "", "another's")
+					testutil.Respond(c, 200, "", "another's")
 				} else {
 					fmt.Fprint(c, strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid x", 2))
 				}
 				return true
 			})
-			b := newBackends(t, p.addr())
+			b := newBackends(t, p.Addr())
 			for i := range 3 {
-				if res, r := b.try(settle(), long); res != balancer.Served || string(r.body) != "did x" {
+				if res, r := b.try(settle(), testutil.Timeout); res != balancer.Served || string(r.body) != "did x" {
 					t.Fatalf("request %d: result %d, body %q", i, res, r.body)
 				}
 				if late {
 					more <- struct{}{}
-					until(t, "the extra answer", func() bool {
+					testutil.Eventually(t, "the extra answer", func() bool {
 						b.pool.mu.Lock()
 						defer b.pool.mu.Unlock()
-						return pending(b.pool.groups["s0"].idle[0].Conn)
+						return socket.HasUnread(b.pool.groups["s0"].idle[0].Conn)
 					})
 				}
 			}
@@ -463,9 +473,9 @@
 
 // Guards against what only grows: nothing is kept of a backend without connections.
 func TestPoolForgets(t *testing.T) {
-	p := newPeer(t, echo)
-	b := newBackends(t, p.addr())
-	b.try(settle(), long)
+	p := testutil.NewServer(t, testutil.Echo)
+	b := newBackends(t, p.Addr())
+	b.try(settle(), testutil.Timeout)
 	b.pool.retire("s0")
 	b.pool.retire("s1")
 	if n := len(b.pool.groups); n != 0 || b.pool.count() != 0 {
@@ -486,17 +496,17 @@
 func TestProbe(t *testing.T) {
 	var status atomic.Int32
 	status.Store(200)
-	p := newPeer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
-		answerWith(c, int(status.Load()), "", "TEXT inflight=7, queue=2, util=0.61")
+	p := testutil.NewServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
+		testutil.Respond(c, int(status.Load()), "", "TEXT inflight=7, queue=2, util=0.61")
 		return true
 	})
-	b := newBackends(t, p.addr())
-	if res, _ := b.probe(context.Background(), "s0"); res != balancer.Served || receive(t, p.got).URL.Path != "/healthz" {
+	b := newBackends(t, p.Addr())
+	if res, _ := b.probe(context.Background(), "s0"); res != balancer.Served || testutil.Receive(t, p.Received).URL.Path != "/healthz" {
 		t.Errorf("result %d", res)
 	}
 	b.reports = balancer.LoadReportsWithHealthChecks
 	_, r := b.probe(context.Background(), "s0")
-	if l := loadReport(r); receive(t, p.got).URL.Path != "/load" || l.InFlight != 7 || l.Queue != 2 || l.Utilization != 0.61 || l.Throughput != -1 {
+	if l := loadReport(r); testutil.Receive(t, p.Received).URL.Path != "/load" || l.InFlight != 7 || l.Queue != 2 || l.Utilization != 0.61 || l.Throughput != -1 {
 		t.Errorf("load %+v", l)
 	}
 	status.Store(503)
@@ -515,24 +525,24 @@
 	}{{"in full use", 0, 1}, {"after a rest", time.Minute, 0}} {
 		t.Run(tt.name, func(t *testing.T) {
 			gate, drop := make(chan struct{}), make(chan bool, 1)
-			p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 				select {
 				case <-drop:
 					return false
 				default:
 					<-gate
-					return echo(c, r, body)
+					return testutil.Echo(c, r, body)
 				}
 			})
-			b := newBackends(t, p.addr())
+			b := newBackends(t, p.Addr())
 			done := make(chan balancer.Result, 2)
 			for range 2 { // two at a time need two connections
-				go func() { res, _ := b.try(settle(), long); done <- res }()
+				go func() { res, _ := b.try(settle(), testutil.Timeout); done <- res }()
 			}
-			receive(t, p.got)
-			receive(t, p.got)
+			testutil.Receive(t, p.Received)
+			testutil.Receive(t, p.Received)
 			close(gate)
-			if receive(t, done) != balancer.Served || receive(t, done) != balancer.Served {
+			if testutil.Receive(t, done) != balancer.Served || testutil.Receive(t, done) != balancer.Served {
 				t.Fatal("not served")
 			}
 			b.pool.mu.Lock()
@@ -542,7 +552,7 @@
 			b.pool.mu.Unlock()
 			b.pool.maxIdle = time.Hour
 			drop <- true
-			if res, _ := b.try(settle(), long); res != balancer.Reset {
+			if res, _ := b.try(settle(), testutil.Timeout); res != balancer.Reset {
 				t.Fatalf("result %d, want Reset", res)
 			}
 			if n := b.pool.count(); n != tt.remain {
--- a/internal/agent/clients.go
+++ b/internal/agent/clients.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"ashshunt/internal/socket"
 )
 
 // restTime is how long a connection must have been without an open request before it may be closed to
@@ -119,7 +121,7 @@
 		}
 		if idle := now.Sub(c.since); idle < need {
 			wait = min(wait, need-idle)
-		} else if pending(c.Conn) {
+		} else if socket.HasUnread(c.Conn) {
 			c.place = nil
 			l.idle.Remove(e) // a request has come that is not read yet
 		} else {
@@ -148,7 +150,7 @@
 	var gone []*clientConn
 	for e, next := l.idle.Front(), (*list.Element)(nil); e != nil; e = next {
 		next = e.Next()
-		if c := e.Value.(*clientConn); of(c) && !pending(c.Conn) {
+		if c := e.Value.(*clientConn); of(c) && !socket.HasUnread(c.Conn) {
 			c.leave()
 			gone = append(gone, c)
 		}
@@ -198,7 +200,7 @@
 	case http.StateActive:
 		c.work()
 	}
-	end := l.over && s == http.StateIdle && !c.gone && !pending(c.Conn) // answered as the drain began
+	end := l.over && s == http.StateIdle && !c.gone && !socket.HasUnread(c.Conn) // answered as the drain began
 	if end {
 		c.leave()
 	}
@@ -262,7 +264,7 @@
 	idle := c.place != nil
 	l.mu.Unlock()
 	if idle {
-		if err := await(c.Conn); err != nil {
+		if err := socket.WaitReadable(c.Conn); err != nil {
 			return err
 		}
 	}
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"ashshunt/internal/testutil"
 )
 
 // dialRaw opens a connection to an agent and writes text to it.
@@ -19,7 +21,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(long))
+	c.SetDeadline(time.Now().Add(testutil.Timeout))
 	io.WriteString(c, text)
 	return c
 }
@@ -41,7 +43,7 @@
 
 // impatient has an agent make room at once of connections whose request is over, but not of those whose first has
 // yet to come: on a slow machine that takes a while.
-func impatient(a *Agent) { a.clients.rest, a.clients.mute = time.Millisecond, long }
+func impatient(a *Agent) { a.clients.rest, a.clients.mute = time.Millisecond, testutil.Timeout }
 
 // Guards against running out of descriptors: seen on a day on which clients ask once and keep their
 // connection for good, and one on which they connect by hundreds and say nothing.
@@ -49,8 +51,8 @@
 	for _, tt := range []struct{ name, say string }{{"silent", ""}, {"asked once", post(id, "")}} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			p := newPeer(t, echo)
-			c := config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING"))
+			p := testutil.NewServer(t, testutil.Echo)
+			c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING"))
 			c.Sockets = 8 // 4 for clients
 			a, _ := startWith(t, c, func(a *Agent) {
 				if impatient(a); tt.say == "" {
@@ -74,12 +76,12 @@
 func TestRoomIsNotMadeOfRequests(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
-	p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool { <-gate; return echo(c, r, body) })
-	c := config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING"))
+	p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool { <-gate; return testutil.Echo(c, r, body) })
+	c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING"))
 	c.Sockets = 2 // 1 for clients
 	a, _ := startWith(t, c, impatient)
 	first := dialRaw(t, a, post(id, ""))
-	receive(t, p.got)
+	testutil.Receive(t, p.Received)
 	second := dialRaw(t, a, post(id[:15]+"2", "")) // waits in the system's queue
 	if wait, ok := a.clients.room(time.Now().Add(time.Hour)); ok {
 		t.Errorf("room was made of an open request (%v)", wait)
@@ -97,8 +99,8 @@
 // each is answered from its head alone, and its connection closed.
 func TestFraming(t *testing.T) {
 	t.Parallel()
-	p := newPeer(t, echo)
-	a, _ := start(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")), nil)
+	p := testutil.NewServer(t, testutil.Echo)
+	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), nil)
 	hidden := post(id[:15]+"9", "Content-Length: 0\r\n")
 	chunk := "0\r\n\r\n" + hidden
 	for _, tt := range []struct {
@@ -136,15 +138,15 @@
 			t.Errorf("%s: the connection goes on", tt.name)
 		}
 	}
-	if len(p.got) != 0 {
-		t.Errorf("the backend got %d requests", len(p.got))
+	if len(p.Received) != 0 {
+		t.Errorf("the backend got %d requests", len(p.Received))
 	}
 }
 
 // Guards against clients that begin a request and never end it.
 func TestHalfRequests(t *testing.T) {
 	t.Parallel()
-	a, _ := start(t, config(t, newLists(t).addr), nil)
+	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr), nil)
 	texts := []string{"", "POST /settle HTTP/1.1\r\nHo", post(id, "Content-Length: 10\r\n") + "half"}
 	var conns []net.Conn
 	for _, text := range texts {
@@ -161,8 +163,8 @@
 // took all, and the next request waited unseen before an idle agent.
 func TestCrowdedConnectionsCloseWithTheAnswer(t *testing.T) {
 	t.Parallel()
-	p := newPeer(t, echo)
-	c := config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING"))
+	p := testutil.NewServer(t, testutil.Echo)
+	c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING"))
 	c.Sockets = 8 // 4 for clients
 	a, _ := startWith(t, c, func(a *Agent) {
 		a.clients.rest = time.Hour
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -15,8 +15,13 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/clock"
+	"ashshunt/internal/config"
+	"ashshunt/internal/endpoint"
 )
 
+const maxListing = 8 << 20 // bytes of one list or line
+
 const (
 	// watchSilence ends a watch that brings nothing for so long. An empty line is due every 2 s, and a machine
 	// that was cut off says nothing at all. What a silent watch misses counts as told 6 s after it fell silent:
@@ -40,127 +45,15 @@
 // errRefused marks a call that discovery answered with a refusal.
 var errRefused = errors.New("discovery answered")
 
-const maxListing = 8 << 20 // bytes of one list or line
-
-// Server is one entry of discovery's list.
-type Server struct {
-	ID        string  `json:"id"`
-	Addr      string  `json:"addr"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"kind"`
-	Cell      int     `json:"cell"`
-	State     string  `json:"state"`
-	Weight    float64 `json:"weight"`
-	StartedMs float64 `json:"started_ms"`
-}
-
-// Listing is discovery's list, or the entries of it that changed.
-type Listing struct {
-	Version int64
-	Full    bool
-	Servers []Server
-}
-
-var states = map[string]balancer.EndpointState{
-	"SERVING": balancer.Serving, "DRAINING": balancer.Draining, "DELETED": balancer.Removed,
-}
-
-// ParseListing reads one list and checks it: half a list could silence good backends.
-func ParseListing(raw []byte) (Listing, error) {
-	var f struct {
-		Version *int64
-		Full    bool
-		Servers *[]Server
-	}
-	if err := json.Unmarshal(raw, &f); err != nil {
-		return Listing{}, err
-	}
-	if f.Version == nil || f.Servers == nil {
-		return Listing{}, errors.New("missing version or servers")
-	}
-	for _, s := range *f.Servers {
-		state, ok := states[s.State]
-		switch {
-		case s.ID == "":
-			return Listing{}, errors.New("server without id")
-		case !ok:
-			return Listing{}, fmt.Errorf("server %s: unknown state %q", s.ID, s.State)
-		case state != balancer.Removed && checkAddr(s.Addr) != nil:
-			return Listing{}, fmt.Errorf("server %s: %w", s.ID, checkAddr(s.Addr))
-		}
-	}
-	return Listing{Version: *f.Version, Full: f.Full, Servers: *f.Servers}, nil
-}
-
-// members is the list as last told, shared with the attempts: these look at it right before their
-// first byte, so that a change counts from the moment it is read, not from the module's next step.
-type members struct {
-	mu sync.RWMutex
-	m  map[string]Server
-}
-
-// apply takes a listing and returns the backends whose idle connections are of no more use: they
-// drain, are gone, moved or were started again.
-func (t *members) apply(l Listing) []string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	var stale []string
-	listed := map[string]bool{}
-	for _, s := range l.Servers {
-		listed[s.ID] = true
-		old, known := t.m[s.ID]
-		if known && (s.State != "SERVING" || !s.sameProcess(old)) {
-			stale = append(stale, s.ID)
-		}
-		if states[s.State] == balancer.Removed {
-			delete(t.m, s.ID)
-		} else {
-			t.m[s.ID] = s
-		}
-	}
-	if l.Full {
-		for id := range t.m {
-			if !listed[id] {
-				delete(t.m, id)
-				stale = append(stale, id)
-			}
-		}
-	}
-	return stale
-}
-
-// serving returns the entry of a backend that may get new work.
-func (t *members) serving(id string) (Server, bool) {
-	t.mu.RLock()
-	defer t.mu.RUnlock()
-	s, ok := t.m[id]
-	return s, ok && s.State == "SERVING"
-}
-
-// sameProcess reports whether two entries of a backend tell of one process at one address.
-func (s Server) sameProcess(o Server) bool { return s.Addr == o.Addr && s.StartedMs == o.StartedMs }
-
-// any tells whether some backend may get new work.
-func (t *members) any() bool {
-	t.mu.RLock()
-	defer t.mu.RUnlock()
-	for _, s := range t.m {
-		if s.State == "SERVING" {
-			return true
-		}
-	}
-	return false
-}
-
 // discovery asks for the list and watches it, when told to. Its events reach the loop by post.
 type discovery struct {
 	client  *http.Client
-	table   *members
+	table   *endpoint.Table
 	stale   func(backend string) // retires its connections
 	post    func(any)
 	silence time.Duration // see watchSilence
 	calling time.Duration // see callTime; for a watch, until its first byte
-	event   func(Listing, balancer.ListKind) balancer.EndpointList
+	event   func(endpoint.List, balancer.ListKind) balancer.EndpointList
 	log     *slog.Logger
 
 	// Where the settings say that changes come unasked, the module never asks for a watch. On sockets nothing
@@ -205,7 +98,7 @@
 // take applies a listing from an address at once and passes it on, unless a later watch or another
 // address took over meanwhile. One that is older than what is held, as the answer to a call may be that a line
 // of the watch has overtaken, says nothing new. w is nil for a call for the whole list.
-func (d *discovery) take(w *watch, addr string, l Listing) bool {
+func (d *discovery) take(w *watch, addr string, l endpoint.List) bool {
 	d.order.Lock()
 	defer d.order.Unlock()
 	if w != nil && !d.establish(w, l.Full) {
@@ -222,9 +115,9 @@
 		return false
 	}
 	if old {
-		l = Listing{} // whoever has asked hears that nothing changed
+		l = endpoint.List{} // whoever has asked hears that nothing changed
 	}
-	for _, id := range d.table.apply(l) {
+	for _, id := range d.table.Apply(l) {
 		d.stale(id)
 	}
 	kind := balancer.ListDelta
@@ -371,7 +264,7 @@
 	if err != nil {
 		return fmt.Errorf("reading the list: %w", err)
 	}
-	l, err := ParseListing(raw)
+	l, err := endpoint.ParseList(raw)
 	if err != nil {
 		return fmt.Errorf("malformed list: %w", err)
 	}
@@ -445,7 +338,7 @@
 			}
 			return fmt.Errorf("reading changes: %w", err)
 		}
-		l, err := ParseListing(raw)
+		l, err := endpoint.ParseList(raw)
 		if err != nil {
 			return fmt.Errorf("malformed list: %w", err)
 		}
@@ -459,13 +352,13 @@
 }
 
 // lister returns the conversion of a listing to the module's event.
-func lister(c *Config, clock Clock) func(Listing, balancer.ListKind) balancer.EndpointList {
-	return func(l Listing, kind balancer.ListKind) balancer.EndpointList {
-		e := balancer.EndpointList{Kind: kind, Endpoints: make([]balancer.Endpoint, 0, len(l.Servers))}
-		for _, s := range l.Servers {
-			e.Endpoints = append(e.Endpoints, balancer.Endpoint{ID: s.ID, State: states[s.State],
+func lister(c *config.Config, clock clock.Clock) func(endpoint.List, balancer.ListKind) balancer.EndpointList {
+	return func(l endpoint.List, kind balancer.ListKind) balancer.EndpointList {
+		e := balancer.EndpointList{Kind: kind, Endpoints: make([]balancer.Endpoint, 0, len(l.Entries))}
+		for _, s := range l.Entries {
+			e.Endpoints = append(e.Endpoints, balancer.Endpoint{ID: s.ID, State: endpoint.States[s.State],
 				Zone: slices.Index(c.Names.Zones, s.Zone), Cell: s.Cell, Kind: slices.Index(c.Names.Kinds, s.Kind),
-				Weight: s.Weight, Started: clock.FromUnixMs(s.StartedMs)})
+				Weight: s.Weight, Started: clock.FromUnixMillis(s.StartedMs)})
 		}
 		return e
 	}
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -14,20 +14,24 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/clock"
+	"ashshunt/internal/config"
+	"ashshunt/internal/endpoint"
+	"ashshunt/internal/testutil"
 )
 
 // follow runs a discovery whose events come out of the channel.
-func follow(t *testing.T, d *lists, silence time.Duration) (*discovery, chan balancer.EndpointList) {
+func follow(t *testing.T, d *testutil.Discovery, silence time.Duration) (*discovery, chan balancer.EndpointList) {
 	t.Helper()
-	c := config(t, d.addr, entry("s0", "127.0.0.1:1", "SERVING"), entry("s1", "127.0.0.1:2", "SERVING"))
+	c := testutil.Config(t, d.Addr, testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"), testutil.EntryJSON("s1", "127.0.0.1:2", "SERVING"))
 	events := make(chan balancer.EndpointList, 10)
-	table := &members{m: map[string]Server{}}
+	table := endpoint.NewTable()
 	known := c.Known
 	known.Full = true
-	table.apply(known)
-	disc := &discovery{addr: d.addr, client: newListClient(), table: table,
+	table.Apply(known)
+	disc := &discovery{addr: d.Addr, client: newListClient(), table: table,
 		stale: func(string) {}, post: func(m any) { events <- m.(balancer.EndpointList) }, silence: silence, calling: silence,
-		event: lister(c, NewClock()), log: logTo(&capture{}), version: 1}
+		event: lister(c, clock.New()), log: testutil.NewLogger(&testutil.Log{}), version: 1}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	disc.subscribe(ctx)
@@ -35,33 +39,33 @@
 }
 
 func TestWatch(t *testing.T) {
-	d := newLists(t)
-	disc, events := follow(t, d, long)
-	if q := receive(t, d.watch); q != "follow=1&since=1" {
+	d := testutil.NewDiscovery(t)
+	disc, events := follow(t, d, testutil.Timeout)
+	if q := testutil.Receive(t, d.Watches); q != "follow=1&since=1" {
 		t.Errorf("watched with %q", q)
 	}
-	d.say <- ""
-	d.say <- `{"version":2,"full":false,"servers":[` + entry("s0", "127.0.0.1:1", "DRAINING") + `]}`
-	e := receive(t, events)
+	d.Say <- ""
+	d.Say <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DRAINING") + `]}`
+	e := testutil.Receive(t, events)
 	if e.Kind != balancer.ListDelta || len(e.Endpoints) != 1 || e.Endpoints[0].State != balancer.Draining || e.Endpoints[0].Zone != 0 {
 		t.Errorf("event %+v", e)
 	}
-	if _, ok := disc.table.serving("s0"); ok {
+	if _, ok := disc.table.Serving("s0"); ok {
 		t.Error("a draining backend may still get work")
 	}
-	d.say <- `{"version":3,"full":true,"servers":[` + entry("s0", "127.0.0.1:1", "SERVING") + `]}`
-	if e := receive(t, events); e.Kind != balancer.ListComplete {
+	d.Say <- `{"version":3,"full":true,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING") + `]}`
+	if e := testutil.Receive(t, events); e.Kind != balancer.ListComplete {
 		t.Errorf("event %+v", e)
 	}
-	if _, ok := disc.table.serving("s1"); ok {
+	if _, ok := disc.table.Serving("s1"); ok {
 		t.Error("a backend that left the list may still get work")
 	}
-	d.cut <- struct{}{}
-	if e := receive(t, events); e.Kind != balancer.ListFailed {
+	d.Cut <- struct{}{}
+	if e := testutil.Receive(t, events); e.Kind != balancer.ListFailed {
 		t.Errorf("event %+v", e)
 	}
 	disc.subscribe(context.Background())
-	if q := receive(t, d.watch); q != "follow=1&since=3" {
+	if q := testutil.Receive(t, d.Watches); q != "follow=1&since=3" {
 		t.Errorf("watched again with %q", q)
 	}
 	disc.unsubscribe()
@@ -69,39 +73,39 @@
 
 // Guards against a watch that a cut-off network holds open for ever.
 func TestSilentWatch(t *testing.T) {
-	d := newLists(t)
+	d := testutil.NewDiscovery(t)
 	_, events := follow(t, d, 100*time.Millisecond)
-	if e := receive(t, events); e.Kind != balancer.ListFailed {
+	if e := testutil.Receive(t, events); e.Kind != balancer.ListFailed {
 		t.Errorf("event %+v", e)
 	}
 }
 
 // Guards against half a list, which would look like backends that are gone.
 func TestMalformedLists(t *testing.T) {
-	good := entry("s0", "127.0.0.1:1", "SERVING")
+	good := testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING")
 	for name, line := range map[string]string{
 		"no JSON":          `{"version":2,"servers":[}`,
 		"no version":       `{"full":true,"servers":[` + good + `]}`,
 		"no servers":       `{"version":2,"full":true}`,
-		"no id":            `{"version":2,"full":true,"servers":[` + entry("", "127.0.0.1:1", "SERVING") + `]}`,
+		"no id":            `{"version":2,"full":true,"servers":[` + testutil.EntryJSON("", "127.0.0.1:1", "SERVING") + `]}`,
 		"an unknown state": `{"version":2,"full":true,"servers":[` + strings.Replace(good, "SERVING", "ASLEEP", 1) + `]}`,
-		"a bad address":    `{"version":2,"full":true,"servers":[` + entry("s0", "here", "SERVING") + `]}`,
+		"a bad address":    `{"version":2,"full":true,"servers":[` + testutil.EntryJSON("s0", "here", "SERVING") + `]}`,
 		"a bad type":       `{"version":2,"full":true,"servers":{}}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newLists(t)
-			d.whole = func() string { return line }
-			disc, events := follow(t, d, long)
-			receive(t, d.watch)
-			d.say <- line
-			if e := receive(t, events); e.Kind != balancer.ListFailed {
+			d := testutil.NewDiscovery(t)
+			d.Complete = func() string { return line }
+			disc, events := follow(t, d, testutil.Timeout)
+			testutil.Receive(t, d.Watches)
+			d.Say <- line
+			if e := testutil.Receive(t, events); e.Kind != balancer.ListFailed {
 				t.Errorf("watch: event %+v", e)
 			}
 			disc.fetch(context.Background())
-			if e := receive(t, events); e.Kind != balancer.ListFailed {
+			if e := testutil.Receive(t, events); e.Kind != balancer.ListFailed {
 				t.Errorf("list: event %+v", e)
 			}
-			if _, ok := disc.table.serving("s1"); !ok {
+			if _, ok := disc.table.Serving("s1"); !ok {
 				t.Error("the old list no longer stands")
 			}
 		})
@@ -109,13 +113,13 @@
 }
 
 func TestFetch(t *testing.T) {
-	d := newLists(t)
-	d.whole = func() string {
-		return `{"version":9,"full":true,"servers":[` + entry("s7", "127.0.0.1:7", "SERVING") + `]}`
+	d := testutil.NewDiscovery(t)
+	d.Complete = func() string {
+		return `{"version":9,"full":true,"servers":[` + testutil.EntryJSON("s7", "127.0.0.1:7", "SERVING") + `]}`
 	}
-	disc, events := follow(t, d, long)
+	disc, events := follow(t, d, testutil.Timeout)
 	disc.fetch(context.Background())
-	if e := receive(t, events); e.Kind != balancer.ListComplete || len(e.Endpoints) != 1 || e.Endpoints[0].ID != "s7" {
+	if e := testutil.Receive(t, events); e.Kind != balancer.ListComplete || len(e.Endpoints) != 1 || e.Endpoints[0].ID != "s7" {
 		t.Errorf("event %+v", e)
 	}
 }
@@ -123,74 +127,58 @@
 // Guards against idle connections to a process that is no more: all that drains, left, moved or was
 // started again is named as stale.
 func TestStaleBackends(t *testing.T) {
-	table := &members{m: map[string]Server{}}
-	s := func(id, addr, state string, started float64) Server {
-		return Server{ID: id, Addr: addr, State: state, StartedMs: started}
+	table := endpoint.NewTable()
+	s := func(id, addr, state string, started float64) endpoint.Entry {
+		return endpoint.Entry{ID: id, Addr: addr, State: state, StartedMs: started}
 	}
-	table.apply(Listing{Full: true, Servers: []Server{s("a", "x:1", "SERVING", 0), s("b", "x:2", "SERVING", 0),
+	table.Apply(endpoint.List{Full: true, Entries: []endpoint.Entry{s("a", "x:1", "SERVING", 0), s("b", "x:2", "SERVING", 0),
 		s("c", "x:3", "SERVING", 0), s("d", "x:4", "SERVING", 0), s("e", "x:5", "SERVING", 0)}})
-	stale := table.apply(Listing{Full: true, Servers: []Server{s("a", "x:1", "DRAINING", 0), s("b", "x:9", "SERVING", 0),
+	stale := table.Apply(endpoint.List{Full: true, Entries: []endpoint.Entry{s("a", "x:1", "DRAINING", 0), s("b", "x:9", "SERVING", 0),
 		s("c", "x:3", "SERVING", 77), s("d", "x:4", "SERVING", 0)}})
 	if got := strings.Join(stale, ""); got != "abce" {
 		t.Errorf("stale %q, want abce", got)
 	}
 }
 
-// Guards against a start time that reads as "long ago", and one that moves from list to list.
-func TestStartTimes(t *testing.T) {
-	clock := NewClock()
-	if got := clock.FromUnixMs(0); got != 0 {
-		t.Errorf("long ago became %v", got)
-	}
-	ms := float64(time.Now().UnixMilli() - 3000)
-	first := clock.FromUnixMs(ms)
-	if age := clock.Now() - first; age < 2900*time.Millisecond || age > 3*time.Second+long {
-		t.Errorf("started 3 s ago became %v ago", age)
-	}
-	if clock.FromUnixMs(ms) != first {
-		t.Error("one start time became two")
-	}
-}
-
 // Guards against a new address of discovery that brings nothing, or numbers its versions otherwise: the
 // old watch goes on until the new one has brought the whole list, and has no say after.
 func TestDiscoveryMoves(t *testing.T) {
-	old, new := newLists(t), newLists(t)
-	disc, events := follow(t, old, long)
-	receive(t, old.watch)
-	old.say <- `{"version":2,"full":false,"servers":[]}`
-	receive(t, events)
+	old, new := testutil.NewDiscovery(t), testutil.NewDiscovery(t)
+	disc, events := follow(t, old, testutil.Timeout)
+	testutil.Receive(t, old.Watches)
+	old.Say <- `{"version":2,"full":false,"servers":[]}`
+	testutil.Receive(t, events)
 	disc.move(context.Background(), "127.0.0.1:1") // refused: the module is told, and asks again
-	if e := receive(t, events); e.Kind != balancer.ListFailed {
+	if e := testutil.Receive(t, events); e.Kind != balancer.ListFailed {
 		t.Errorf("event %+v", e)
 	}
-	old.say <- `{"version":3,"full":false,"servers":[` + entry("s0", "127.0.0.1:1", "DRAINING") + `]}`
-	if e := receive(t, events); e.Kind != balancer.ListDelta {
+	old.Say <- `{"version":3,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DRAINING") + `]}`
+	if e := testutil.Receive(t, events); e.Kind != balancer.ListDelta {
 		t.Errorf("event %+v from the old address, which is still watched", e)
 	}
-	disc.move(context.Background(), new.addr)
-	disc.move(context.Background(), new.addr) // once more changes nothing
-	if q := receive(t, new.watch); q != "follow=1" {
+	disc.move(context.Background(), new.Addr)
+	disc.move(context.Background(), new.Addr) // once more changes nothing
+	if q := testutil.Receive(t, new.Watches); q != "follow=1" {
 		t.Errorf("the new address is watched with %q, want the whole list", q)
 	}
-	old.cut <- struct{}{} // ends while the new one is awaited: no failure, since that is under way
-	new.say <- ""
-	new.say <- `{"version":1,"full":true,"servers":[` + entry("s1", "127.0.0.1:2", "SERVING") + `]}`
-	if e := receive(t, events); e.Kind != balancer.ListComplete {
+	old.Cut <- struct{}{} // ends while the new one is awaited: no failure, since that is under way
+	new.Say <- ""
+	new.Say <- `{"version":1,"full":true,"servers":[` + testutil.EntryJSON("s1", "127.0.0.1:2", "SERVING") + `]}`
+	if e := testutil.Receive(t, events); e.Kind != balancer.ListComplete {
 		t.Errorf("event %+v", e)
 	}
-	if _, ok := disc.table.serving("s0"); ok {
+	if _, ok := disc.table.Serving("s0"); ok {
 		t.Error("a backend that only the old address knew may still get work")
 	}
-	new.cut <- struct{}{}
-	if e := receive(t, events); e.Kind != balancer.ListFailed {
+	new.Cut <- struct{}{}
+	if e := testutil.Receive(t, events); e.Kind != balancer.ListFailed {
 		t.Errorf("event %+v", e)
 	}
 	disc.subscribe(context.Background())
-	if q := receive(t, new.watch); q != "follow=1&since=1" {
+	if q := testutil.Receive(t, new.Watches); q != "follow=1&since=1" {
 		t.Errorf("watched again with %q", q)
 	}
-	if len(new.watch) != 0 {
+	if len(new.Watches) != 0 {
 		t.Error("watched twice")
 	}
 	disc.unsubscribe()
@@ -199,8 +187,8 @@
 // Guards against settings under which changes come unasked, as in the simulator: on sockets nothing comes
 // without a watch, so agents would hold the list of their start for ever. It is begun again when it ends.
 func TestUnaskedWatch(t *testing.T) {
-	d := newLists(t)
-	c := config(t, d.addr, entry("s0", "127.0.0.1:1", "SERVING"), entry("s1", "127.0.0.1:2", "SERVING"))
+	d := testutil.NewDiscovery(t)
+	c := testutil.Config(t, d.Addr, testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"), testutil.EntryJSON("s1", "127.0.0.1:2", "SERVING"))
 	c.Settings.Subscribe = false
 	c.Settings.ConnectTimeout = time.Millisecond // the unit of the wait
 	lists := make(chan balancer.EndpointList, 10)
@@ -210,29 +198,29 @@
 		}
 		return nil
 	}))
-	if e := receive(t, lists); e.Kind != balancer.ListCached {
+	if e := testutil.Receive(t, lists); e.Kind != balancer.ListCached {
 		t.Errorf("event %+v", e)
 	}
-	if q := receive(t, d.watch); q != "follow=1&since=1" {
+	if q := testutil.Receive(t, d.Watches); q != "follow=1&since=1" {
 		t.Errorf("watched with %q", q)
 	}
-	d.say <- `{"version":2,"full":false,"servers":[` + entry("s0", "127.0.0.1:1", "DELETED") + `]}`
-	if e := receive(t, lists); e.Kind != balancer.ListDelta || e.Endpoints[0].State != balancer.Removed {
+	d.Say <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DELETED") + `]}`
+	if e := testutil.Receive(t, lists); e.Kind != balancer.ListDelta || e.Endpoints[0].State != balancer.Removed {
 		t.Errorf("event %+v", e)
 	}
 	for range 3 {
-		d.cut <- struct{}{}
-		if q := receive(t, d.watch); q != "follow=1&since=2" {
+		d.Cut <- struct{}{}
+		if q := testutil.Receive(t, d.Watches); q != "follow=1&since=2" {
 			t.Errorf("watched again with %q", q)
 		}
 	}
-	d.say <- "}"
-	if q := receive(t, d.watch); q != "follow=1&since=2" {
+	d.Say <- "}"
+	if q := testutil.Receive(t, d.Watches); q != "follow=1&since=2" {
 		t.Errorf("watched after a malformed line with %q", q)
 	}
-	moved := newLists(t)
-	a.Reload(&Config{Discovery: moved.addr})
-	if q := receive(t, moved.watch); q != "follow=1" {
+	moved := testutil.NewDiscovery(t)
+	a.Reload(&config.Config{Discovery: moved.Addr})
+	if q := testutil.Receive(t, moved.Watches); q != "follow=1" {
 		t.Errorf("watched the new address with %q", q)
 	}
 	select {
@@ -255,23 +243,23 @@
 // Guards against taking the end of a line for the end of a list: indented ones read as malformed, and no agent
 // learnt anything.
 func TestIndentedLists(t *testing.T) {
-	d := newLists(t)
-	d.whole = func() string { return strings.Replace(pretty, `"version": 2`, `"version": 4`, 1) }
-	disc, events := follow(t, d, long)
-	receive(t, d.watch)
-	d.say <- ""
-	d.say <- pretty
-	d.say <- `  {"version":3,"full":false,"servers":[]} {"version":4,"full":false,` + "\n\n" + `"servers":[]}`
+	d := testutil.NewDiscovery(t)
+	d.Complete = func() string { return strings.Replace(pretty, `"version": 2`, `"version": 4`, 1) }
+	disc, events := follow(t, d, testutil.Timeout)
+	testutil.Receive(t, d.Watches)
+	d.Say <- ""
+	d.Say <- pretty
+	d.Say <- `  {"version":3,"full":false,"servers":[]} {"version":4,"full":false,` + "\n\n" + `"servers":[]}`
 	for i, n := range []int{1, 0, 0} {
-		if e := receive(t, events); e.Kind != balancer.ListDelta || len(e.Endpoints) != n {
+		if e := testutil.Receive(t, events); e.Kind != balancer.ListDelta || len(e.Endpoints) != n {
 			t.Errorf("list %d: event %+v", i, e)
 		}
 	}
-	if _, ok := disc.table.serving("s0"); ok {
+	if _, ok := disc.table.Serving("s0"); ok {
 		t.Error("a draining backend may still get work")
 	}
 	disc.fetch(context.Background())
-	if e := receive(t, events); e.Kind != balancer.ListComplete || len(e.Endpoints) != 1 {
+	if e := testutil.Receive(t, events); e.Kind != balancer.ListComplete || len(e.Endpoints) != 1 {
 		t.Errorf("called for: event %+v", e)
 	}
 }
@@ -283,12 +271,12 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(long))
-	c := config(t, l.Addr().String(), entry("s0", "127.0.0.1:1", "SERVING"))
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(testutil.Timeout))
+	c := testutil.Config(t, l.Addr().String(), testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
 	c.Settings.Subscribe = false
 	c.Settings.ConnectTimeout = time.Millisecond // the unit of the wait
 	a, _ := start(t, c, script(func(time.Duration, balancer.Event) []balancer.Action { return nil }))
-	line := `{"version":2,"full":false,"servers":[` + entry("s0", "127.0.0.1:1", "DRAINING") + `]}`
+	line := `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DRAINING") + `]}`
 	for i, since := range []string{"1", "1", "2"} {
 		conn, err := l.Accept()
 		if err != nil {
@@ -303,7 +291,7 @@
 		}
 		if i > 0 {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(line), line)
-			until(t, "the line", func() bool { _, ok := a.loop.back.table.serving("s0"); return !ok })
+			testutil.Eventually(t, "the line", func() bool { _, ok := a.loop.back.table.Serving("s0"); return !ok })
 		}
 		conn.(*net.TCPConn).SetLinger(0)
 		conn.Close()
@@ -318,23 +306,23 @@
 		cut     bool
 	}{
 		"silent":      {text: pretty[:len(pretty)/2], silence: 100 * time.Millisecond},
-		"cut off":     {text: pretty[:len(pretty)/2], silence: long, cut: true},
-		"without end": {text: `{"version":2,"x":"` + strings.Repeat("x", maxListing), silence: long},
+		"cut off":     {text: pretty[:len(pretty)/2], silence: testutil.Timeout, cut: true},
+		"without end": {text: `{"version":2,"x":"` + strings.Repeat("x", maxListing), silence: testutil.Timeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newLists(t)
+			d := testutil.NewDiscovery(t)
 			disc, events := follow(t, d, tt.silence)
-			receive(t, d.watch)
-			d.say <- tt.text
+			testutil.Receive(t, d.Watches)
+			d.Say <- tt.text
 			if tt.cut {
-				until(t, "the half list to be sent", func() bool { return len(d.say) == 0 })
-				d.cut <- struct{}{}
+				testutil.Eventually(t, "the half list to be sent", func() bool { return len(d.Say) == 0 })
+				d.Cut <- struct{}{}
 			}
-			if e := receive(t, events); e.Kind != balancer.ListFailed {
+			if e := testutil.Receive(t, events); e.Kind != balancer.ListFailed {
 				t.Errorf("event %+v", e)
 			}
 			disc.subscribe(context.Background())
-			if q := receive(t, d.watch); q != "follow=1&since=1" {
+			if q := testutil.Receive(t, d.Watches); q != "follow=1&since=1" {
 				t.Errorf("watched again with %q", q)
 			}
 		})
@@ -353,37 +341,37 @@
 // Guards against an answer to a call that a line of the watch has overtaken: it set version and table back, and a
 // draining backend got work again.
 func TestOldListIsPassedOver(t *testing.T) {
-	d := newLists(t)
+	d := testutil.NewDiscovery(t)
 	called, answer := make(chan struct{}), make(chan struct{})
-	d.whole = func() string {
+	d.Complete = func() string {
 		close(called)
 		<-answer
-		return `{"version":1,"full":true,"servers":[` + entry("s0", "127.0.0.1:1", "SERVING") + `]}`
+		return `{"version":1,"full":true,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING") + `]}`
 	}
-	disc, events := follow(t, d, long)
-	receive(t, d.watch)
+	disc, events := follow(t, d, testutil.Timeout)
+	testutil.Receive(t, d.Watches)
 	disc.fetch(context.Background())
-	receive(t, called)
-	d.say <- `{"version":2,"full":false,"servers":[` + entry("s0", "127.0.0.1:1", "DRAINING") + `]}`
-	receive(t, events)
+	testutil.Receive(t, called)
+	d.Say <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DRAINING") + `]}`
+	testutil.Receive(t, events)
 	close(answer)
-	if e := receive(t, events); e.Kind != balancer.ListDelta || len(e.Endpoints) != 0 {
+	if e := testutil.Receive(t, events); e.Kind != balancer.ListDelta || len(e.Endpoints) != 0 {
 		t.Errorf("event %+v: the call is to be answered by no news", e)
 	}
-	d.say <- `{"version":1,"full":true,"servers":[` + entry("s0", "127.0.0.1:1", "SERVING") + `]}`
-	if e := receive(t, events); len(e.Endpoints) != 0 {
+	d.Say <- `{"version":1,"full":true,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING") + `]}`
+	if e := testutil.Receive(t, events); len(e.Endpoints) != 0 {
 		t.Errorf("event %+v of a line that is old", e)
 	}
-	if _, ok := disc.table.serving("s0"); ok {
+	if _, ok := disc.table.Serving("s0"); ok {
 		t.Error("a draining backend may get work again")
 	}
-	if _, ok := disc.table.serving("s1"); !ok {
+	if _, ok := disc.table.Serving("s1"); !ok {
 		t.Error("a backend that the old list did not know is gone")
 	}
-	d.cut <- struct{}{}
-	receive(t, events)
+	d.Cut <- struct{}{}
+	testutil.Receive(t, events)
 	disc.subscribe(context.Background())
-	if q := receive(t, d.watch); q != "follow=1&since=2" {
+	if q := testutil.Receive(t, d.Watches); q != "follow=1&since=2" {
 		t.Errorf("watched again with %q", q)
 	}
 }
@@ -391,19 +379,19 @@
 // Guards against a move while the new discovery is down: the watch of the old address, still open, passed for
 // the one that was wanted, and the new address was never asked again.
 func TestMoveWhileDiscoveryIsDown(t *testing.T) {
-	old := newLists(t)
+	old := testutil.NewDiscovery(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := config(t, old.addr, entry("s0", "127.0.0.1:1", "SERVING"))
+	c := testutil.Config(t, old.Addr, testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
 	c.Settings.Subscribe = false
-	c.Settings.ConnectTimeout = time.Millisecond                                // the unit of the wait
-	a, logged := startWith(t, c, func(a *Agent) { a.loop.disc.silence = long }) // the old watch stays
-	until(t, "the old watch", func() bool { return logged.has("watch begins") })
-	a.Reload(&Config{Discovery: l.Addr().String()})
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(long))
+	c.Settings.ConnectTimeout = time.Millisecond                                            // the unit of the wait
+	a, logged := startWith(t, c, func(a *Agent) { a.loop.disc.silence = testutil.Timeout }) // the old watch stays
+	testutil.Eventually(t, "the old watch", func() bool { return logged.Contains("watch begins") })
+	a.Reload(&config.Config{Discovery: l.Addr().String()})
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(testutil.Timeout))
 	for range 3 {
 		conn, err := l.Accept()
 		if err != nil {
@@ -419,8 +407,8 @@
 	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 		t.Fatal(err)
 	}
-	answerWith(conn, 200, "", `{"version":1,"full":true,"servers":[`+entry("s7", "127.0.0.1:7", "SERVING")+`]}`)
-	until(t, "the list of the new address", func() bool { _, ok := a.loop.back.table.serving("s7"); return ok })
+	testutil.Respond(conn, 200, "", `{"version":1,"full":true,"servers":[`+testutil.EntryJSON("s7", "127.0.0.1:7", "SERVING")+`]}`)
+	testutil.Eventually(t, "the list of the new address", func() bool { _, ok := a.loop.back.table.Serving("s7"); return ok })
 }
 
 // What discovery may do to a call before it serves the next one.
@@ -459,19 +447,19 @@
 						do(w, r)
 						return
 					}
-					fmt.Fprintf(w, `{"version":9,"full":true,"servers":[%s]}`+"\n", entry("s7", "127.0.0.1:7", "SERVING"))
+					fmt.Fprintf(w, `{"version":9,"full":true,"servers":[%s]}`+"\n", testutil.EntryJSON("s7", "127.0.0.1:7", "SERVING"))
 					w.(http.Flusher).Flush()
 					<-r.Context().Done()
 				})}
 				go s.Serve(l)
 				t.Cleanup(func() { s.Close() })
-				c := config(t, l.Addr().String(), entry("s0", "127.0.0.1:1", "SERVING"))
+				c := testutil.Config(t, l.Addr().String(), testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
 				c.Settings.Subscribe, c.Settings.Agents = asked, 350
 				c.Settings.PollWithin = time.Minute // the waits come from the bound
 				a, _ := startWith(t, c, func(a *Agent) {
 					a.loop.disc.silence, a.loop.disc.calling = 50*time.Millisecond, 50*time.Millisecond
 				})
-				until(t, "the list", func() bool { _, ok := a.loop.back.table.serving("s7"); return ok })
+				testutil.Eventually(t, "the list", func() bool { _, ok := a.loop.back.table.Serving("s7"); return ok })
 			})
 		}
 	}
@@ -480,9 +468,9 @@
 // Guards against calls that are worked on after they were given up, and against a bound that leaves no time for
 // the next call's turn.
 func TestAskedCallsAreToldInTime(t *testing.T) {
-	c := config(t, "127.0.0.1:1")
+	c := testutil.Config(t, "127.0.0.1:1")
 	c.Settings.Subscribe = true
-	l, err := newLoop(c, NewClock(), logTo(&capture{}))
+	l, err := newLoop(c, clock.New(), testutil.NewLogger(&testutil.Log{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -498,9 +486,9 @@
 // Guards the bound on what a silent watch may miss: it and one more that is silent from its start must be over
 // before the 6 s after which that counts as told, and the waits between them within the grace for drains.
 func TestSilenceEndsInTime(t *testing.T) {
-	c := config(t, "127.0.0.1:1")
+	c := testutil.Config(t, "127.0.0.1:1")
 	c.Settings.Subscribe = false
-	l, err := newLoop(c, NewClock(), logTo(&capture{}))
+	l, err := newLoop(c, clock.New(), testutil.NewLogger(&testutil.Log{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -517,7 +505,7 @@
 	}
 	d.fails = maxDoubling
 	d.unit = time.Hour
-	ctx, cancel := context.WithTimeout(context.Background(), long)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
 	d.next = &watch{} // so that none begins
 	if d.resume(ctx); ctx.Err() != nil {
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/config"
+	"ashshunt/internal/socket"
 )
 
 const (
@@ -40,7 +42,7 @@
 	listed   time.Time     // ready from then on, with a list or without
 }
 
-func newFront(c *Config, loop *Loop) *front {
+func newFront(c *config.Config, loop *Loop) *front {
 	f := &front{loop: loop, classes: map[string]int{}, tenants: c.Names.Tenants, settings: c.Settings, linger: lingerTime,
 		listed: time.Now().Add(listWithin)}
 	for i, name := range c.Names.Classes {
@@ -80,8 +82,8 @@
 		}
 		arrived = time.Now() // a request's time counts from its last byte
 	}
-	q.left = func() bool { left, flooded := departed(client.Conn); return left || flooded }
-	if left, flooded := departed(client.Conn); left {
+	q.left = func() bool { left, flooded := socket.PeerClosed(client.Conn); return left || flooded }
+	if left, flooded := socket.PeerClosed(client.Conn); left {
 		panic(http.ErrAbortHandler) // while it waited to be read
 	} else if flooded {
 		f.turnAway(w, r, http.StatusBadRequest, "too much behind a request")
@@ -113,7 +115,7 @@
 		case <-r.Context().Done():
 			left = true
 		case <-look.C:
-			left, flooded = departed(client.Conn)
+			left, flooded = socket.PeerClosed(client.Conn)
 		}
 	}
 	f.loop.post(departure{r: req})
@@ -127,7 +129,7 @@
 func (f *front) health(w http.ResponseWriter) {
 	select {
 	case <-f.loop.ready:
-		if !f.draining.Load() && (f.loop.back.table.any() || !time.Now().Before(f.listed)) {
+		if !f.draining.Load() && (f.loop.back.table.AnyServing() || !time.Now().Before(f.listed)) {
 			io.WriteString(w, "ok\n")
 			return
 		}
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/clock"
+	"ashshunt/internal/testutil"
 )
 
 // leaves are the ways in which a client leaves. net/http sees no end behind bytes that follow the request.
@@ -54,9 +56,9 @@
 // hears of it however it left, nothing goes out for it, nothing is kept of it, and no answer is made up.
 func TestLeavesAtBackoff(t *testing.T) {
 	leaving(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
-		p := newPeer(t, echo)
+		p := testutil.NewServer(t, testutil.Echo)
 		heard, done := make(chan struct{}), make(chan balancer.Result, 1)
-		a, logged := start(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")),
+		a, logged := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
 			script(func(_ time.Duration, e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
 				case balancer.Request:
@@ -73,9 +75,9 @@
 				return nil
 			}))
 		c := dial(a, get(id))
-		receive(t, heard)
+		testutil.Receive(t, heard)
 		leave(c)
-		until(t, "the module to hear", func() bool { return logged.has("sent late") })
+		testutil.Eventually(t, "the module to hear", func() bool { return logged.Contains("sent late") })
 		select {
 		case res := <-done:
 			if res != balancer.NotSent {
@@ -83,7 +85,7 @@
 			}
 		default: // not even tried
 		}
-		if len(p.got) != 0 {
+		if len(p.Received) != 0 {
 			t.Error("a request went out after its client had left")
 		}
 		if text, _ := io.ReadAll(c); strings.Contains(string(text), " 200 ") {
@@ -95,9 +97,9 @@
 // Guards against a request that goes out from behind a busy loop, which has yet to hear that its client has left.
 func TestLeavesBehindABusyLoop(t *testing.T) {
 	leaving(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
-		p := newPeer(t, echo)
+		p := testutil.NewServer(t, testutil.Echo)
 		busy, gate, ended := make(chan struct{}), make(chan struct{}), make(chan balancer.Result, 10)
-		a, _ := start(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")),
+		a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
 			script(func(_ time.Duration, e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
 				case balancer.Request:
@@ -112,14 +114,14 @@
 				return nil
 			}))
 		c := dial(a, get(id))
-		receive(t, busy)
+		testutil.Receive(t, busy)
 		leave(c)
-		until(t, "the leave", a.loop.open[id].q.left) // the loop is held, nothing else is in the table
+		testutil.Eventually(t, "the leave", a.loop.open[id].q.left) // the loop is held, nothing else is in the table
 		close(gate)
-		if res := receive(t, ended); res != balancer.NotSent {
+		if res := testutil.Receive(t, ended); res != balancer.NotSent {
 			t.Errorf("result %d of a send after its client had left", res)
 		}
-		if len(p.got) != 0 {
+		if len(p.Received) != 0 {
 			t.Error("a request went out after its client had left")
 		}
 	})
@@ -128,10 +130,10 @@
 // Guards against a request that goes out on a connection that came up after its client had left.
 func TestLeavesDuringADial(t *testing.T) {
 	leaving(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
-		p := newPeer(t, echo)
+		p := testutil.NewServer(t, testutil.Echo)
 		dialling, gate := make(chan struct{}, 10), make(chan struct{})
 		told, ended := make(chan struct{}, 10), make(chan balancer.Outcome, 10)
-		a, _ := startWith(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")), func(a *Agent) {
+		a, _ := startWith(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), func(a *Agent) {
 			a.loop.back.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 				dialling <- struct{}{}
 				<-gate
@@ -154,14 +156,14 @@
 			})
 		})
 		c := dial(a, get(id))
-		receive(t, dialling)
+		testutil.Receive(t, dialling)
 		leave(c)
-		receive(t, told)
+		testutil.Receive(t, told)
 		close(gate)
-		if e := receive(t, ended); e.Result != balancer.NotSent || !e.Done {
+		if e := testutil.Receive(t, ended); e.Result != balancer.NotSent || !e.Done {
 			t.Errorf("outcome %+v", e)
 		}
-		if len(p.got) != 0 {
+		if len(p.Received) != 0 {
 			t.Error("a request went out after its client had left")
 		}
 	})
@@ -171,12 +173,12 @@
 func TestLeavesBeforeItsPlace(t *testing.T) {
 	leaving(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
 		gate := make(chan struct{})
-		p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool { <-gate; return echo(c, r, body) })
-		c := config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING"))
+		p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool { <-gate; return testutil.Echo(c, r, body) })
+		c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING"))
 		c.Sockets = 2 // one for clients
 		a, _ := start(t, c, nil)
 		first := dial(a, get(id[:15]+"8"))
-		receive(t, p.got)
+		testutil.Receive(t, p.Received)
 		second := dial(a, get(id))
 		leave(second) // which its system passes on at once, to a connection that the agent has not accepted yet
 		close(gate)
@@ -187,8 +189,8 @@
 		if resp, _ := ask(t, a, "GET", "/look", "", "X-Call-Id", id[:15]+"9", "X-Budget-Ms", "7000"); resp.StatusCode != 200 {
 			t.Errorf("the third one got %d", resp.StatusCode)
 		}
-		for len(p.got) > 0 {
-			if r := <-p.got; r.Header.Get("X-Call-Id") == id {
+		for len(p.Received) > 0 {
+			if r := <-p.Received; r.Header.Get("X-Call-Id") == id {
 				t.Error("a request went out whose client had left before it was read")
 			}
 		}
@@ -198,14 +200,14 @@
 // Guards against a body that stops: its request is not taken, however its client leaves.
 func TestLeavesWithinItsBody(t *testing.T) {
 	leaving(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
-		p := newPeer(t, echo)
-		a, _ := start(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")), nil)
+		p := testutil.NewServer(t, testutil.Echo)
+		a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), nil)
 		c := dial(a, post(id, "Content-Length: 3000000\r\n")+"half")
 		leave(c)
 		if resp, _ := ask(t, a, "GET", "/look", "", "X-Call-Id", id[:15]+"9", "X-Budget-Ms", "7000"); resp.StatusCode != 200 {
 			t.Errorf("the next one got %d", resp.StatusCode)
 		}
-		if r := receive(t, p.got); r.Header.Get("X-Call-Id") == id {
+		if r := testutil.Receive(t, p.Received); r.Header.Get("X-Call-Id") == id {
 			t.Error("half a request went out")
 		}
 	})
@@ -215,13 +217,13 @@
 func TestLeavesWithAnAttemptOut(t *testing.T) {
 	leaving(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
 		gate := make(chan struct{})
-		p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			<-gate
-			answerWith(c, 500, "", "")
+			testutil.Respond(c, 500, "", "")
 			return true
 		})
 		told, ended := make(chan struct{}, 10), make(chan balancer.Outcome, 10)
-		c := config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING"))
+		c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING"))
 		real, err := balancer.New(c.Settings, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -237,17 +239,17 @@
 			}
 		}})
 		client := dial(a, get(id))
-		receive(t, p.got)
+		testutil.Receive(t, p.Received)
 		leave(client)
-		receive(t, told)
+		testutil.Receive(t, told)
 		close(gate)
-		if e := receive(t, ended); e.Result != balancer.ServerError || !e.Done {
+		if e := testutil.Receive(t, ended); e.Result != balancer.ServerError || !e.Done {
 			t.Errorf("outcome %+v", e)
 		}
 		if resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 502 {
 			t.Errorf("its id, free again, got %d", resp.StatusCode) // 400 while it is open
 		}
-		if n := len(p.got); n != 1 {
+		if n := len(p.Received); n != 1 {
 			t.Errorf("%d attempts more went out, want that of the next request alone", n)
 		}
 	})
@@ -269,7 +271,7 @@
 // Guards against the leave of a client whose request was not taken, since its id was open or no place was free:
 // it passed for that of the client whose request is open, or took a place off the count.
 func TestLeavesUntaken(t *testing.T) {
-	l, err := newLoop(config(t, "127.0.0.1:1"), NewClock(), logTo(&capture{}))
+	l, err := newLoop(testutil.Config(t, "127.0.0.1:1"), clock.New(), testutil.NewLogger(&testutil.Log{}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -12,6 +12,9 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/clock"
+	"ashshunt/internal/config"
+	"ashshunt/internal/endpoint"
 )
 
 const (
@@ -45,7 +48,7 @@
 // Loop is the one goroutine that owns the Balancer. What happens comes to it through post; it never
 // waits for I/O.
 type Loop struct {
-	clock Clock
+	clock clock.Clock
 	s     balancer.Settings
 	bal   decider
 	back  *backends
@@ -104,9 +107,9 @@
 	reload struct{ discovery string }
 )
 
-func newLoop(c *Config, clock Clock, log *slog.Logger) (*Loop, error) {
+func newLoop(c *config.Config, clock clock.Clock, log *slog.Logger) (*Loop, error) {
 	settings := c.Settings
-	settings.MaxOpen, settings.PollSpread, settings.RefusedPollSpread = c.openRequests(), askSpread, refusedSpread
+	settings.MaxOpen, settings.PollSpread, settings.RefusedPollSpread = c.OpenRequests(), askSpread, refusedSpread
 	bal, err := balancer.New(settings, c.Seed)
 	if err != nil {
 		return nil, err
@@ -115,8 +118,8 @@
 	if maxIdle == 0 {
 		maxIdle = idleForNever
 	}
-	pool := newPool(maxIdle, c.Settings.ConnectTimeout, c.backendConns())
-	table := &members{m: map[string]Server{}}
+	pool := newPool(maxIdle, c.Settings.ConnectTimeout, c.EndpointConnections())
+	table := endpoint.NewTable()
 	l := &Loop{clock: clock, s: c.Settings, bal: bal, log: log, in: make(chan any, 1024), done: make(chan struct{}),
 		ready: make(chan struct{}), open: map[string]*request{}, last: clock.Now() - c.Settings.Tick}
 	l.back = &backends{pool: pool, table: table, reports: c.Settings.LoadReports,
@@ -128,7 +131,7 @@
 	known := c.Known
 	known.Full = true
 	l.disc.version = known.Version
-	table.apply(known)
+	table.Apply(known)
 	l.pending = append(l.pending, l.disc.event(known, balancer.ListCached))
 	return l, nil
 }
@@ -419,7 +422,7 @@
 		l.finish(outcome{r: r, event: event})
 		return
 	}
-	until := l.clock.base.Add(cut - clockStart)
+	until := l.clock.Time(cut)
 	go func() {
 		res, rep := l.back.attempt(ctx, r.q, a.Endpoint, until)
 		event.Result, event.Latency, event.LoadReport = res, l.clock.At(rep.at)-now, loadReport(rep)
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -6,6 +6,9 @@
 	"net"
 	"sync"
 	"time"
+
+	"ashshunt/internal/endpoint"
+	"ashshunt/internal/socket"
 )
 
 // pool holds the connections to backends. It is no http.Transport since that sends a request again by
@@ -37,9 +40,9 @@
 type conn struct {
 	net.Conn
 	group  *group
-	to     Server    // as listed when it was dialled
-	since  time.Time // idle from then on
-	closed bool      // guarded by pool.mu
+	to     endpoint.Entry // as listed when it was dialled
+	since  time.Time      // idle from then on
+	closed bool           // guarded by pool.mu
 }
 
 func newPool(maxIdle, connectTimeout time.Duration, limit int) *pool {
@@ -55,7 +58,7 @@
 		c := g.idle[len(g.idle)-1]
 		g.idle = g.idle[:len(g.idle)-1]
 		// Guards against an end that nobody has seen, and against bytes behind the last answer.
-		if quiet, _ := look(c.Conn); quiet && time.Since(c.since) < p.maxIdle {
+		if quiet, _ := socket.Peek(c.Conn); quiet && time.Since(c.since) < p.maxIdle {
 			return c
 		}
 		p.drop(c)
@@ -64,7 +67,7 @@
 }
 
 // dial opens a connection, within the pool's limit and time-out.
-func (p *pool) dial(ctx context.Context, to Server, cut time.Time) (*conn, error) {
+func (p *pool) dial(ctx context.Context, to endpoint.Entry, cut time.Time) (*conn, error) {
 	p.mu.Lock()
 	if p.limit > 0 && p.open >= p.limit && !p.evict() {
 		p.mu.Unlock()
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -10,6 +10,9 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/config"
+	"ashshunt/internal/socket"
+	"ashshunt/internal/testutil"
 )
 
 func get(id string) string {
@@ -30,10 +33,10 @@
 }
 
 // stoppable runs an agent until stop is called.
-func stoppable(t *testing.T, c *Config, prepare func(*Agent)) (a *Agent, logged *capture, stop func(), ended chan error) {
+func stoppable(t *testing.T, c *config.Config, prepare func(*Agent)) (a *Agent, logged *testutil.Log, stop func(), ended chan error) {
 	t.Helper()
-	logged = &capture{}
-	a, err := New(c, logTo(logged))
+	logged = &testutil.Log{}
+	a, err := New(c, testutil.NewLogger(logged))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +45,7 @@
 	t.Cleanup(cancel)
 	ended = make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
-	receive(t, a.loop.ready)
+	testutil.Receive(t, a.loop.ready)
 	return a, logged, cancel, ended
 }
 
@@ -51,13 +54,13 @@
 func TestStopClosesKeptConnections(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
-	p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("X-Call-Id") == id {
 			<-gate
 		}
-		return echo(c, r, body)
+		return testutil.Echo(c, r, body)
 	})
-	a, logged, stop, ended := stoppable(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")),
+	a, logged, stop, ended := stoppable(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
 		func(a *Agent) { a.acceptFor = 3 * time.Second })
 	kept := dialRaw(t, a, get(id[:15]+"2"))
 	in := bufio.NewReader(kept)
@@ -67,9 +70,9 @@
 	busy := dialRaw(t, a, get(id))
 	mute := dialRaw(t, a, "")
 	for range 2 {
-		receive(t, p.got)
+		testutil.Receive(t, p.Received)
 	}
-	until(t, "the connections to be taken", func() bool {
+	testutil.Eventually(t, "the connections to be taken", func() bool {
 		a.clients.mu.Lock()
 		defer a.clients.mu.Unlock()
 		return a.clients.open == 3 && a.clients.idle.Len() == 2
@@ -78,7 +81,7 @@
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("a kept connection: %v, want its end", err)
 	}
-	until(t, "the drain", func() bool { return logged.has("draining") })
+	testutil.Eventually(t, "the drain", func() bool { return logged.Contains("draining") })
 	close(gate)
 	if resp := answered(t, bufio.NewReader(busy)); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("under way as the stop came: status %d, close %v", resp.StatusCode, resp.Close)
@@ -87,7 +90,7 @@
 	if resp := answered(t, bufio.NewReader(mute)); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a connection that had said nothing: status %d, close %v", resp.StatusCode, resp.Close)
 	}
-	if err := receive(t, ended); err != nil {
+	if err := testutil.Receive(t, ended); err != nil {
 		t.Error(err)
 	}
 }
@@ -119,7 +122,7 @@
 
 	client, c := connect()
 	io.WriteString(client, "request")
-	until(t, "its bytes", func() bool { return pending(c.Conn) })
+	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(c.Conn) })
 	clients.drainAll()
 	if n, err := c.Read(buf); n != 7 || err != nil {
 		t.Fatalf("a request that waits to be read: %d bytes, %v", n, err)
@@ -139,7 +142,7 @@
 	first := c.leave() // it was about to be closed as the request came
 	clients.mu.Unlock()
 	io.WriteString(client, "request")
-	until(t, "its bytes", func() bool { return pending(c.Conn) })
+	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(c.Conn) })
 	if n, err := c.Read(buf); n != 0 || err == nil {
 		t.Errorf("read %d bytes of a connection that is out of use, %v", n, err)
 	}
@@ -161,16 +164,16 @@
 	t.Parallel()
 	failed := make(chan struct{})
 	first := true
-	p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if first {
 			first = false
-			answerWith(c, 500, "", "")
+			testutil.Respond(c, 500, "", "")
 			return true
 		}
-		return echo(c, r, body)
+		return testutil.Echo(c, r, body)
 	})
 	var stopped func() bool
-	a, logged, stop, ended := stoppable(t, config(t, newLists(t).addr, entry("s0", p.addr(), "SERVING")),
+	a, logged, stop, ended := stoppable(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
 		func(a *Agent) {
 			wait := []balancer.Action{balancer.SetTimer{After: time.Millisecond, Token: 1}}
 			send := []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}}
@@ -192,14 +195,14 @@
 				return nil
 			})
 		})
-	stopped = func() bool { return logged.has("draining") }
+	stopped = func() bool { return logged.Contains("draining") }
 	c := dialRaw(t, a, get(id))
-	receive(t, failed)
+	testutil.Receive(t, failed)
 	stop()
 	if resp := answered(t, bufio.NewReader(c)); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("at backoff as the stop came: status %d, close %v", resp.StatusCode, resp.Close)
 	}
-	if err := receive(t, ended); err != nil {
+	if err := testutil.Receive(t, ended); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/agent/trouble_test.go
+++ b/internal/agent/trouble_test.go
@@ -7,18 +7,20 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"ashshunt/internal/testutil"
 )
 
 // held is a backend that keeps each request open until it is told what to do with it.
 type held struct {
-	*peer
+	*testutil.Server
 	end chan bool // for one request: whether it is answered; else its connection breaks
 }
 
 func newHeld(t *testing.T) *held {
 	h := &held{end: make(chan bool)}
-	h.peer = newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		return <-h.end && echo(c, r, body)
+	h.Server = testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		return <-h.end && testutil.Echo(c, r, body)
 	})
 	return h
 }
@@ -28,8 +30,8 @@
 func TestBreaksUnderOpenRequests(t *testing.T) {
 	t.Parallel()
 	s := []*held{newHeld(t), newHeld(t)}
-	a, _ := start(t, config(t, newLists(t).addr, entry("s0", s[0].addr(), "SERVING"),
-		entry("s1", s[1].addr(), "SERVING")), nil)
+	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", s[0].Addr(), "SERVING"),
+		testutil.EntryJSON("s1", s[1].Addr(), "SERVING")), nil)
 	n := 0
 	done := make(chan int, 100)
 	open := [2]int{}
@@ -41,13 +43,13 @@
 			done <- resp.StatusCode
 		}()
 		select {
-		case <-s[0].got:
+		case <-s[0].Received:
 			open[0]++
 			return 0
-		case <-s[1].got:
+		case <-s[1].Received:
 			open[1]++
 			return 1
-		case <-time.After(long):
+		case <-time.After(testutil.Timeout):
 			t.Fatal("a request reached no backend")
 		}
 		return -1
@@ -55,7 +57,7 @@
 	end := func(i int, answer bool, want int) {
 		s[i].end <- answer
 		open[i]--
-		if status := receive(t, done); status != want {
+		if status := testutil.Receive(t, done); status != want {
 			t.Fatalf("status %d, want %d", status, want)
 		}
 	}
@@ -84,11 +86,11 @@
 func TestPlacesAreKeptFree(t *testing.T) {
 	t.Parallel()
 	h := newHeld(t)
-	c := config(t, newLists(t).addr, entry("s0", h.addr(), "SERVING"))
+	c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", h.Addr(), "SERVING"))
 	c.Sockets = 30 // ten open requests, of which one is kept free
 	for i := range c.Settings.Classes {
 		class := &c.Settings.Classes[i]
-		class.Objective, class.Deadline = 10*long, 10*long
+		class.Objective, class.Deadline = 10*testutil.Timeout, 10*testutil.Timeout
 	}
 	c.Settings.Classes[2].Priority, c.Settings.WeightOverall = 10, 1 // settle
 	a, _ := start(t, c, nil)
@@ -106,13 +108,13 @@
 	}
 	for range 4 { // what one backend gets at once
 		send("POST", "/settle")
-		receive(t, h.got)
+		testutil.Receive(t, h.Received)
 	}
 	send("GET", "/look")
 	for range 4 {
 		send("POST", "/settle")
 	}
-	if path := receive(t, refused); path != "/look" {
+	if path := testutil.Receive(t, refused); path != "/look" {
 		t.Errorf("%s was refused, and not the request that is worth least", path)
 	}
 }
@@ -122,17 +124,17 @@
 func TestLostAnswersAreNoLoad(t *testing.T) {
 	t.Parallel()
 	var n atomic.Int32
-	s0 := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	s0 := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if n.Add(1) <= 2 {
-			return hang(c, r, body)
+			return testutil.Hang(c, r, body)
 		}
-		return echo(c, r, body)
+		return testutil.Echo(c, r, body)
 	})
-	s1 := newPeer(t, echo)
-	d := newLists(t)
-	c := config(t, d.addr, entry("s0", s0.addr(), "SERVING"))
+	s1 := testutil.NewServer(t, testutil.Echo)
+	d := testutil.NewDiscovery(t)
+	c := testutil.Config(t, d.Addr, testutil.EntryJSON("s0", s0.Addr(), "SERVING"))
 	for i := range c.Settings.Classes {
-		c.Settings.Classes[i].Objective, c.Settings.Classes[i].Deadline = 200*time.Millisecond, 3*long
+		c.Settings.Classes[i].Objective, c.Settings.Classes[i].Deadline = 200*time.Millisecond, 3*testutil.Timeout
 	}
 	a, _ := start(t, c, nil)
 	no := 0
@@ -147,21 +149,21 @@
 		conn := dialRaw(t, a, fmt.Sprintf("POST /settle HTTP/1.1\r\nHost: a\r\nX-Call-Id: %016x\r\nX-Budget-Ms: 60000\r\n"+
 			"Content-Length: 0\r\n\r\n", 1000000+i))
 		defer conn.Close()
-		receive(t, s0.got)
+		testutil.Receive(t, s0.Received)
 	}
 	settle()
-	receive(t, s0.got)
-	d.say <- `{"version":2,"full":false,"servers":[` + entry("s1", s1.addr(), "SERVING") + `]}`
-	until(t, "the second backend", func() bool { _, ok := a.loop.back.table.serving("s1"); return ok })
+	testutil.Receive(t, s0.Received)
+	d.Say <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s1", s1.Addr(), "SERVING") + `]}`
+	testutil.Eventually(t, "the second backend", func() bool { _, ok := a.loop.back.table.Serving("s1"); return ok })
 	used := false // the second backend; from then on the first is not the only one
 	for range 1000 {
 		settle()
 		select {
-		case <-s0.got:
+		case <-s0.Received:
 			if used {
 				return
 			}
-		case <-s1.got:
+		case <-s1.Received:
 			used = true
 		}
 	}
--- /dev/null
+++ b/internal/clock/clock.go
@@ -0,0 +1,36 @@
+// Package clock provides the monotonic clock on which the decision module runs.
+package clock
+
+import "time"
+
+// Clock is the loop's monotonic clock. It starts far above zero, since the module reads a start time
+// of 0 as "long ago" and a backend may have started a while before this agent.
+type Clock struct {
+	base time.Time
+	unix time.Duration // Unix time at base; fixed, so that one start time always converts to one value
+}
+
+const start = 24 * time.Hour
+
+// New returns a clock that begins now.
+func New() Clock {
+	now := time.Now()
+	return Clock{base: now, unix: time.Duration(now.UnixNano())}
+}
+
+// At is the clock's value at t.
+func (c Clock) At(t time.Time) time.Duration { return start + t.Sub(c.base) }
+
+// Now is the clock's value now.
+func (c Clock) Now() time.Duration { return c.At(time.Now()) }
+
+// FromUnixMillis converts a start time as discovery gives it; 0 means long ago and stays so.
+func (c Clock) FromUnixMillis(ms float64) time.Duration {
+	if ms <= 0 {
+		return 0
+	}
+	return max(0, start+time.Duration(ms*1e6)-c.unix)
+}
+
+// Time is the wall-clock time at a value of the clock.
+func (c Clock) Time(at time.Duration) time.Time { return c.base.Add(at - start) }
--- /dev/null
+++ b/internal/clock/clock_test.go
@@ -0,0 +1,24 @@
+package clock
+
+import (
+	"testing"
+	"time"
+
+	"ashshunt/internal/testutil"
+)
+
+// Guards against a start time that reads as "long ago", and one that moves from list to list.
+func TestStartTimes(t *testing.T) {
+	now := New()
+	if got := now.FromUnixMillis(0); got != 0 {
+		t.Errorf("long ago became %v", got)
+	}
+	ms := float64(time.Now().UnixMilli() - 3000)
+	first := now.FromUnixMillis(ms)
+	if age := now.Now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testutil.Timeout {
+		t.Errorf("started 3 s ago became %v ago", age)
+	}
+	if now.FromUnixMillis(ms) != first {
+		t.Error("one start time became two")
+	}
+}
--- a/internal/simwire/settingerror.go
+++ b/internal/config/settingerror.go
@@ -1,4 +1,4 @@
-package simwire
+package config
 
 import (
 	"errors"
--- a/internal/simwire/settings.go
+++ b/internal/config/settings.go
@@ -1,8 +1,10 @@
-package simwire
+package config
 
 import (
 	"encoding/json"
 	"fmt"
+	"math"
+	"time"
 
 	"ashshunt/balancer"
 )
@@ -84,12 +86,6 @@
 // Names are the settings' words for what the module knows by position.
 type Names struct{ Classes, Tenants, Zones, Kinds []string }
 
-// parseSettings translates the settings object of the bench.
-func parseSettings(raw []byte) (balancer.Settings, error) {
-	s, _, err := ParseSettings(raw)
-	return s, err
-}
-
 // ParseSettings translates the settings object, which the bench's first message and a real agent's
 // configuration hold in the same form. Unknown keys are ignored.
 func ParseSettings(raw []byte) (balancer.Settings, Names, error) {
@@ -197,3 +193,8 @@
 	}
 	return s, nil
 }
+
+// duration converts the milliseconds of the settings object.
+func duration(milliseconds float64) time.Duration {
+	return time.Duration(math.Round(milliseconds * 1e6))
+}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/config"
 )
 
 // Open tells that an instance starts with no state.
@@ -172,7 +173,7 @@
 			return errors.New("missing RandomSeed or Facts")
 		}
 		e.Open = &Open{Seed: *m.RandomSeed}
-		e.Open.Settings, err = parseSettings(m.Facts)
+		e.Open.Settings, _, err = config.ParseSettings(m.Facts)
 	case "Retire":
 		e.Retire = true
 	case "View":
--- a/internal/agent/look.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,5 @@
-package agent
+// Package socket looks at the receive side of TCP sockets without reading from them.
+package socket
 
 import (
 	"errors"
@@ -8,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxBehind is how much may wait behind an open request.
-const maxBehind = 16 << 10
+// maxUnread is how much may wait behind an open request.
+const maxUnread = 16 << 10
 
-// look peeks at a socket without waiting. quiet: nothing has come and the other side has not closed it.
+// Peek peeks at a socket without waiting. quiet: nothing has come and the other side has not closed it.
 // bytes: something is there to be read.
-func look(c net.Conn) (quiet, bytes bool) {
+func Peek(c net.Conn) (quiet, bytes bool) {
 	raw, err := rawConn(c)
 	if err != nil {
 		return false, false
@@ -24,8 +25,8 @@
 	return quiet, bytes
 }
 
-// await waits until a socket has bytes to be read, or has ended.
-func await(c net.Conn) error {
+// WaitReadable waits until a socket has bytes to be read, or has ended.
+func WaitReadable(c net.Conn) error {
 	raw, err := rawConn(c)
 	if err != nil {
 		return err
@@ -50,10 +51,10 @@
 	return err == syscall.EAGAIN, err == nil && n > 0
 }
 
-// departed reports whether a client has left, although bytes that it sent before may hide its end from whoever
+// PeerClosed reports whether a client has left, although bytes that it sent before may hide its end from whoever
 // reads, and whether more waits to be read than follows an open request of a client that means to wait: behind
 // that, no end would be seen.
-func departed(c net.Conn) (left, flooded bool) {
+func PeerClosed(c net.Conn) (left, flooded bool) {
 	raw, err := rawConn(c)
 	if err != nil {
 		return false, false
@@ -63,13 +64,13 @@
 		n, err := unix.Poll(p, 0)
 		left = err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 		waiting, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ)
-		flooded = err == nil && waiting > maxBehind
+		flooded = err == nil && waiting > maxUnread
 	})
 	return left || err != nil, flooded // closed by this side, nobody can be answered on it
 }
 
-// pending reports whether bytes wait to be read.
-func pending(c net.Conn) bool {
-	_, bytes := look(c)
+// HasUnread reports whether bytes wait to be read.
+func HasUnread(c net.Conn) bool {
+	_, bytes := Peek(c)
 	return bytes
 }
--- a/internal/agent/log.go
+++ b/internal/telemetry/log.go
@@ -1,4 +1,5 @@
-package agent
+// Package telemetry holds what the agent tells its operators: so far the rate limit of its log.
+package telemetry
 
 import (
 	"context"
@@ -10,13 +11,13 @@
 // linesPerSecond bounds the log: what clients and backends send decides how much there is to say.
 const linesPerSecond = 20
 
-// Sparing returns a handler that passes on so many lines a second at the most, and then says how many it
+// RateLimited returns a handler that passes on so many lines a second at the most, and then says how many it
 // left out.
-func Sparing(h slog.Handler) slog.Handler {
-	return sparing{Handler: h, budget: &logBudget{now: time.Now}}
+func RateLimited(h slog.Handler) slog.Handler {
+	return rateLimited{Handler: h, budget: &logBudget{now: time.Now}}
 }
 
-type sparing struct {
+type rateLimited struct {
 	slog.Handler
 	budget *logBudget
 }
@@ -44,7 +45,7 @@
 	return true, leftOut
 }
 
-func (s sparing) Handle(ctx context.Context, r slog.Record) error {
+func (s rateLimited) Handle(ctx context.Context, r slog.Record) error {
 	ok, leftOut := s.budget.spend()
 	if !ok {
 		return nil
@@ -55,10 +56,10 @@
 	return s.Handler.Handle(ctx, r)
 }
 
-func (s sparing) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return sparing{s.Handler.WithAttrs(attrs), s.budget}
+func (s rateLimited) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return rateLimited{s.Handler.WithAttrs(attrs), s.budget}
 }
 
-func (s sparing) WithGroup(name string) slog.Handler {
-	return sparing{s.Handler.WithGroup(name), s.budget}
+func (s rateLimited) WithGroup(name string) slog.Handler {
+	return rateLimited{s.Handler.WithGroup(name), s.budget}
 }
