--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,7 +7,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// Guards against a start time that reads as "long ago", and one that moves from list to list.
+// A known start time never reads as "long ago", and converts to the same value each time.
 func TestStartTimes(t *testing.T) {
 	now := New()
 	if got := now.FromUnixMillis(0); got != 0 {
--- /dev/null
+++ b/internal/config/config_test.go
@@ -0,0 +1,122 @@
+package config
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"ashshunt/balancer"
+)
+
+const minimal = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+ "limits":{"memory_mb":192,"sockets":1024},
+ "known":{"version":4,"full":true,"servers":[{"id":"s0","addr":"127.0.0.1:2","state":"SERVING"}]},
+ "settings":{"Balancers":2,"Me":1,"Contract":{"ColdFrom":1},
+  "Profiles":[{"Name":"pay","AimMs":100,"DeadlineMs":500,"Worth":1,"Semantics":"once"}],
+  "Tenants":[{"Name":"acme","Portion":0.5,"QuotaPerS":10}]}}`
+
+func TestParse(t *testing.T) {
+	c, err := Parse([]byte(minimal))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c.Name != "n0" || c.Listen != "127.0.0.1:0" || c.Discovery != "127.0.0.1:1" || c.Seed != 0x8c1f30d27a5be964 {
+		t.Errorf("identity %+v", c)
+	}
+	if c.MemoryMB != 192 || c.Sockets != 1024 {
+		t.Errorf("limits %d MB, %d sockets", c.MemoryMB, c.Sockets)
+	}
+	if c.Settings.Agents != 2 || c.Settings.AgentIndex != 1 || c.Settings.Classes[0].Idempotency != balancer.NotIdempotent {
+		t.Errorf("settings %+v", c.Settings)
+	}
+	if len(c.Names.Classes) != 1 || c.Names.Classes[0] != "pay" || c.Names.Tenants[0] != "acme" {
+		t.Errorf("names %+v", c.Names)
+	}
+	if c.Known.Version != 4 || len(c.Known.Entries) != 1 || c.Known.Entries[0].ID != "s0" {
+		t.Errorf("known list %+v", c.Known)
+	}
+}
+
+func TestEnvironmentStandsIn(t *testing.T) {
+	t.Setenv("GW_NAME", "n7")
+	t.Setenv("GW_LISTEN", "127.0.0.1:7000")
+	t.Setenv("GW_DISCOVERY", "127.0.0.1:7001")
+	text := strings.NewReplacer(`"name":"n0",`, "", `"listen":"127.0.0.1:0",`, "", `"discovery":"127.0.0.1:1",`, "").Replace(minimal)
+	c, err := Parse([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c.Name != "n7" || c.Listen != "127.0.0.1:7000" || c.Discovery != "127.0.0.1:7001" {
+		t.Errorf("identity %+v", c)
+	}
+}
+
+// Every error is one line that names the key at fault, as it stands in the file.
+func TestBadConfiguration(t *testing.T) {
+	tests := []struct{ name, old, new, want string }{
+		{"no JSON", `{"name"`, `{name`, "invalid character"},
+		{"listen without a port", `"127.0.0.1:0"`, `"127.0.0.1"`, `listen: "127.0.0.1" is not host:port`},
+		{"discovery with a bad port", `"127.0.0.1:1"`, `"127.0.0.1:99999"`, `discovery: "127.0.0.1:99999" has no valid port`},
+		{"seed that is no number", `8c1f30d27a5be964`, `seed`, "seed: "},
+		{"negative limit", `"sockets":1024`, `"sockets":-1`, "limits: negative"},
+		{"no settings", `"settings"`, `"other"`, "settings: missing"},
+		{"unknown word", `"once"`, `"maybe"`, `settings: Profiles[0].Semantics: unknown kind "maybe"`},
+		{"count out of range", `"Balancers":2`, `"Balancers":0`, "settings: Balancers: 0 makes no sense"},
+		{"number of this agent out of range", `"Me":1`, `"Me":2`, "settings: Me: 2 makes no sense"},
+		{"class without an objective", `"AimMs":100`, `"AimMs":0`, "settings: Profiles[0].AimMs: 0s makes no sense"},
+		{"tenant with a negative quota", `"QuotaPerS":10`, `"QuotaPerS":-1`, "settings: Tenants[0].QuotaPerS: -1 makes no sense"},
+		{"ill-typed setting", `"ColdFrom":1`, `"ColdFrom":"all"`, "Contract.ColdFrom"},
+		{"known list without a version", `"version":4,`, "", "known: missing version or servers"},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			text := strings.Replace(minimal, tt.old, tt.new, 1)
+			if text == minimal {
+				t.Fatal("the case changes nothing")
+			}
+			_, err := Parse([]byte(text))
+			if err == nil || !strings.Contains(err.Error(), tt.want) {
+				t.Fatalf("error %v, want one with %q", err, tt.want)
+			}
+			if strings.Contains(err.Error(), "\n") {
+				t.Errorf("error of several lines: %q", err)
+			}
+		})
+	}
+}
+
+func TestLoadNamesTheFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), path) {
+		t.Errorf("missing file: error %v", err)
+	}
+	if err := os.WriteFile(path, []byte("{}"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Load(path); err == nil || !strings.HasPrefix(err.Error(), path+": ") {
+		t.Errorf("empty object: error %v", err)
+	}
+}
+
+func TestDescriptorsAreDivided(t *testing.T) {
+	tests := []struct{ sockets, maxOpen, clients, endpoints, requests int }{
+		{0, 0, 0, 0, 0},
+		{0, 50, 0, 0, 50},
+		{1024, 0, 512, 384, 341},
+		{1024, 100, 512, 384, 100},
+		{1024, 1000, 512, 384, 341},
+	}
+	for _, tt := range tests {
+		c := &Config{Sockets: tt.sockets, Settings: balancer.Settings{MaxOpen: tt.maxOpen}}
+		if got := c.ClientConnections(); got != tt.clients {
+			t.Errorf("%d sockets: %d client connections, want %d", tt.sockets, got, tt.clients)
+		}
+		if got := c.EndpointConnections(); got != tt.endpoints {
+			t.Errorf("%d sockets: %d endpoint connections, want %d", tt.sockets, got, tt.endpoints)
+		}
+		if got := c.OpenRequests(); got != tt.requests {
+			t.Errorf("%d sockets, MaxOpen %d: %d open requests, want %d", tt.sockets, tt.maxOpen, got, tt.requests)
+		}
+	}
+}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,199 +2,203 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"math"
+	"strconv"
 	"time"
 
 	"ashshunt/balancer"
 )
 
-// facts mirrors the settings object of the wire, in the wire's own names.
-type facts struct {
-	Balancers int
-	Me        int
-	Zone      int
-	CountedBy string
-	Profiles  []struct {
-		Name       string
-		AimMs      float64
-		DeadlineMs float64
-		Worth      float64
-		LateValue  float64
-		Semantics  string
-		Group      string
-		WindowMs   float64
-		KeepOrder  bool
-		AimStretch float64
-		Stream     bool
-	}
-	Tenants []struct {
-		Name      string
-		Portion   float64
-		QuotaPerS float64
-	}
-	OverShareWorth float64
-	Dcs, Kinds     []string
-	Tier           int
-	Tiers          []string
-	Weights        string
-	Clients        struct{ MarksRetry bool }
-	FamilyInfo     struct{ WarmKeys, PassesDeadline bool }
-	Report         struct {
-		Source string
-		Fields []string
-	}
-	MembershipMode string
-	TickMs         float64
-	PolicyLimits   struct {
-		TryLimit                                          int
-		SecondCopies, MayProbe, Cancel, RetryAfter, Peers bool
-		MaxRetryAfterMs, ConnectTimeoutMs, IdleCloseMs    float64
-		MaxOpen, StreamsPerConn                           int
-		CpuUsPerS, CpuUsPerRequest                        float64
-	}
-	Contract struct {
-		DrainGraceMs, GraceToAnswerMs, AskWithinMs float64
-		ColdFrom, RampTimeMs, FallMultiple, FallMs float64
-		BusyIsNoProof                              bool
-		KeyRestMs                                  float64
-	}
-	Goal   struct{ Whole, WorstWindow, WorstClass, WorstTenant float64 }
-	Prices struct {
-		CrossZone, Waste, LateFail, Probe, Peer              float64
-		Handshake, Connection, MembershipMode, Moves, Origin float64
-		Fleet                                                float64
-	}
-}
-
-var weights = map[string]balancer.Weights{
-	"": balancer.WeightsNone, "off": balancer.WeightsNone, "nominal": balancer.WeightsNominal,
-	"rough": balancer.WeightsRough, "live": balancer.WeightsLive,
-}
-
-var sources = map[string]balancer.LoadReportSource{
-	"": balancer.LoadReportsNone, "off": balancer.LoadReportsNone,
-	"inline": balancer.LoadReportsWithResponses, "on_probe": balancer.LoadReportsWithHealthChecks,
+// Names are the words of the settings object for what the decision module knows by position.
+type Names struct {
+	Classes []string
+	Tenants []string
+	Zones   []string
+	Kinds   []string
 }
 
-var fields = map[string]balancer.LoadReportFields{
-	"outstanding": balancer.FieldInFlight, "backlog": balancer.FieldQueue,
-	"utilization": balancer.FieldUtilization, "recent_ms": balancer.FieldService,
-	"throughput": balancer.FieldThroughput, "errors_per_s": balancer.FieldErrors,
-}
-
-// Names are the settings' words for what the module knows by position.
-type Names struct{ Classes, Tenants, Zones, Kinds []string }
-
-// ParseSettings translates the settings object, which the bench's first message and a real agent's
-// configuration hold in the same form. Unknown keys are ignored.
+// ParseSettings converts the settings object, which a configuration file and the simulator's first message hold in
+// the same form. Keys that it does not know are ignored, since later versions of the object may add some.
 func ParseSettings(raw []byte) (balancer.Settings, Names, error) {
-	var f facts
-	if err := json.Unmarshal(raw, &f); err != nil {
-		return balancer.Settings{}, Names{}, fmt.Errorf("Facts: %w", err)
+	var object settingsObject
+	if err := json.Unmarshal(raw, &object); err != nil {
+		return balancer.Settings{}, Names{}, err
 	}
-	names := Names{Zones: f.Dcs, Kinds: f.Kinds}
-	for _, p := range f.Profiles {
+	settings, err := object.settings()
+	return settings, object.names(), err
+}
+
+func (o *settingsObject) names() Names {
+	names := Names{Zones: o.Dcs, Kinds: o.Kinds}
+	for _, p := range o.Profiles {
 		names.Classes = append(names.Classes, p.Name)
 	}
-	for _, t := range f.Tenants {
+	for _, t := range o.Tenants {
 		names.Tenants = append(names.Tenants, t.Name)
 	}
-	s, err := f.settings()
-	return s, names, err
+	return names
 }
 
-func (f *facts) settings() (balancer.Settings, error) {
+func (o *settingsObject) settings() (balancer.Settings, error) {
 	s := balancer.Settings{
-		Agents:               f.Balancers,
-		AgentIndex:           f.Me,
-		Zone:                 f.Zone,
-		PriorityByWork:       f.CountedBy == "work",
-		Subscribe:            f.MembershipMode == "subscribe",
-		Tick:                 duration(f.TickMs),
-		MaxAttempts:          f.PolicyLimits.TryLimit,
-		AllowHedging:         f.PolicyLimits.SecondCopies,
-		AllowHealthChecks:    f.PolicyLimits.MayProbe,
-		AllowCancel:          f.PolicyLimits.Cancel,
-		SendRetryAfter:       f.PolicyLimits.RetryAfter,
-		AllowGossip:          f.PolicyLimits.Peers,
-		MaxRetryAfter:        duration(f.PolicyLimits.MaxRetryAfterMs),
-		ConnectTimeout:       duration(f.PolicyLimits.ConnectTimeoutMs),
-		IdleClose:            duration(f.PolicyLimits.IdleCloseMs),
-		DrainGrace:           duration(f.Contract.DrainGraceMs),
-		ResponseGrace:        duration(f.Contract.GraceToAnswerMs),
-		PollWithin:           duration(f.Contract.AskWithinMs),
-		ColdCapacity:         f.Contract.ColdFrom,
-		SlowStart:            duration(f.Contract.RampTimeMs),
-		ColdOverloadMultiple: f.Contract.FallMultiple,
-		ColdOverloadWindow:   duration(f.Contract.FallMs),
-		WeightOverall:        f.Goal.Whole,
-		WeightWorstWindow:    f.Goal.WorstWindow,
-		WeightWorstClass:     f.Goal.WorstClass,
-		WeightWorstTenant:    f.Goal.WorstTenant,
-		OverQuotaPriority:    f.OverShareWorth,
-
-		Zones: len(f.Dcs), Kinds: len(f.Kinds), Tier: f.Tier, Tiers: len(f.Tiers),
-		MarksRetry:         f.Clients.MarksRetry,
-		CacheAffinity:      f.FamilyInfo.WarmKeys,
-		PassesDeadline:     f.FamilyInfo.PassesDeadline,
-		MaxOpen:            f.PolicyLimits.MaxOpen,
-		StreamsPerConn:     f.PolicyLimits.StreamsPerConn,
-		CPUPerSecond:       duration(f.PolicyLimits.CpuUsPerS / 1000),
-		CPUPerRequest:      duration(f.PolicyLimits.CpuUsPerRequest / 1000),
-		RejectedMayHaveRun: f.Contract.BusyIsNoProof,
-		KeyQuietPeriod:     duration(f.Contract.KeyRestMs),
-
-		CrossZonePrice:   f.Prices.CrossZone,
-		WastePrice:       f.Prices.Waste,
-		LateFailPrice:    f.Prices.LateFail,
-		HealthCheckPrice: f.Prices.Probe,
-		GossipPrice:      f.Prices.Peer,
-		HandshakePrice:   f.Prices.Handshake,
-		ConnectionPrice:  f.Prices.Connection,
-		PollPrice:        f.Prices.MembershipMode,
-		MigrationPrice:   f.Prices.Moves,
-		OriginPrice:      f.Prices.Origin,
-		FleetPrice:       f.Prices.Fleet,
+		Agents:            o.Balancers,
+		AgentIndex:        o.Me,
+		Zone:              o.Zone,
+		Zones:             len(o.Dcs),
+		Kinds:             len(o.Kinds),
+		Tier:              o.Tier,
+		Tiers:             len(o.Tiers),
+		PriorityByWork:    o.CountedBy == "work",
+		Subscribe:         o.MembershipMode == "subscribe",
+		Tick:              milliseconds(o.TickMs),
+		MarksRetry:        o.Clients.MarksRetry,
+		CacheAffinity:     o.FamilyInfo.WarmKeys,
+		PassesDeadline:    o.FamilyInfo.PassesDeadline,
+		OverQuotaPriority: o.OverShareWorth,
+		WeightOverall:     o.Goal.Whole,
+		WeightWorstWindow: o.Goal.WorstWindow,
+		WeightWorstClass:  o.Goal.WorstClass,
+		WeightWorstTenant: o.Goal.WorstTenant,
 	}
-	var ok bool
-	if s.Weights, ok = weights[f.Weights]; !ok {
-		return s, fmt.Errorf("Weights: unknown meaning %q", f.Weights)
+	o.PolicyLimits.apply(&s)
+	o.Contract.apply(&s)
+	o.Prices.apply(&s)
+	var err error
+	if s.Weights, err = lookUp(weightMeanings, "Weights", "meaning", o.Weights); err != nil {
+		return s, err
 	}
-	if s.LoadReports, ok = sources[f.Report.Source]; !ok {
-		return s, fmt.Errorf("Report.Source: unknown source %q", f.Report.Source)
+	if s.LoadReports, err = lookUp(reportSources, "Report.Source", "source", o.Report.Source); err != nil {
+		return s, err
 	}
-	for _, name := range f.Report.Fields {
-		s.LoadReportFields |= fields[name] // values that a later wire adds carry no bit
+	for _, name := range o.Report.Fields {
+		s.LoadReportFields |= reportFields[name] // a field that a later version adds has no bit
 	}
-	for _, t := range f.Tenants {
+	for _, t := range o.Tenants {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Share: t.Portion, Quota: t.QuotaPerS})
 	}
-	effects := map[string]balancer.Idempotency{
-		"repeatable": balancer.Idempotent, "by_key": balancer.IdempotentWithKey, "once": balancer.NotIdempotent}
-	groups := map[string]balancer.DedupScope{
-		"": balancer.DedupEverywhere, "all": balancer.DedupEverywhere,
-		"zone": balancer.DedupInZone, "cell": balancer.DedupInCell}
-	for i, p := range f.Profiles {
-		effect, ok := effects[p.Semantics]
-		if !ok {
-			return s, fmt.Errorf("Profiles[%d].Semantics: unknown kind %q", i, p.Semantics)
+	for i, p := range o.Profiles {
+		class, err := p.class("Profiles[" + strconv.Itoa(i) + "].")
+		if err != nil {
+			return s, err
 		}
-		group, ok := groups[p.Group]
-		if !ok {
-			return s, fmt.Errorf("Profiles[%d].Group: unknown group %q", i, p.Group)
-		}
-		s.Classes = append(s.Classes, balancer.Class{
-			Objective: duration(p.AimMs), Deadline: duration(p.DeadlineMs),
-			Priority: p.Worth, LatePriority: p.LateValue,
-			Idempotency: effect, DedupScope: group, DedupWindow: duration(p.WindowMs),
-			Ordered: p.KeepOrder, ObjectiveStretch: p.AimStretch, Streamed: p.Stream,
-		})
+		s.Classes = append(s.Classes, class)
 	}
 	return s, nil
 }
 
-// duration converts the milliseconds of the settings object.
-func duration(milliseconds float64) time.Duration {
-	return time.Duration(math.Round(milliseconds * 1e6))
+// class converts a profile; path leads to it within the settings object.
+func (p *profile) class(path string) (balancer.Class, error) {
+	idempotency, err := lookUp(idempotencies, path+"Semantics", "kind", p.Semantics)
+	if err != nil {
+		return balancer.Class{}, err
+	}
+	scope, err := lookUp(dedupScopes, path+"Group", "group", p.Group)
+	if err != nil {
+		return balancer.Class{}, err
+	}
+	return balancer.Class{
+		Objective:        milliseconds(p.AimMs),
+		Deadline:         milliseconds(p.DeadlineMs),
+		Priority:         p.Worth,
+		LatePriority:     p.LateValue,
+		Idempotency:      idempotency,
+		DedupScope:       scope,
+		DedupWindow:      milliseconds(p.WindowMs),
+		Ordered:          p.KeepOrder,
+		ObjectiveStretch: p.AimStretch,
+		Streamed:         p.Stream,
+	}, nil
+}
+
+func (l *policyLimits) apply(s *balancer.Settings) {
+	s.MaxAttempts = l.TryLimit
+	s.AllowHedging = l.SecondCopies
+	s.AllowHealthChecks = l.MayProbe
+	s.AllowCancel = l.Cancel
+	s.AllowGossip = l.Peers
+	s.SendRetryAfter = l.RetryAfter
+	s.MaxRetryAfter = milliseconds(l.MaxRetryAfterMs)
+	s.ConnectTimeout = milliseconds(l.ConnectTimeoutMs)
+	s.IdleClose = milliseconds(l.IdleCloseMs)
+	s.MaxOpen = l.MaxOpen
+	s.StreamsPerConn = l.StreamsPerConn
+	s.CPUPerSecond = milliseconds(l.CPUUsPerS / 1000)
+	s.CPUPerRequest = milliseconds(l.CPUUsPerRequest / 1000)
+}
+
+func (c *contract) apply(s *balancer.Settings) {
+	s.DrainGrace = milliseconds(c.DrainGraceMs)
+	s.ResponseGrace = milliseconds(c.GraceToAnswerMs)
+	s.PollWithin = milliseconds(c.AskWithinMs)
+	s.ColdCapacity = c.ColdFrom
+	s.SlowStart = milliseconds(c.RampTimeMs)
+	s.ColdOverloadMultiple = c.FallMultiple
+	s.ColdOverloadWindow = milliseconds(c.FallMs)
+	s.RejectedMayHaveRun = c.BusyIsNoProof
+	s.KeyQuietPeriod = milliseconds(c.KeyRestMs)
+}
+
+func (p *prices) apply(s *balancer.Settings) {
+	s.CrossZonePrice = p.CrossZone
+	s.WastePrice = p.Waste
+	s.LateFailPrice = p.LateFail
+	s.HealthCheckPrice = p.Probe
+	s.GossipPrice = p.Peer
+	s.HandshakePrice = p.Handshake
+	s.ConnectionPrice = p.Connection
+	s.PollPrice = p.MembershipMode
+	s.MigrationPrice = p.Moves
+	s.OriginPrice = p.Origin
+	s.FleetPrice = p.Fleet
+}
+
+var weightMeanings = map[string]balancer.Weights{
+	"":        balancer.WeightsNone,
+	"off":     balancer.WeightsNone,
+	"nominal": balancer.WeightsNominal,
+	"rough":   balancer.WeightsRough,
+	"live":    balancer.WeightsLive,
+}
+
+var reportSources = map[string]balancer.LoadReportSource{
+	"":         balancer.LoadReportsNone,
+	"off":      balancer.LoadReportsNone,
+	"inline":   balancer.LoadReportsWithResponses,
+	"on_probe": balancer.LoadReportsWithHealthChecks,
+}
+
+var reportFields = map[string]balancer.LoadReportFields{
+	"outstanding":  balancer.FieldInFlight,
+	"backlog":      balancer.FieldQueue,
+	"utilization":  balancer.FieldUtilization,
+	"recent_ms":    balancer.FieldService,
+	"throughput":   balancer.FieldThroughput,
+	"errors_per_s": balancer.FieldErrors,
+}
+
+var idempotencies = map[string]balancer.Idempotency{
+	"repeatable": balancer.Idempotent,
+	"by_key":     balancer.IdempotentWithKey,
+	"once":       balancer.NotIdempotent,
+}
+
+var dedupScopes = map[string]balancer.DedupScope{
+	"":     balancer.DedupEverywhere,
+	"all":  balancer.DedupEverywhere,
+	"zone": balancer.DedupInZone,
+	"cell": balancer.DedupInCell,
+}
+
+// lookUp finds the value of a setting by its word. what says in the error what the word names.
+func lookUp[V any](values map[string]V, key, what, word string) (V, error) {
+	value, ok := values[word]
+	if !ok {
+		return value, &UnknownWordError{Key: key, What: what, Word: word}
+	}
+	return value, nil
+}
+
+// milliseconds converts a number of milliseconds to the nearest nanosecond.
+func milliseconds(ms float64) time.Duration {
+	return time.Duration(math.Round(ms * 1e6))
 }
--- a/internal/config/settingerror.go
+++ b/internal/config/settings_error.go
@@ -2,11 +2,23 @@
 
 import (
 	"errors"
+	"fmt"
 	"strings"
 
 	"ashshunt/balancer"
 )
 
+// UnknownWordError reports a setting whose word is none that the agent knows.
+type UnknownWordError struct {
+	Key  string // the path within the settings object
+	What string // what the word names
+	Word string
+}
+
+func (e *UnknownWordError) Error() string {
+	return fmt.Sprintf("%s: unknown %s %q", e.Key, e.What, e.Word)
+}
+
 // settingKeys gives the keys of the settings object for the fields of balancer.Settings that are named otherwise.
 var settingKeys = map[string]string{
 	"Agents":               "Balancers",
--- a/internal/telemetry/log_test.go
+++ b/internal/telemetry/log_test.go
@@ -9,7 +9,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// Guards against a log that others fill: lines past the bound are counted, not written.
+// Lines past the limit are counted, not written.
 func TestRateLimitedLog(t *testing.T) {
 	logged := &testutil.Log{}
 	h := RateLimited(slog.NewTextHandler(logged, nil)).(rateLimited)
@@ -24,7 +24,7 @@
 	}
 	now = now.Add(time.Second)
 	log.Warn("later")
-	if !logged.Contains("msg=later agent=n0 left_out_before=80") {
+	if !logged.Contains("msg=later agent=n0 dropped_before=80") {
 		t.Errorf("log %q", logged.String()[len(logged.String())-100:])
 	}
 }
