--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -49,7 +49,8 @@
 		SecondCopies, MayProbe, Cancel, RetryAfter, Peers bool
 		MaxRetryAfterMs, ConnectTimeoutMs, IdleCloseMs    float64
 		MaxOpen, StreamsPerConn                           int
-		CpuUsPerS, CpuUsPerRequest                        float64
+		CPUMicrosPerSecond                                float64 `json:"CpuUsPerS"`
+		CPUMicrosPerRequest                               float64 `json:"CpuUsPerRequest"`
 	}
 	Contract struct {
 		DrainGraceMs, GraceToAnswerMs, AskWithinMs float64
@@ -81,6 +82,20 @@
 	"throughput": balancer.FieldThroughput, "errors_per_s": balancer.FieldErrors,
 }
 
+// settingsKey is the key of the settings object in the message that opens an instance.
+const settingsKey = "Facts"
+
+// UnknownValueError reports a setting whose value is none of those that the settings object may hold.
+type UnknownValueError struct {
+	Key   string // the path within the settings object, such as "Profiles[0].Semantics"
+	Sort  string // what the value should name, such as "kind"
+	Value string
+}
+
+func (e *UnknownValueError) Error() string {
+	return fmt.Sprintf("%s: unknown %s %q", e.Key, e.Sort, e.Value)
+}
+
 // Names are the settings' words for what the module knows by position.
 type Names struct{ Classes, Tenants, Zones, Kinds []string }
 
@@ -95,7 +110,7 @@
 func ParseSettings(raw []byte) (balancer.Settings, Names, error) {
 	var f facts
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return balancer.Settings{}, Names{}, fmt.Errorf("Facts: %w", err)
+		return balancer.Settings{}, Names{}, fmt.Errorf("%s: %w", settingsKey, err)
 	}
 	names := Names{Zones: f.Dcs, Kinds: f.Kinds}
 	for _, p := range f.Profiles {
@@ -144,8 +159,8 @@
 		PassesDeadline:     f.FamilyInfo.PassesDeadline,
 		MaxOpen:            f.PolicyLimits.MaxOpen,
 		StreamsPerConn:     f.PolicyLimits.StreamsPerConn,
-		CPUPerSecond:       duration(f.PolicyLimits.CpuUsPerS / 1000),
-		CPUPerRequest:      duration(f.PolicyLimits.CpuUsPerRequest / 1000),
+		CPUPerSecond:       duration(f.PolicyLimits.CPUMicrosPerSecond / 1000),
+		CPUPerRequest:      duration(f.PolicyLimits.CPUMicrosPerRequest / 1000),
 		RejectedMayHaveRun: f.Contract.BusyIsNoProof,
 		KeyQuietPeriod:     duration(f.Contract.KeyRestMs),
 
@@ -163,10 +178,10 @@
 	}
 	var ok bool
 	if s.Weights, ok = weights[f.Weights]; !ok {
-		return s, fmt.Errorf("Weights: unknown meaning %q", f.Weights)
+		return s, &UnknownValueError{"Weights", "meaning", f.Weights}
 	}
 	if s.LoadReports, ok = sources[f.Report.Source]; !ok {
-		return s, fmt.Errorf("Report.Source: unknown source %q", f.Report.Source)
+		return s, &UnknownValueError{"Report.Source", "source", f.Report.Source}
 	}
 	for _, name := range f.Report.Fields {
 		s.LoadReportFields |= fields[name] // values that a later wire adds carry no bit
@@ -174,26 +189,40 @@
 	for _, t := range f.Tenants {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Share: t.Portion, Quota: t.QuotaPerS})
 	}
-	effects := map[string]balancer.Idempotency{
-		"repeatable": balancer.Idempotent, "by_key": balancer.IdempotentWithKey, "once": balancer.NotIdempotent}
-	groups := map[string]balancer.DedupScope{
+	classes, err := f.classes()
+	s.Classes = classes
+	return s, err
+}
+
+// idempotencies and dedupScopes translate the words of a class.
+var (
+	idempotencies = map[string]balancer.Idempotency{
+		"repeatable": balancer.Idempotent, "by_key": balancer.IdempotentWithKey, "once": balancer.NotIdempotent,
+	}
+	dedupScopes = map[string]balancer.DedupScope{
 		"": balancer.DedupEverywhere, "all": balancer.DedupEverywhere,
-		"zone": balancer.DedupInZone, "cell": balancer.DedupInCell}
+		"zone": balancer.DedupInZone, "cell": balancer.DedupInCell,
+	}
+)
+
+// classes translates the classes up to the first one with an unknown word.
+func (f *facts) classes() ([]balancer.Class, error) {
+	var classes []balancer.Class
 	for i, p := range f.Profiles {
-		effect, ok := effects[p.Semantics]
+		idempotency, ok := idempotencies[p.Semantics]
 		if !ok {
-			return s, fmt.Errorf("Profiles[%d].Semantics: unknown kind %q", i, p.Semantics)
+			return classes, &UnknownValueError{fmt.Sprintf("Profiles[%d].Semantics", i), "kind", p.Semantics}
 		}
-		group, ok := groups[p.Group]
+		scope, ok := dedupScopes[p.Group]
 		if !ok {
-			return s, fmt.Errorf("Profiles[%d].Group: unknown group %q", i, p.Group)
+			return classes, &UnknownValueError{fmt.Sprintf("Profiles[%d].Group", i), "group", p.Group}
 		}
-		s.Classes = append(s.Classes, balancer.Class{
+		classes = append(classes, balancer.Class{
 			Objective: duration(p.AimMs), Deadline: duration(p.DeadlineMs),
 			Priority: p.Worth, LatePriority: p.LateValue,
-			Idempotency: effect, DedupScope: group, DedupWindow: duration(p.WindowMs),
+			Idempotency: idempotency, DedupScope: scope, DedupWindow: duration(p.WindowMs),
 			Ordered: p.KeepOrder, ObjectiveStretch: p.AimStretch, Streamed: p.Stream,
 		})
 	}
-	return s, nil
+	return classes, nil
 }
