--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -3,25 +3,20 @@
 import (
 	"encoding/hex"
 	"encoding/json"
-	"errors"
-	"fmt"
 	"math"
 	"time"
 
 	"ashshunt/balancer"
 )
 
-type entry struct {
-	Backend      string
-	Availability string
-	Rating       float64
-	Block        int
-	LaunchedMs   float64
-	Sku          int
-	Dc           int
-}
+// The kinds of message that hold no event.
+const (
+	kindFrame      = "Frame"      // starts a batch
+	kindEnd        = "End"        // ends a batch
+	kindDefineList = "DefineList" // defines an endpoint list, to which later messages refer
+)
 
-// message holds the fields of every message; pointers mark those that some
+// message holds the fields of every message, named as on the wire; pointers mark those that some
 // message must carry.
 type message struct {
 	Kind       string `json:"msg"`
@@ -30,7 +25,7 @@
 	RandomSeed *uint64
 	Facts      json.RawMessage
 	Sheet      *int
-	Items      *[]entry
+	Items      *[]listItem
 	How        *string
 	Job        *string
 	TierClass  *int
@@ -50,152 +45,229 @@
 	Text       *string `json:"Msg"`
 }
 
+// listItem is one endpoint of a list, named as on the wire.
+type listItem struct {
+	Backend      string
+	Availability string
+	Rating       float64
+	Block        int
+	LaunchedMs   float64
+	Sku          int
+	Dc           int
+}
+
+// The bits of a request's StateBits.
 const (
-	bitHintValid = 1
-	bitRepeat    = 2
-	bitWrite     = 4
+	bitWorkHint    = 1 // WorkHintMs holds a value
+	bitClientRetry = 2
+	bitWrite       = 4
 )
 
-var results = map[string]balancer.Result{
-	"pass": balancer.Served, "fault": balancer.ServerError, "no_room": balancer.Rejected,
-	"too_slow": balancer.TimedOut, "no_route": balancer.ConnectFailed, "cut": balancer.Reset,
-	"undone": balancer.Cancelled, "stale_send": balancer.NotSent,
-}
+// The words of the wire.
+var (
+	resultWords = map[string]balancer.Result{
+		"pass": balancer.Served, "fault": balancer.ServerError, "no_room": balancer.Rejected,
+		"too_slow": balancer.TimedOut, "no_route": balancer.ConnectFailed, "cut": balancer.Reset,
+		"undone": balancer.Cancelled, "stale_send": balancer.NotSent,
+	}
+	listKindWords = map[string]balancer.ListKind{
+		"diff": balancer.ListDelta, "snapshot": balancer.ListComplete,
+		"disk": balancer.ListCached, "error": balancer.ListFailed,
+	}
+	endpointStateWords = map[string]balancer.EndpointState{
+		"on": balancer.Serving, "fading": balancer.Draining, "off": balancer.Removed,
+	}
+)
 
-var listKinds = map[string]balancer.ListKind{
-	"diff": balancer.ListDelta, "snapshot": balancer.ListComplete,
-	"disk": balancer.ListCached, "error": balancer.ListFailed,
+// decoder turns messages into events. It keeps the endpoint lists that were defined, since later messages refer to
+// them by number.
+type decoder struct {
+	lists map[int][]balancer.Endpoint
 }
 
-var states = map[string]balancer.EndpointState{
-	"on": balancer.Serving, "fading": balancer.Draining, "off": balancer.Removed,
+func newDecoder() decoder { return decoder{lists: map[int][]balancer.Endpoint{}} }
+
+// eventDecoders has a decoder for each kind of message that holds an event. Each checks the fields of its own and
+// leaves the instance's number to decoder.event.
+var eventDecoders = map[string]func(*decoder, *message) (Event, error){
+	"OpenInstance": (*decoder).openInstance,
+	"Retire":       (*decoder).retire,
+	"View":         (*decoder).endpointList,
+	"Submit":       (*decoder).request,
+	"Ended":        (*decoder).outcome,
+	"ProbeDone":    (*decoder).healthCheckResult,
+	"Streaming":    (*decoder).streamStarted,
+	"Expired":      (*decoder).abandoned,
+	"Reminder":     (*decoder).timerFired,
+	"Peer":         (*decoder).gossipMessage,
 }
 
-func (r *Reader) add(b *Batch, m *message) error {
-	if m.Kind == "DefineList" {
-		return r.defineList(m)
-	}
-	e := Event{Line: r.line}
-	var err error
-	switch m.Kind {
-	case "OpenInstance":
-		if m.RandomSeed == nil || m.Facts == nil {
-			return errors.New("missing RandomSeed or Facts")
-		}
-		e.Open = &Open{Seed: *m.RandomSeed}
-		e.Open.Settings, err = parseSettings(m.Facts)
-	case "Retire":
-		e.Retire = true
-	case "View":
-		e.Event, err = r.view(m)
-	case "Submit":
-		if m.Job == nil || m.TierClass == nil || m.GraceMs == nil {
-			return errors.New("missing Job, TierClass or GraceMs")
-		}
-		q := balancer.Request{ID: *m.Job, Class: *m.TierClass, Timeout: duration(*m.GraceMs),
-			ClientRetry: m.StateBits&bitRepeat != 0, Write: m.StateBits&bitWrite != 0,
-			Key: m.Item, Tenant: m.Project}
-		if m.StateBits&bitHintValid != 0 {
-			q.Work = duration(m.WorkHintMs)
-		}
-		e.Event = q
-	case "Ended":
-		if m.Job == nil || m.Outcome == nil || m.SendNo == nil || m.Backend == nil || m.WaitTimeMs == nil {
-			return errors.New("missing Job, Outcome, SendNo, Backend or WaitTimeMs")
-		}
-		res, ok := results[*m.Outcome]
-		if !ok {
-			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
-		}
-		e.Event = balancer.Outcome{Request: *m.Job, Attempt: *m.SendNo, Endpoint: *m.Backend, Result: res,
-			Latency: duration(*m.WaitTimeMs), Done: m.Ended, LoadReport: load(m.Usage)}
-	case "ProbeDone":
-		if m.Backend == nil || m.Outcome == nil || m.WaitTimeMs == nil {
-			return errors.New("missing Backend, Outcome or WaitTimeMs")
-		}
-		res, ok := results[*m.Outcome]
-		if !ok {
-			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
-		}
-		e.Event = balancer.HealthCheckResult{Endpoint: *m.Backend, Result: res,
-			Latency: duration(*m.WaitTimeMs), LoadReport: load(m.Usage)}
-	case "Streaming":
-		if m.Job == nil || m.SendNo == nil {
-			return errors.New("missing Job or SendNo")
-		}
-		e.Event = balancer.StreamStarted{Request: *m.Job, Attempt: *m.SendNo}
-	case "Expired":
-		if m.Job == nil {
-			return errors.New("missing Job")
-		}
-		e.Event = balancer.Abandoned{Request: *m.Job}
-	case "Reminder":
-		if m.Cookie == nil {
-			return errors.New("missing Cookie")
-		}
-		e.Event = balancer.TimerFired{Token: *m.Cookie}
-	case "Peer":
-		if m.From == nil || m.Text == nil {
-			return errors.New("missing From or Msg")
-		}
-		data, err := hex.DecodeString(*m.Text)
-		if err != nil {
-			return fmt.Errorf("Msg: %w", err)
-		}
-		e.Event = balancer.GossipMessage{From: *m.From, Data: data}
-	default:
-		return errors.New("unknown message")
+// event returns the event that m holds.
+func (d *decoder) event(m *message) (Event, error) {
+	decode, ok := eventDecoders[m.Kind]
+	if !ok {
+		return Event{}, ErrUnknownMessage
 	}
+	event, err := decode(d, m)
 	if err != nil {
-		return err
+		return Event{}, err
 	}
 	if m.Agent == nil {
-		return errors.New("missing Agent")
+		return Event{}, missing("Agent")
 	}
-	e.Agent = *m.Agent
-	b.Events = append(b.Events, e)
-	return nil
+	event.Agent = *m.Agent
+	return event, nil
 }
 
-func (r *Reader) defineList(m *message) error {
+// defineList keeps the endpoint list that m holds.
+func (d *decoder) defineList(m *message) error {
 	if m.Sheet == nil || m.Items == nil {
-		return errors.New("missing Sheet or Items")
+		return missing("Sheet", "Items")
 	}
 	list := make([]balancer.Endpoint, 0, len(*m.Items))
-	for _, it := range *m.Items {
-		state, ok := states[it.Availability]
-		if !ok {
-			return fmt.Errorf("unknown Availability %q", it.Availability)
-		}
-		if it.Backend == "" {
-			return errors.New("missing Backend")
+	for _, item := range *m.Items {
+		endpoint, err := item.endpoint()
+		if err != nil {
+			return err
 		}
-		list = append(list, balancer.Endpoint{ID: it.Backend, State: state, Zone: it.Dc, Cell: it.Block,
-			Kind: it.Sku, Weight: it.Rating, Started: duration(it.LaunchedMs)})
+		list = append(list, endpoint)
 	}
-	r.lists[*m.Sheet] = list
+	d.lists[*m.Sheet] = list
 	return nil
 }
 
-func (r *Reader) view(m *message) (balancer.Event, error) {
+func (item *listItem) endpoint() (balancer.Endpoint, error) {
+	state, err := translate(endpointStateWords, "Availability", item.Availability)
+	if err != nil {
+		return balancer.Endpoint{}, err
+	}
+	if item.Backend == "" {
+		return balancer.Endpoint{}, missing("Backend")
+	}
+	return balancer.Endpoint{
+		ID: item.Backend, State: state, Zone: item.Dc, Cell: item.Block,
+		Kind: item.Sku, Weight: item.Rating, Started: duration(item.LaunchedMs),
+	}, nil
+}
+
+func (d *decoder) openInstance(m *message) (Event, error) {
+	if m.RandomSeed == nil || m.Facts == nil {
+		return Event{}, missing("RandomSeed", "Facts")
+	}
+	settings, err := parseSettings(m.Facts)
+	if err != nil {
+		return Event{}, err
+	}
+	return Event{Open: &Open{Seed: *m.RandomSeed, Settings: settings}}, nil
+}
+
+func (d *decoder) retire(*message) (Event, error) { return Event{Retire: true}, nil }
+
+func (d *decoder) endpointList(m *message) (Event, error) {
 	if m.How == nil {
-		return nil, errors.New("missing How")
+		return Event{}, missing("How")
 	}
-	kind, ok := listKinds[*m.How]
-	if !ok {
-		return nil, fmt.Errorf("unknown How %q", *m.How)
+	kind, err := translate(listKindWords, "How", *m.How)
+	if err != nil {
+		return Event{}, err
 	}
 	if kind == balancer.ListFailed {
-		return balancer.EndpointList{Kind: kind}, nil
+		return Event{Event: balancer.EndpointList{Kind: kind}}, nil
 	}
 	if m.Sheet == nil {
-		return nil, errors.New("missing Sheet")
+		return Event{}, missing("Sheet")
 	}
-	list, ok := r.lists[*m.Sheet]
+	list, ok := d.lists[*m.Sheet]
 	if !ok {
-		return nil, fmt.Errorf("Sheet %d was never defined", *m.Sheet)
+		return Event{}, &UndefinedListError{Sheet: *m.Sheet}
 	}
-	return balancer.EndpointList{Kind: kind, Endpoints: list}, nil
+	return Event{Event: balancer.EndpointList{Kind: kind, Endpoints: list}}, nil
 }
 
-func duration(ms float64) time.Duration { return time.Duration(math.Round(ms * 1e6)) }
+func (d *decoder) request(m *message) (Event, error) {
+	if m.Job == nil || m.TierClass == nil || m.GraceMs == nil {
+		return Event{}, missing("Job", "TierClass", "GraceMs")
+	}
+	request := balancer.Request{
+		ID: *m.Job, Class: *m.TierClass, Timeout: duration(*m.GraceMs), Key: m.Item, Tenant: m.Project,
+		ClientRetry: m.StateBits&bitClientRetry != 0, Write: m.StateBits&bitWrite != 0,
+	}
+	if m.StateBits&bitWorkHint != 0 {
+		request.Work = duration(m.WorkHintMs)
+	}
+	return Event{Event: request}, nil
+}
+
+func (d *decoder) outcome(m *message) (Event, error) {
+	if m.Job == nil || m.Outcome == nil || m.SendNo == nil || m.Backend == nil || m.WaitTimeMs == nil {
+		return Event{}, missing("Job", "Outcome", "SendNo", "Backend", "WaitTimeMs")
+	}
+	result, err := translate(resultWords, "Outcome", *m.Outcome)
+	if err != nil {
+		return Event{}, err
+	}
+	return Event{Event: balancer.Outcome{
+		Request: *m.Job, Attempt: *m.SendNo, Endpoint: *m.Backend, Result: result,
+		Latency: duration(*m.WaitTimeMs), Done: m.Ended, LoadReport: loadReport(m.Usage),
+	}}, nil
+}
+
+func (d *decoder) healthCheckResult(m *message) (Event, error) {
+	if m.Backend == nil || m.Outcome == nil || m.WaitTimeMs == nil {
+		return Event{}, missing("Backend", "Outcome", "WaitTimeMs")
+	}
+	result, err := translate(resultWords, "Outcome", *m.Outcome)
+	if err != nil {
+		return Event{}, err
+	}
+	return Event{Event: balancer.HealthCheckResult{
+		Endpoint: *m.Backend, Result: result,
+		Latency: duration(*m.WaitTimeMs), LoadReport: loadReport(m.Usage),
+	}}, nil
+}
+
+func (d *decoder) streamStarted(m *message) (Event, error) {
+	if m.Job == nil || m.SendNo == nil {
+		return Event{}, missing("Job", "SendNo")
+	}
+	return Event{Event: balancer.StreamStarted{Request: *m.Job, Attempt: *m.SendNo}}, nil
+}
+
+func (d *decoder) abandoned(m *message) (Event, error) {
+	if m.Job == nil {
+		return Event{}, missing("Job")
+	}
+	return Event{Event: balancer.Abandoned{Request: *m.Job}}, nil
+}
+
+func (d *decoder) timerFired(m *message) (Event, error) {
+	if m.Cookie == nil {
+		return Event{}, missing("Cookie")
+	}
+	return Event{Event: balancer.TimerFired{Token: *m.Cookie}}, nil
+}
+
+func (d *decoder) gossipMessage(m *message) (Event, error) {
+	if m.From == nil || m.Text == nil {
+		return Event{}, missing("From", "Msg")
+	}
+	data, err := hex.DecodeString(*m.Text)
+	if err != nil {
+		return Event{}, &FieldError{Field: "Msg", Err: err}
+	}
+	return Event{Event: balancer.GossipMessage{From: *m.From, Data: data}}, nil
+}
+
+// translate returns what a word in a field stands for.
+func translate[T any](words map[string]T, field, word string) (T, error) {
+	value, ok := words[word]
+	if !ok {
+		return value, &UnknownWordError{Field: field, Word: word}
+	}
+	return value, nil
+}
+
+// duration translates milliseconds, which may have a fraction.
+func duration(ms float64) time.Duration {
+	return time.Duration(math.Round(ms * float64(time.Millisecond)))
+}
--- a/internal/simwire/loadreport.go
+++ b/internal/simwire/loadreport.go
@@ -1,32 +1,54 @@
 package simwire
 
 import (
+	"maps"
+
 	"ashshunt/balancer"
 )
 
-func load(usage map[string]float64) balancer.LoadReport {
-	value := func(name string) float64 {
-		if v, ok := usage[name]; ok {
-			return v
+// notReported marks a value that a load report does not hold.
+const notReported = -1
+
+// loadReportAliases gives the simulator's name for each value that real endpoints report by another one.
+var loadReportAliases = map[string]string{
+	"inflight":   "outstanding",
+	"queue":      "backlog",
+	"util":       "utilization",
+	"latency_ms": "recent_ms",
+	"qps":        "throughput",
+	"eps":        "errors_per_s",
+}
+
+// LoadReport translates a load report whose values have the simulator's names or those that real endpoints use.
+func LoadReport(values map[string]float64) balancer.LoadReport {
+	named := maps.Clone(values)
+	for alias, name := range loadReportAliases {
+		if v, ok := values[alias]; ok {
+			named[name] = v
 		}
-		return -1
 	}
-	l := balancer.LoadReport{Valid: usage != nil, Service: -1, InFlight: value("outstanding"), Queue: value("backlog"),
-		Utilization: value("utilization"), Throughput: value("throughput"), ErrorsPerSec: value("errors_per_s")}
-	if v, ok := usage["recent_ms"]; ok {
-		l.Service = duration(v)
-	}
-	return l
+	return loadReport(named)
 }
 
-// LoadReport translates a load report, by the names of the wire or by the bench's own, which real
-// backends use.
-func LoadReport(usage map[string]float64) balancer.LoadReport {
-	for own, name := range map[string]string{"inflight": "outstanding", "queue": "backlog", "util": "utilization",
-		"latency_ms": "recent_ms", "qps": "throughput", "eps": "errors_per_s"} {
-		if v, ok := usage[own]; ok {
-			usage[name] = v
+// loadReport translates a load report whose values have the simulator's names.
+func loadReport(values map[string]float64) balancer.LoadReport {
+	value := func(name string) float64 {
+		if v, ok := values[name]; ok {
+			return v
 		}
+		return notReported
+	}
+	report := balancer.LoadReport{
+		Valid:        values != nil,
+		InFlight:     value("outstanding"),
+		Queue:        value("backlog"),
+		Utilization:  value("utilization"),
+		Throughput:   value("throughput"),
+		Service:      notReported,
+		ErrorsPerSec: value("errors_per_s"),
+	}
+	if v, ok := values["recent_ms"]; ok {
+		report.Service = duration(v)
 	}
-	return load(usage)
+	return report
 }
