--- /dev/null
+++ b/internal/simwire/reader_test.go
@@ -0,0 +1,72 @@
+package simwire
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+)
+
+func TestBadInput(t *testing.T) {
+	tests := []struct{ name, in, want string }{
+		{"not JSON", frame("{oops"), "line 2: "},
+		{"unknown message", frame(`{"msg":"Nope","Agent":1}`), "line 2: Nope: unknown message"},
+		{"missing field", frame(`{"msg":"Submit","Agent":1,"Job":"x"}`), "line 2: Submit: missing"},
+		{"missing instance", frame(`{"msg":"Expired","Job":"x"}`), "line 2: Expired: missing Agent"},
+		{"ill-typed field", frame(`{"msg":"Expired","Agent":"one","Job":"x"}`), "line 2: "},
+		{"list never defined", frame(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`), "line 2: View: Sheet 5 was never defined"},
+		{"unknown outcome", frame(`{"msg":"Ended","Agent":1,"Job":"x","Outcome":"huh","WaitTimeMs":1,"Backend":"b","SendNo":0}`), `unknown Outcome "huh"`},
+		{"unknown kind of class", frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":{"Profiles":[{"Semantics":"maybe"}]}}`),
+			`Profiles[0].Semantics: unknown kind "maybe"`},
+		{"unknown weights", frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":{"Weights":"x"}}`), `Weights: unknown meaning "x"`},
+		{"unknown report source", frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":{"Report":{"Source":"x"}}}`), `Report.Source: unknown source "x"`},
+		{"ill-typed setting", frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":{"Goal":{"Whole":"much"}}}`), "Goal.Whole"},
+		{"ends within a batch", "{\"msg\":\"Frame\",\"ClockMs\":1}\n", "line 1: the input ends within a batch"},
+		{"frame without clock", "{\"msg\":\"Frame\"}\n", "line 1: Frame: missing ClockMs"},
+		{"event outside a batch", "{\"msg\":\"Expired\",\"Agent\":1,\"Job\":\"x\"}\n", "outside a batch"},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			_, err := NewReader(strings.NewReader(tt.in)).Next()
+			if err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), tt.want) {
+				t.Errorf("error %v, want one with %q", err, tt.want)
+			}
+		})
+	}
+}
+
+// Lines and batches of several megabytes are read whole.
+func TestLongBatch(t *testing.T) {
+	var in strings.Builder
+	for i := range 50000 {
+		fmt.Fprintf(&in, "{\"msg\":\"Expired\",\"Agent\":1,\"Job\":\"%016x\"}\n", i)
+	}
+	pad := `{"msg":"Expired","Agent":1,"Job":"x","Later":"` + strings.Repeat("y", 3<<20) + `"}`
+	b, err := NewReader(strings.NewReader(frame(in.String() + pad))).Next()
+	if err != nil || len(b.Events) != 50001 {
+		t.Fatalf("%v: read %d events", err, len(b.Events))
+	}
+}
+
+// Whatever comes in, a batch or a plain error comes out.
+func FuzzNext(f *testing.F) {
+	f.Add(frame(`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":240.5,"Project":-1,"Item":""}`))
+	f.Add(frame(`{"msg":"DefineList","Sheet":3,"Items":[{"Backend":"a","Availability":"on"}]}`, `{"msg":"View","Agent":3,"How":"diff","Sheet":3}`))
+	f.Add(frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":` + strings.ReplaceAll(factsJSON, "\n", "") + `}`))
+	f.Add(frame(`{"msg":"Peer","Agent":3,"From":2,"Msg":"6"}`))
+	f.Add("{\"msg\":\"End\"}\n")
+	f.Add("null\n[]\n")
+	f.Fuzz(func(t *testing.T, in string) {
+		r := NewReader(strings.NewReader(in))
+		for {
+			b, err := r.Next()
+			if err != nil {
+				return
+			}
+			if b == nil {
+				t.Fatal("neither a batch nor an error")
+			}
+		}
+	})
+}
