--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -223,9 +223,8 @@
 	}
 }
 
-// onSilence tries a request again whose last attempt has had no answer within its patience. Guards
-// against lost answers, hanging backends and those that leave one class unanswered. The bucket is
-// charged as after a time-out, so that it runs dry under overload; the first attempt may still answer.
+// onSilence retries a request whose last attempt was not answered within its patience, at the price of
+// a time-out. The first attempt stays out and may still answer.
 func (b *Balancer) onSilence(r *request) {
 	a := r.attempts[len(r.attempts)-1]
 	r.failed = a.b
@@ -302,10 +301,8 @@
 	b.keepSpare()
 }
 
-// keepSpare gives up what is held and worth least, of that the oldest, while few more requests may be held
-// open. Guards against whatever makes requests wait: they fill the places, the agent's or its clients', and
-// what comes next is turned away unseen, whatever it is worth: 700 of 7,700 on the day of the report. Harm:
-// of a burst that would be over at once some are given up that could have been served.
+// keepSpare gives up the queued requests of the lowest value, oldest first, while the agent is close to its
+// limit of open requests, so that new arrivals are still accepted and judged by their value.
 func (b *Balancer) keepSpare() {
 	for b.s.MaxOpen > 0 && float64(b.taken) > (1-sparePlaces)*float64(b.s.MaxOpen) && len(b.held) > 0 {
 		b.giveUp(slices.MinFunc(b.held, func(x, y *request) int {
@@ -464,11 +461,8 @@
 	return s
 }
 
-// load is what t has to do for this balancer: its attempts out, less those whose answer seems lost, since
-// it is overdue and what was sent after it has been answered. Guards against answers that never come (lost on
-// the way, or swallowed by a backend that hung and is back): each held its place and its age passed for
-// slowness, so that of eight equal backends some had 4 out and others 20. Harm: a backend that works on a few
-// very heavy requests beside light ones counts as idler than it is. Not for cold ones: all is overdue there.
+// load is what t has to do for this balancer: its attempts out, less those whose answer seems lost, since it
+// is overdue and what was sent after it has been answered. Not for cold ones: all is overdue there.
 func (b *Balancer) load(t *endpoint) float64 {
 	n := len(t.out)
 	for _, a := range t.out {
@@ -497,8 +491,7 @@
 }
 
 // hopeless reports whether an attempt that goes out then would likelier be in vain than answered before the
-// client leaves. Guards against clients that wait a few milliseconds and come again at once: a third of the
-// fleet's work went into attempts for them that were over before their answers, on the day it was shortest.
+// client leaves.
 func (b *Balancer) hopeless(r *request, then time.Duration) bool {
 	c := &b.classes[r.class]
 	// What is known may be long past.
@@ -712,12 +705,9 @@
 	}
 }
 
-// survived reports whether t lives although a connection to it broke or failed: a process that dies takes
-// all its connections along, and attempts sent before the first failure are still open. Guards against any
-// trouble of single connections (resets on the way, stale ones, a full table) that passes for a dead backend:
-// on the day of the report some backend was always left out for two of them in a row, with a dozen attempts
-// open there that were then answered. A machine that vanishes leaves its connections open, so a dial without
-// any answer is no sign of life. Harm: one that dies with the resets lost on the way is found out later.
+// survived reports whether t is alive although a connection to it failed: a process that dies takes all its
+// connections along, and attempts sent before the first failure are still open. A dial without any answer
+// is no sign of life, since a machine that vanishes leaves its connections open.
 func (b *Balancer) survived(t *endpoint, e Outcome) bool {
 	mute := e.Result == ConnectFailed && e.Latency > b.s.ConnectTimeout/2
 	return e.Result != ServerError && !mute && len(t.out) > 0 && t.out[0].sent < t.failedAt
@@ -735,10 +725,8 @@
 	return out+1 <= max(1, sparePart*float64(b.up))
 }
 
-// inARow is how many failures of a backend, with no answer between, tell of it and not of the fleet: so
-// many that chance alone hardly makes them where failures are as common as they are. Guards against days on
-// which answers come spoilt or connections break at all backends alike: with a strike for each, most were
-// ejected or taken for restarted, and what was left was crowded.
+// inARow is how many consecutive failures say that an endpoint is at fault and not the fleet: so many that
+// chance alone hardly makes them at the present rate of failures.
 func (b *Balancer) inARow(res Result) int {
 	least, chance := 2.0, byChance
 	if res == ConnectFailed { // such a one has not run, and says more
@@ -847,10 +835,8 @@
 	return max(1, b.perBack*b.capacity/float64(b.s.Agents))
 }
 
-// throttled reports whether too few of the requests sent lately were answered within their aim.
-// Incidents i783cc5 and i84e735: a lost zone or a shrunken fleet leaves many agents to few backends,
-// and one attempt each is too much. Departure: acts where an agent's part is under one attempt, and
-// leaves it the share of its traffic that the backends answer in time, whatever keeps them from it.
+// throttled reports whether too few of the requests sent lately were answered within their aim. It stands in
+// for the limit where an agent's part of that is under one attempt.
 func (b *Balancer) throttled() bool {
 	return b.sparse(1) && b.sent >= throttleAt*b.inTime+throttleFree
 }
@@ -903,11 +889,9 @@
 	}
 }
 
-// coldRoom reports whether a cold backend may get this request. Its turns come at random times, so many as
-// make the work that a warm one does for this balancer, times warmth, times the root of the stated multiple:
-// most backends have more than their sure capacity, and under overload it is needed. Guards against turns
-// that are saved up: one for each of 350 agents, and a backend falls that none sends much to. A turn lapses
-// after half a fall window, so what all send within a window is at most the turns of one and a half.
+// coldRoom reports whether a cold backend may get this request. Its turns come at random times, at the rate
+// of a warm one times warmth times the root of the stated multiple. A turn lapses after half a window: if
+// turns were saved up, agents that each send little could together push the backend over.
 func (b *Balancer) coldRoom(t *endpoint, r *request) bool {
 	lapse := b.s.ColdOverloadWindow / 2
 	if b.warmth(t) == 1 || lapse == 0 {
@@ -986,11 +970,8 @@
 	b.forgetGone()
 }
 
-// askLater asks for the list after a fully jittered wait. Guards against agents that start together, or lose
-// their lists together: discovery serves so many calls a second, and works on those that have waited in vain
-// too; asked by 80 within a moment, and again while still at that, it served nobody for the rest of the day.
-// So the spread grows with the number of those who ask, and with each failure, up to the longest wait that
-// lets a change arrive in time. Harm: lists come later.
+// askLater asks for the list after a fully jittered wait, so that agents that start or lose their lists
+// together do not overload discovery. The spread grows with the number of agents and with each failure.
 func (b *Balancer) askLater(refused bool) {
 	spread := min(askTime*float64(b.s.Agents), 0.25) * math.Exp2(float64(min(b.askFails, 4)))
 	most := b.s.PollSpread
@@ -1043,9 +1024,8 @@
 	b.close(r)
 }
 
-// comeBack is when a refused client should try again, where clients are told: after a fully jittered
-// wait like those of our own retries, at their ceiling since what refuses is a crowd and not one backend.
-// Guards against clients that were refused together and come back together.
+// comeBack is when a refused client should try again, where clients are told: after a fully jittered wait, so
+// that clients refused together do not come back together.
 func (b *Balancer) comeBack(r *request) time.Duration {
 	if !b.s.SendRetryAfter {
 		return 0
