--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -9,45 +9,45 @@
 
 // Balancer decides for one agent. See the package comment for its use.
 type Balancer struct {
-	s       Settings
-	rng     *rand.Rand
-	now     time.Duration
-	actions []Action
+	settings Settings
+	rng      *rand.Rand
+	now      time.Duration
+	actions  []Action
 
-	backends []*endpoint // in the order in which they were first listed
-	byID     map[string]*endpoint
-	requests map[string]*request
-	peak     float64          // the most attempts out lately, decayed
-	choices  []choice         // of one pick; kept for its memory alone
-	taken    int              // requests that have no final answer yet
-	held     []*request       // waiting for room, oldest first
-	lines    map[string]*line // of ordered requests, by key
-	resting  []*line          // lines whose key rests or has rested, in the order of its end
-	timers   map[int64]*request
-	token    int64 // last timer token given out
+	endpoints    []*endpoint // in the order in which they were first listed
+	endpointByID map[string]*endpoint
+	requests     map[string]*request
+	peakInFlight float64              // the most attempts out lately, decayed
+	candidates   []candidate          // of one pick; kept for its memory alone
+	openRequests int                  // requests that have no final answer yet
+	queue        []*request           // waiting for room, oldest first
+	keyQueues    map[string]*keyQueue // of ordered requests, by key
+	quietKeys    []*keyQueue          // lines whose key rests or has rested, in the order of its end
+	timers       map[int64]*request
+	lastToken    int64 // last timer token given out
 
-	tokens   float64 // the retry bucket
-	classes  []classState
-	inFlight int
-	stuck    int     // of these, on backends that are not counted in capacity
-	perBack  float64 // attempts that all agents may have in flight together, per backend that is up
-	up       int     // backends that the list says are up
-	warm     int     // of these, not cold
-	capacity float64 // their number, each counted by its warmth
-	delay    float64 // running mean of latency over aim
-	vary     float64 // running mean deviation of latency from the mean of its class, over that mean
-	answers  float64 // that delay rests on
-	failing  float64 // share of attempts that lately ended by an error or a broken connection
-	base     float64 // its low: what it is without queues
-	cutAt    time.Duration
-	sent     float64 // requests sent lately ...
-	inTime   float64 // ... and those answered within their aim
-	decayAt  time.Duration
+	retryTokens      float64 // the retry bucket
+	classes          []classState
+	inFlight         int
+	stalled          int     // of these, on backends that are not counted in capacity
+	limitPerEndpoint float64 // attempts that all agents may have in flight together, per backend that is up
+	serving          int     // backends that the list says are up
+	warm             int     // of these, not cold
+	capacity         float64 // their number, each counted by its warmth
+	latencyRatio     float64 // running mean of latency over aim
+	latencyDeviation float64 // running mean deviation of latency from the mean of its class, over that mean
+	latencySamples   float64 // that delay rests on
+	failureRate      float64 // share of attempts that lately ended by an error or a broken connection
+	baseLatencyRatio float64 // its low: what it is without queues
+	limitCutAt       time.Duration
+	sentRecently     float64 // requests sent lately ...
+	onTimeRecently   float64 // ... and those answered within their aim
+	decayedAt        time.Duration
 
-	doneWork float64       // decayed work that a warm backend served, in the mean of them ...
-	doneAt   time.Duration // ... by then
-	askFails int
-	askToken int64
+	warmWork       float64       // decayed work that a warm backend served, in the mean of them ...
+	warmWorkAt     time.Duration // ... by then
+	listFailures   int
+	subscribeToken int64
 }
 
 // New returns a balancer with no state. All its random choices come from seed.
@@ -55,16 +55,18 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{s: s, rng: rand.New(rand.NewPCG(seed, 0)), tokens: bucketCap, vary: 1,
-		base: aimedDelay / aimedRise, perBack: floorPerBack, byID: map[string]*endpoint{},
-		requests: map[string]*request{}, timers: map[int64]*request{}, lines: map[string]*line{}}
-	b.s.MaxAttempts = max(1, s.MaxAttempts)
+	b := &Balancer{settings: s, rng: rand.New(rand.NewPCG(seed, 0)), retryTokens: retryTokenCapacity,
+		latencyDeviation: 1,
+		baseLatencyRatio: targetRatio / targetRise, limitPerEndpoint: minLimitPerEndpoint,
+		endpointByID: map[string]*endpoint{},
+		requests:     map[string]*request{}, timers: map[int64]*request{}, keyQueues: map[string]*keyQueue{}}
+	b.settings.MaxAttempts = max(1, s.MaxAttempts)
 	if s.ColdCapacity == 0 {
-		b.s.ColdCapacity = 1
+		b.settings.ColdCapacity = 1
 	}
 	for _, c := range s.Classes {
-		b.classes = append(b.classes, classState{Class: c, latency: float64(c.Objective) / 4,
-			freshOK: 1, knownOK: 1})
+		b.classes = append(b.classes, classState{Class: c, meanLatency: float64(c.Objective) / 4,
+			newOnTime: 1, connectedOnTime: 1})
 	}
 	return b, nil
 }
@@ -72,10 +74,11 @@
 // Step takes what has happened by now, in order, and returns what to do.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now, b.actions = max(now, b.now), nil
-	b.endRests()
-	f := math.Exp(-float64(b.now-b.decayAt) / (throttleSpan * float64(b.classes[0].Objective)))
-	b.sent, b.inTime, b.peak, b.decayAt = b.sent*f, b.inTime*f, b.peak*f, b.now
-	b.measure()
+	b.expireQuietKeys()
+	f := math.Exp(-float64(b.now-b.decayedAt) / (trafficWindow * float64(b.classes[0].Objective)))
+	b.sentRecently, b.onTimeRecently, b.peakInFlight, b.decayedAt = b.sentRecently*f, b.onTimeRecently*f,
+		b.peakInFlight*f, b.now
+	b.measureFleet()
 	for _, e := range events {
 		switch e := e.(type) {
 		case Request:
@@ -85,19 +88,19 @@
 		case TimerFired:
 			b.onTimer(e.Token)
 		case EndpointList:
-			b.onList(e)
-			b.measure()
+			b.onEndpointList(e)
+			b.measureFleet()
 		case StreamStarted:
 			if r := b.requests[e.Request]; r != nil && !r.ended {
-				r.stream = true
+				r.streaming = true
 			}
 		case Abandoned:
 			if r := b.requests[e.Request]; r != nil {
-				b.close(r)
+				b.closeRequest(r)
 			}
 		}
 	}
-	b.releaseHeld()
+	b.dispatchQueue()
 	return b.actions
 }
 
@@ -106,111 +109,111 @@
 		return
 	}
 	c := &b.classes[e.Class]
-	r := &request{id: e.ID, class: e.Class, aim: b.now + min(c.Objective, e.Timeout),
-		deadline: b.now + e.Timeout, repeat: e.ClientRetry}
+	r := &request{id: e.ID, class: e.Class, objectiveAt: b.now + min(c.Objective, e.Timeout),
+		deadline: b.now + e.Timeout, clientRetry: e.ClientRetry}
 	// A client gives its tries a usual patience, its last one all that is left of its deadline.
 	// A try with any other patience therefore tells how long ago the client began.
-	if c.patience == 0 {
-		c.patience = e.Timeout
+	if c.usualTimeout == 0 {
+		c.usualTimeout = e.Timeout
 	}
-	off := e.Timeout - c.patience
-	if off > 2*b.s.Tick || off < -2*b.s.Tick {
-		r.repeat = true
-		r.aim -= max(0, c.Deadline-e.Timeout)
+	off := e.Timeout - c.usualTimeout
+	if off > 2*b.settings.Tick || off < -2*b.settings.Tick {
+		r.clientRetry = true
+		r.objectiveAt -= max(0, c.Deadline-e.Timeout)
 	}
 	if !e.ClientRetry {
-		c.patience += min(max(off, -b.s.Tick/4), b.s.Tick/4) // towards the median
+		c.usualTimeout += min(max(off, -b.settings.Tick/4), b.settings.Tick/4) // towards the median
 	}
 	if r.work = float64(e.Work); r.work > 0 {
-		c.work = blend(c.work, r.work)
+		c.meanWork = movingAverage(c.meanWork, r.work)
 	}
 	for i := range b.classes { // decay by arrivals: the last few hundred requests count
-		b.classes[i].arrived *= 1 - smooth/20
-		b.classes[i].answered *= 1 - smooth/20
+		b.classes[i].arrived *= 1 - smoothing/20
+		b.classes[i].onTime *= 1 - smoothing/20
 	}
 	c.arrived++
 	b.requests[e.ID] = r
-	b.taken++
+	b.openRequests++
 	if e.Key != "" {
-		r.key = hash(e.Key)
+		r.keyHash = hash(e.Key)
 	}
-	b.lineUp(r, e.Key)
-	b.hold(r)
+	b.joinKeyQueue(r, e.Key)
+	b.enqueue(r)
 }
 
 func (b *Balancer) onOutcome(e Outcome) {
 	r := b.requests[e.Request]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].open {
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].inFlight {
 		return
 	}
 	a := r.attempts[e.Attempt]
-	a.open = false
-	r.open--
+	a.inFlight = false
+	r.inFlight--
 	b.inFlight--
-	a.b.out = slices.DeleteFunc(a.b.out, func(o *attempt) bool { return o == a })
+	a.endpoint.inFlight = slices.DeleteFunc(a.endpoint.inFlight, func(o *attempt) bool { return o == a })
 	if e.Result == TimedOut || e.Result == Reset || e.Result == Cancelled {
-		r.rest = b.now + b.s.KeyQuietPeriod
+		r.quietUntil = b.now + b.settings.KeyQuietPeriod
 	}
-	if e.Result.NeverRan() && !(e.Result == Rejected && b.s.RejectedMayHaveRun) {
-		if r.risky--; r.risky == 0 {
-			r.anchor = nil
+	if e.Result.NeverRan() && !(e.Result == Rejected && b.settings.RejectedMayHaveRun) {
+		if r.mayHaveRun--; r.mayHaveRun == 0 {
+			r.firstMayHaveRun = nil
 		}
 	}
 	c := &b.classes[r.class]
-	b.observe(r, a, e)
+	b.observeOutcome(r, a, e)
 	if e.Result == Served && !r.ended {
-		b.tokens = min(bucketCap, b.tokens+successRefill)
-		if b.now <= r.aim {
-			c.answered++
-			b.inTime++
+		b.retryTokens = min(retryTokenCapacity, b.retryTokens+successTokenRefill)
+		if b.now <= r.objectiveAt {
+			c.onTime++
+			b.onTimeRecently++
 		}
 		for i, o := range r.attempts {
-			if o.open && b.s.AllowCancel {
+			if o.inFlight && b.settings.AllowCancel {
 				b.actions = append(b.actions, Cancel{Request: r.id, Attempt: i})
 			}
 		}
 	}
-	if a.b.State == Removed && len(a.b.out) == 0 {
-		b.forgetGone()
+	if a.endpoint.State == Removed && len(a.endpoint.inFlight) == 0 {
+		b.dropRemoved()
 	}
 	if e.Done || e.Result == Served || r.ended {
-		b.close(r)
+		b.closeRequest(r)
 		return
 	}
-	r.failed = a.b
-	if r.open == 0 && !r.waiting && !r.holding {
+	r.lastFailed = a.endpoint
+	if r.inFlight == 0 && !r.backingOff && !r.queued {
 		b.retry(r, e.Result)
 	}
 }
 
 func (b *Balancer) onTimer(token int64) {
-	if token == b.askToken && token != 0 {
-		b.askToken = 0
+	if token == b.subscribeToken && token != 0 {
+		b.subscribeToken = 0
 		b.actions = append(b.actions, Subscribe{})
 		return
 	}
 	r := b.timers[token]
 	delete(b.timers, token)
-	if r == nil || r.ended || token != r.timer {
+	if r == nil || r.ended || token != r.timerToken {
 		return
 	}
-	r.timer = 0 // a held request that may stay longer than it seemed sets another one: lost otherwise
+	r.timerToken = 0 // a held request that may stay longer than it seemed sets another one: lost otherwise
 	switch {
-	case r.waiting:
-		r.waiting = false
-		b.hold(r)
-	case r.open > 0 && !r.holding && !r.stream:
-		b.onSilence(r)
+	case r.backingOff:
+		r.backingOff = false
+		b.enqueue(r)
+	case r.inFlight > 0 && !r.queued && !r.streaming:
+		b.hedge(r)
 	}
 }
 
-func (b *Balancer) timer(r *request, at time.Duration) {
-	r.timer = b.alarm(at - b.now)
-	b.timers[r.timer] = r
+func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
+	r.timerToken = b.setTimer(at - b.now)
+	b.timers[r.timerToken] = r
 }
 
-func (b *Balancer) alarm(wait time.Duration) int64 {
-	b.token++
-	b.actions = append(b.actions, SetTimer{After: wait, Token: b.token})
-	return b.token
+func (b *Balancer) setTimer(wait time.Duration) int64 {
+	b.lastToken++
+	b.actions = append(b.actions, SetTimer{After: wait, Token: b.lastToken})
+	return b.lastToken
 }
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -7,76 +7,77 @@
 )
 
 const (
-	smooth     = 0.1  // weight of a new sample in a running mean, about the last 20 samples
-	holdAtMost = 0.75 // of the aim: the most that either asks for, however heavy the request
-	evenOdds   = 0.7  // mean latencies within which half of the answers come: an exponential's median
+	smoothing    = 0.1  // weight of a new sample in a running mean, about the last 20 samples
+	maxWaitShare = 0.75 // of the aim: the most that either asks for, however heavy the request
+	medianFactor = 0.7  // mean latencies within which half of the answers come: an exponential's median
 )
 
 type classState struct {
 	Class
-	latency  float64       // running mean of served latency, ns
-	heard    time.Duration // when that last learnt
-	freshOK  float64       // share answered in time by backends outside the working set ...
-	knownOK  float64       // ... and by those within
-	value    float64       // what a unit of work adds to the goal, in this step
-	patience time.Duration // the usual patience of a client's try
-	work     float64       // running mean of the expected work told with requests, ns
-	arrived  float64       // decayed count of requests
-	answered float64       // decayed count of requests answered within the aim
+	meanLatency     float64       // running mean of served latency, ns
+	latencyAt       time.Duration // when that last learnt
+	newOnTime       float64       // share answered in time by backends outside the working set ...
+	connectedOnTime float64       // ... and by those within
+	currentPriority float64       // what a unit of work adds to the goal, in this step
+	usualTimeout    time.Duration // the usual patience of a client's try
+	meanWork        float64       // running mean of the expected work told with requests, ns
+	arrived         float64       // decayed count of requests
+	onTime          float64       // decayed count of requests answered within the aim
 }
 
 // share is the share of a class that was lately answered within its aim.
-func (c *classState) share() float64 { return (c.answered + 1) / (c.arrived + 1) }
+func (c *classState) onTimeShare() float64 { return (c.onTime + 1) / (c.arrived + 1) }
 
 // value is what a unit of work spent on a class now adds to the operator's goal.
-func (b *Balancer) value(class int) float64 {
+func (b *Balancer) classPriority(class int) float64 {
 	total, worst, low := 0.0, -1, math.Inf(1)
 	for i := range b.classes {
 		c := &b.classes[i]
-		total += c.arrived * c.Priority * b.unit(c)
-		if share := c.share(); share < low {
+		total += c.arrived * c.Priority * b.workUnit(c)
+		if share := c.onTimeShare(); share < low {
 			worst, low = i, share
 		}
 	}
 	c := &b.classes[class]
-	v := (b.s.WeightOverall + b.s.WeightWorstWindow) * c.Priority * b.unit(c) / c.latency / max(total, 1e-9)
+	v := (b.settings.WeightOverall + b.settings.WeightWorstWindow) * c.Priority * b.workUnit(c) /
+		c.meanLatency / max(total, 1e-9)
 	if class == worst {
-		v += b.s.WeightWorstClass / (max(c.arrived, 1) * c.latency)
+		v += b.settings.WeightWorstClass / (max(c.arrived, 1) * c.meanLatency)
 	}
 	return v
 }
 
-func (b *Balancer) unit(c *classState) float64 {
-	if b.s.PriorityByWork {
-		return c.latency
+func (b *Balancer) workUnit(c *classState) float64 {
+	if b.settings.PriorityByWork {
+		return c.meanLatency
 	}
 	return 1
 }
 
 // expected is the mean latency for a request of this class and told work.
-func (b *Balancer) expected(r *request) float64 {
+func (b *Balancer) expectedLatency(r *request) float64 {
 	c := &b.classes[r.class]
-	if r.work > 0 && c.work > 0 {
-		return c.latency * r.work / c.work
+	if r.work > 0 && c.meanWork > 0 {
+		return c.meanLatency * r.work / c.meanWork
 	}
-	return c.latency
+	return c.meanLatency
 }
 
 // need is the time of so many mean latencies of r, within bounds.
-func (b *Balancer) need(r *request, means float64) time.Duration {
-	return time.Duration(min(means*b.expected(r), holdAtMost*float64(b.classes[r.class].Objective)))
+func (b *Balancer) boundedLatency(r *request, means float64) time.Duration {
+	return time.Duration(min(means*b.expectedLatency(r), maxWaitShare*float64(b.classes[r.class].Objective)))
 }
 
 // hopeless reports whether an attempt that goes out then would likelier be in vain than answered before the
 // client leaves.
-func (b *Balancer) hopeless(r *request, then time.Duration) bool {
+func (b *Balancer) isTooLate(r *request, then time.Duration) bool {
 	c := &b.classes[r.class]
 	// What is known may be long past.
-	known := b.now-c.heard <= time.Duration(throttleSpan*float64(c.Objective))
-	return then >= r.deadline || known && then+b.need(r, evenOdds) >= r.deadline
+	known := b.now-c.latencyAt <= time.Duration(trafficWindow*float64(c.Objective))
+	return then >= r.deadline || known && then+b.boundedLatency(r, medianFactor) >= r.deadline
 }
 
-func blend(mean, sample float64) float64 {
+func movingAverage(mean, sample float64) float64 {
 	mean = cmp.Or(mean, sample)
-	return mean + smooth*(sample-mean)
+	return mean + smoothing*(sample-mean)
 }
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -2,12 +2,12 @@
 
 // StateSize counts what a Balancer keeps: requests, held ones, timers, keys and attempts out.
 func (b *Balancer) StateSize() int {
-	n := len(b.requests) + len(b.held) + len(b.timers) + len(b.lines) + len(b.resting)
-	for _, t := range b.backends {
-		n += len(t.out)
+	n := len(b.requests) + len(b.queue) + len(b.timers) + len(b.keyQueues) + len(b.quietKeys)
+	for _, t := range b.endpoints {
+		n += len(t.inFlight)
 	}
 	return n
 }
 
 // Known counts the backends that a Balancer keeps.
-func (b *Balancer) Known() int { return max(len(b.backends), len(b.byID)) }
+func (b *Balancer) Known() int { return max(len(b.endpoints), len(b.endpointByID)) }
