--- /dev/null
+++ b/cmd/ashshunt-sim/host.go
@@ -0,0 +1,129 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/simwire"
+)
+
+// stepper is an instance; outside tests it is a *balancer.Balancer.
+type stepper interface {
+	Step(now time.Duration, events []balancer.Event) []balancer.Action
+}
+
+// host owns the instances of the simulated agents.
+type host struct {
+	instances map[int]stepper // by the agent's number
+	out       *simwire.Writer
+}
+
+func newHost(out *simwire.Writer) *host {
+	return &host{instances: map[int]stepper{}, out: out}
+}
+
+// notOpenError reports an event for an agent that has no instance.
+type notOpenError struct{ agent int }
+
+func (e *notOpenError) Error() string { return fmt.Sprintf("instance %d is not open", e.agent) }
+
+// reply gives each instance its events of the batch and writes the actions of all of them.
+func (h *host) reply(batch *simwire.Batch) error {
+	queue := newEventQueue()
+	for _, event := range batch.Events {
+		queue.register(event.Agent)
+		if err := h.accept(batch.Now, event, queue); err != nil {
+			return err
+		}
+	}
+	for _, agent := range queue.agents {
+		if err := h.step(agent, batch.Now, queue); err != nil {
+			return err
+		}
+	}
+	return h.out.End()
+}
+
+// accept opens or retires an instance, or queues the event for it.
+func (h *host) accept(now time.Duration, event simwire.Event, queue *eventQueue) error {
+	switch {
+	case event.Open != nil:
+		// What the instance before this one was told in the same batch is a step of its own.
+		if err := h.step(event.Agent, now, queue); err != nil {
+			return err
+		}
+		return h.open(event)
+	case h.instances[event.Agent] == nil:
+		return &simwire.LineError{Line: event.Line, Err: &notOpenError{agent: event.Agent}}
+	case event.Retire:
+		queue.take(event.Agent) // the instance was killed before it could act on these
+		delete(h.instances, event.Agent)
+	default:
+		queue.add(event.Agent, event.Event)
+	}
+	return nil
+}
+
+// open starts an instance in place of the one that the agent may have had.
+func (h *host) open(event simwire.Event) error {
+	instance, err := balancer.New(event.Open.Settings, event.Open.Seed)
+	if err != nil {
+		return &simwire.LineError{Line: event.Line, Message: "OpenInstance", Err: simwire.SettingsError(err)}
+	}
+	h.instances[event.Agent] = instance
+	return nil
+}
+
+// step gives an instance the events that are queued for it, if any, and writes its actions.
+func (h *host) step(agent int, now time.Duration, queue *eventQueue) error {
+	events := queue.take(agent)
+	if len(events) == 0 {
+		return nil
+	}
+	actions, fault := stepSafely(h.instances[agent], now, events)
+	if fault != "" {
+		return h.out.Broken(agent, fault)
+	}
+	return h.out.Actions(agent, actions)
+}
+
+// stepSafely turns a panic of the decision code into its text.
+func stepSafely(instance stepper, now time.Duration, events []balancer.Event) (actions []balancer.Action, fault string) {
+	defer func() {
+		if p := recover(); p != nil {
+			fault = fmt.Sprint("panic: ", p)
+		}
+	}()
+	return instance.Step(now, events), ""
+}
+
+// eventQueue holds the events of one batch until the instances take them.
+type eventQueue struct {
+	agents []int // those named in the batch, in the order of their first event
+	events map[int][]balancer.Event
+}
+
+func newEventQueue() *eventQueue {
+	return &eventQueue{events: map[int][]balancer.Event{}}
+}
+
+// register notes that the batch names an agent.
+func (q *eventQueue) register(agent int) {
+	if _, known := q.events[agent]; !known {
+		q.agents = append(q.agents, agent)
+		q.events[agent] = nil
+	}
+}
+
+// add queues an event for a registered agent.
+func (q *eventQueue) add(agent int, event balancer.Event) {
+	q.events[agent] = append(q.events[agent], event)
+}
+
+// take returns the events that are queued for a registered agent, and forgets them.
+func (q *eventQueue) take(agent int) []balancer.Event {
+	events := q.events[agent]
+	q.events[agent] = nil
+	return events
+}
--- a/cmd/ashshunt-sim/main_test.go
+++ b/cmd/ashshunt-sim/main_test.go
@@ -75,13 +75,10 @@
 // A panic of the decision code is reported with its text, and the link goes on.
 func TestPanicIsBroken(t *testing.T) {
 	var out bytes.Buffer
-	w := simwire.NewWriter(&out)
+	h := newHost(simwire.NewWriter(&out))
 	b := &simwire.Batch{Events: []simwire.Event{{Agent: 2, Event: balancer.Request{ID: "x"}}}}
-	broken := map[int]stepper{2: stepFunc(func(time.Duration, []balancer.Event) []balancer.Action { panic("no such thing") })}
-	if err := answer(b, broken, w); err != nil {
-		t.Fatal(err)
-	}
-	if err := w.End(); err != nil {
+	h.instances[2] = stepFunc(func(time.Duration, []balancer.Event) []balancer.Action { panic("no such thing") })
+	if err := h.reply(b); err != nil {
 		t.Fatal(err)
 	}
 	want := `{"msg":"Broken","Agent":2,"Msg":"panic: no such thing"}` + "\n{\"msg\":\"Eor\"}\n"
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -1,6 +1,7 @@
 package simwire
 
 import (
+	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -36,6 +37,59 @@
 	}
 }
 
+// A caller can tell what is wrong, and where, without reading the text.
+func TestErrorTypes(t *testing.T) {
+	tests := []struct {
+		name, in string
+		line     int
+		message  string
+		is       func(error) bool
+	}{
+		{"ends within a batch", "{\"msg\":\"Frame\",\"ClockMs\":1}\n", 1, "", isError(ErrUnfinishedBatch)},
+		{"batch within a batch", frame(`{"msg":"Frame","ClockMs":2}`), 2, "", isError(ErrNestedBatch)},
+		{"outside a batch", `{"msg":"Expired","Agent":1,"Job":"x"}`, 1, "", isType[*OutsideBatchError]},
+		{"unknown message", frame(`{"msg":"Nope","Agent":1}`), 2, "Nope", isError(ErrUnknownMessage)},
+		{"missing fields", frame(`{"msg":"Submit","Agent":1}`), 2, "Submit", isType[*MissingFieldError]},
+		{"unknown word", frame(`{"msg":"View","Agent":1,"How":"x"}`), 2, "View", isType[*UnknownWordError]},
+		{"undefined list", frame(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`), 2, "View", isType[*UndefinedListError]},
+		{"unreadable bytes", frame(`{"msg":"Peer","Agent":1,"From":2,"Msg":"6"}`), 2, "Peer", isType[*FieldError]},
+		{"not JSON", frame("{oops"), 2, "", isType[*json.SyntaxError]},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			_, err := NewReader(strings.NewReader(tt.in)).Next()
+			var at *LineError
+			if !errors.As(err, &at) || at.Line != tt.line || at.Message != tt.message || !tt.is(err) {
+				t.Errorf("error %#v (%v), want line %d, message %q", err, err, tt.line, tt.message)
+			}
+		})
+	}
+}
+
+func isError(target error) func(error) bool {
+	return func(err error) bool { return errors.Is(err, target) }
+}
+
+func isType[T error](err error) bool {
+	var target T
+	return errors.As(err, &target)
+}
+
+func TestMissingFieldText(t *testing.T) {
+	for _, tt := range []struct {
+		fields []string
+		want   string
+	}{
+		{[]string{"Agent"}, "missing Agent"},
+		{[]string{"From", "Msg"}, "missing From or Msg"},
+		{[]string{"Job", "TierClass", "GraceMs"}, "missing Job, TierClass or GraceMs"},
+	} {
+		if got := missing(tt.fields...).Error(); got != tt.want {
+			t.Errorf("got %q, want %q", got, tt.want)
+		}
+	}
+}
+
 // Lines and batches of several megabytes are read whole.
 func TestLongBatch(t *testing.T) {
 	var in strings.Builder
