--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/config"
 )
 
 // The kinds of message that hold no event.
@@ -154,7 +155,7 @@
 	if m.RandomSeed == nil || m.Facts == nil {
 		return Event{}, missing("RandomSeed", "Facts")
 	}
-	settings, err := parseSettings(m.Facts)
+	settings, _, err := config.ParseSettings(m.Facts)
 	if err != nil {
 		return Event{}, err
 	}
--- /dev/null
+++ b/internal/telemetry/log_test.go
@@ -0,0 +1,30 @@
+package telemetry
+
+import (
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"ashshunt/internal/testutil"
+)
+
+// Lines past the limit are counted, not written.
+func TestRateLimitedLog(t *testing.T) {
+	logged := &testutil.Log{}
+	h := RateLimited(slog.NewTextHandler(logged, nil)).(rateLimited)
+	now := time.Now()
+	h.budget.now = func() time.Time { return now }
+	log := slog.New(h).With("agent", "n0")
+	for range 5 * linesPerSecond {
+		log.Warn("bad answer")
+	}
+	if n := strings.Count(logged.String(), "bad answer"); n != linesPerSecond {
+		t.Errorf("%d lines in one second, want %d", n, linesPerSecond)
+	}
+	now = now.Add(time.Second)
+	log.Warn("later")
+	if !logged.Contains("msg=later agent=n0 dropped_before=80") {
+		t.Errorf("log %q", logged.String()[len(logged.String())-100:])
+	}
+}
