--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -13,6 +13,7 @@
 	"ashshunt/balancer"
 	"ashshunt/internal/clock"
 	"ashshunt/internal/testutil"
+	"ashshunt/internal/upstream"
 )
 
 const id = "00000000000000a1"
@@ -89,11 +90,11 @@
 	}
 	testutil.Receive(t, d.Watches)
 	d.Say <- `{"version":2,"full":true,"servers":[` + strings.Join(list, ",") + `]}`
-	testutil.Eventually(t, "the list", func() bool { _, ok := a.loop.back.table.Serving(fmt.Sprint("s", 2*size-1)); return ok })
+	testutil.Eventually(t, "the list", func() bool { _, ok := a.loop.table.Serving(fmt.Sprint("s", 2*size-1)); return ok })
 	if resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	if n := a.loop.back.pool.count(); n > 1 {
+	if n := a.loop.upstream.OpenConnections(); n > 1 {
 		t.Errorf("%d connections for one request", n)
 	}
 	if n := runtime.NumGoroutine() - before; n > size/2 { // other tests run beside this one
@@ -332,7 +333,7 @@
 		return nil
 	})
 	now = l.clock.Now()
-	r = &request{q: &call{id: id}, arrived: now, deadline: now + 6*time.Second, answer: make(chan answer, 1)}
+	r = &request{q: &upstream.Request{ID: id}, arrived: now, deadline: now + 6*time.Second, answer: make(chan answer, 1)}
 	l.take(arrival{r: r, event: balancer.Request{ID: id}})
 	now += late
 	l.step(now)
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -1,8 +1,10 @@
 package agent
 
 import (
+	"fmt"
 	"io"
 	"net/http"
+	"net/url"
 	"os"
 	"slices"
 	"strconv"
@@ -13,6 +15,7 @@
 	"ashshunt/balancer"
 	"ashshunt/internal/config"
 	"ashshunt/internal/socket"
+	"ashshunt/internal/upstream"
 )
 
 const (
@@ -30,6 +33,9 @@
 	maxBudget = time.Hour
 )
 
+// maxBody is the most that a body may hold.
+const maxBody = 64 << 10
+
 // front answers the application.
 type front struct {
 	loop     *Loop
@@ -68,21 +74,21 @@
 		f.turnAway(w, r, status, why)
 		return
 	}
-	q := &call{id: event.ID, key: r.Header.Get("Idempotency-Key"), method: r.Method, host: r.Host}
+	q := &upstream.Request{ID: event.ID, IdempotencyKey: r.Header.Get("Idempotency-Key"), Method: r.Method, Host: r.Host}
 	var err error
-	if q.target, err = targetOf(r); err != nil {
+	if q.Target, err = targetOf(r); err != nil {
 		f.turnAway(w, r, http.StatusBadRequest, err.Error())
 		return
 	}
 	client := clientOf(r)
 	if r.ContentLength != 0 {
-		if q.body, err = readBody(client, r); err != nil {
+		if q.Body, err = readBody(client, r); err != nil {
 			f.turnAway(w, r, http.StatusBadRequest, "bad body")
 			return
 		}
 		arrived = time.Now() // a request's time counts from its last byte
 	}
-	q.left = func() bool { left, flooded := socket.PeerClosed(client.Conn); return left || flooded }
+	q.ClientGone = func() bool { left, flooded := socket.PeerClosed(client.Conn); return left || flooded }
 	if left, flooded := socket.PeerClosed(client.Conn); left {
 		panic(http.ErrAbortHandler) // while it waited to be read
 	} else if flooded {
@@ -129,7 +135,7 @@
 func (f *front) health(w http.ResponseWriter) {
 	select {
 	case <-f.loop.ready:
-		if !f.draining.Load() && (f.loop.back.table.AnyServing() || !time.Now().Before(f.listed)) {
+		if !f.draining.Load() && (f.loop.table.AnyServing() || !time.Now().Before(f.listed)) {
 			io.WriteString(w, "ok\n")
 			return
 		}
@@ -256,3 +262,15 @@
 	w.WriteHeader(a.status)
 	w.Write(a.body) // an error here means that the client has gone
 }
+
+// targetOf is the path and query as the client sent them, unchanged.
+func targetOf(r *http.Request) (*url.URL, error) {
+	if !strings.HasPrefix(r.RequestURI, "/") {
+		return r.URL, nil
+	}
+	path, query, _ := strings.Cut(r.RequestURI, "?")
+	if strings.HasPrefix(path, "//") {
+		return nil, fmt.Errorf("path %q", path)
+	}
+	return &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.RequestURI, "?")}, nil
+}
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -12,6 +12,7 @@
 	"ashshunt/balancer"
 	"ashshunt/internal/clock"
 	"ashshunt/internal/testutil"
+	"ashshunt/internal/upstream"
 )
 
 // leaves are the ways in which a client leaves. net/http sees no end behind bytes that follow the request.
@@ -116,7 +117,7 @@
 		c := dial(a, get(id))
 		testutil.Receive(t, busy)
 		leave(c)
-		testutil.Eventually(t, "the leave", a.loop.open[id].q.left) // the loop is held, nothing else is in the table
+		testutil.Eventually(t, "the leave", a.loop.open[id].q.ClientGone) // the loop is held, nothing else is in the table
 		close(gate)
 		if res := testutil.Receive(t, ended); res != balancer.NotSent {
 			t.Errorf("result %d of a send after its client had left", res)
@@ -133,12 +134,15 @@
 		p := testutil.NewServer(t, testutil.Echo)
 		dialling, gate := make(chan struct{}, 10), make(chan struct{})
 		told, ended := make(chan struct{}, 10), make(chan balancer.Outcome, 10)
-		a, _ := startWith(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), func(a *Agent) {
-			a.loop.back.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
+		c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING"))
+		a, _ := startWith(t, c, func(a *Agent) {
+			options := upstreamOptions(c, a.loop.table, a.log)
+			options.DialControl = func(_, _ string, _ syscall.RawConn) error {
 				dialling <- struct{}{}
 				<-gate
 				return nil
 			}
+			a.loop.upstream = upstream.New(options)
 			a.loop.bal = script(func(_ time.Duration, e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
 				case balancer.Request:
@@ -155,9 +159,9 @@
 				return nil
 			})
 		})
-		c := dial(a, get(id))
+		conn := dial(a, get(id))
 		testutil.Receive(t, dialling)
-		leave(c)
+		leave(conn)
 		testutil.Receive(t, told)
 		close(gate)
 		if e := testutil.Receive(t, ended); e.Result != balancer.NotSent || !e.Done {
@@ -277,7 +281,7 @@
 	}
 	now := l.clock.Now()
 	arrive := func(id string) *request {
-		r := &request{q: &call{id: id}, arrived: now, deadline: now + time.Minute, answer: make(chan answer, 1)}
+		r := &request{q: &upstream.Request{ID: id}, arrived: now, deadline: now + time.Minute, answer: make(chan answer, 1)}
 		l.take(arrival{r: r, event: balancer.Request{ID: id}})
 		return r
 	}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"math/rand/v2"
 	"net/http"
 	"runtime/debug"
 	"strings"
@@ -14,7 +13,9 @@
 	"ashshunt/balancer"
 	"ashshunt/internal/clock"
 	"ashshunt/internal/config"
+	"ashshunt/internal/discovery"
 	"ashshunt/internal/endpoint"
+	"ashshunt/internal/upstream"
 )
 
 const (
@@ -27,8 +28,6 @@
 	longestWait = 3 * time.Second
 	killAfter   = 700 * time.Millisecond
 	stopMargin  = 300 * time.Millisecond
-	// idleForNever is how long connections to backends rest that never close one themselves.
-	idleForNever = time.Minute
 )
 
 // drainFor is how long after a stop was asked for all that is still open is answered.
@@ -51,9 +50,12 @@
 	clock clock.Clock
 	s     balancer.Settings
 	bal   decider
-	back  *backends
-	disc  *discovery
 	log   *slog.Logger
+
+	table     *endpoint.Table
+	upstream  *upstream.Client
+	discovery *discovery.Client
+
 	in    chan any
 	done  chan struct{} // closed when Run returns
 	ready chan struct{} // closed after the first step
@@ -70,7 +72,7 @@
 
 // request is one in the table: from its arrival until it is answered and its attempts are in.
 type request struct {
-	q        *call
+	q        *upstream.Request
 	class    int
 	arrived  time.Duration
 	deadline time.Duration
@@ -101,7 +103,7 @@
 	outcome   struct {
 		r      *request
 		event  balancer.Outcome
-		answer reply
+		answer upstream.Response
 	}
 	drain  struct{}
 	reload struct{ discovery string }
@@ -109,33 +111,33 @@
 
 func newLoop(c *config.Config, clock clock.Clock, log *slog.Logger) (*Loop, error) {
 	settings := c.Settings
-	settings.MaxOpen, settings.PollSpread, settings.RefusedPollSpread = c.OpenRequests(), askSpread, refusedSpread
+	settings.MaxOpen, settings.PollSpread, settings.RefusedPollSpread = c.OpenRequests(), discovery.PollSpread,
+		discovery.RefusedPollSpread
 	bal, err := balancer.New(settings, c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	maxIdle := c.Settings.IdleClose * 3 / 4
-	if maxIdle == 0 {
-		maxIdle = idleForNever
-	}
-	pool := newPool(maxIdle, c.Settings.ConnectTimeout, c.EndpointConnections())
 	table := endpoint.NewTable()
-	l := &Loop{clock: clock, s: c.Settings, bal: bal, log: log, in: make(chan any, 1024), done: make(chan struct{}),
-		ready: make(chan struct{}), open: map[string]*request{}, last: clock.Now() - c.Settings.Tick}
-	l.back = &backends{pool: pool, table: table, reports: c.Settings.LoadReports,
-		probing: 2 * c.Settings.ConnectTimeout, stall: max(2*c.Settings.ConnectTimeout, 100*time.Millisecond), log: log}
-	l.disc = &discovery{addr: c.Discovery, client: newListClient(), table: table,
-		stale: pool.retire, post: l.post, silence: watchSilence, calling: callTime, event: lister(c, clock), log: log,
-		unasked: !c.Settings.Subscribe, unit: max(c.Settings.ConnectTimeout, 10*time.Millisecond),
-		longest: min(max(c.Settings.DrainGrace/4, 10*time.Millisecond), resumeWithin), rng: rand.New(rand.NewPCG(c.Seed, 1))}
-	known := c.Known
-	known.Full = true
-	l.disc.version = known.Version
-	table.Apply(known)
-	l.pending = append(l.pending, l.disc.event(known, balancer.ListCached))
+	l := &Loop{clock: clock, s: c.Settings, bal: bal, log: log, table: table, in: make(chan any, 1024),
+		done: make(chan struct{}), ready: make(chan struct{}), open: map[string]*request{}, last: clock.Now() - c.Settings.Tick}
+	l.upstream = upstream.New(upstreamOptions(c, table, log))
+	l.discovery = discovery.New(l.discoveryOptions(c))
+	l.pending = append(l.pending, l.discovery.Known())
 	return l, nil
 }
 
+func upstreamOptions(c *config.Config, table *endpoint.Table, log *slog.Logger) upstream.Options {
+	return upstream.Options{Table: table, LoadReports: c.Settings.LoadReports, ConnectTimeout: c.Settings.ConnectTimeout,
+		IdleClose: c.Settings.IdleClose, MaxConnections: c.EndpointConnections(), Log: log}
+}
+
+func (l *Loop) discoveryOptions(c *config.Config) discovery.Options {
+	return discovery.Options{Addr: c.Discovery, Known: c.Known, Table: l.table, Retire: l.upstream.Retire,
+		OnList: func(e balancer.EndpointList) { l.post(e) }, Zones: c.Names.Zones, Kinds: c.Names.Kinds, Clock: l.clock,
+		Log: l.log, KeepWatch: !c.Settings.Subscribe, ConnectTimeout: c.Settings.ConnectTimeout,
+		DrainGrace: c.Settings.DrainGrace, Seed: c.Seed}
+}
+
 // post hands something to the loop; once that has ended it comes to nothing.
 func (l *Loop) post(m any) {
 	select {
@@ -148,9 +150,7 @@
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	l.ctx = ctx
-	if l.disc.unasked {
-		l.disc.subscribe(ctx)
-	}
+	l.discovery.Start(ctx)
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
@@ -194,7 +194,7 @@
 	case departure:
 		if !m.r.ended {
 			l.end(m.r)
-			l.pending = append(l.pending, balancer.Abandoned{Request: m.r.q.id})
+			l.pending = append(l.pending, balancer.Abandoned{Request: m.r.q.ID})
 		}
 	case outcome:
 		l.finish(m)
@@ -204,7 +204,7 @@
 			l.guard(r)
 		}
 	case reload:
-		l.disc.move(l.ctx, m.discovery)
+		l.discovery.Move(l.ctx, m.discovery)
 	case balancer.Event:
 		l.pending = append(l.pending, m)
 	}
@@ -213,7 +213,7 @@
 func (l *Loop) arrive(m arrival) {
 	r := m.r
 	// What is not taken is over: should its client leave before it reads that, another one of this id is not meant.
-	if l.open[r.q.id] != nil {
+	if l.open[r.q.ID] != nil {
 		r.ended = true
 		r.answer <- answer{status: http.StatusBadRequest, body: []byte("this id is open already\n")}
 		return
@@ -223,8 +223,8 @@
 		r.answer <- answer{status: http.StatusServiceUnavailable}
 		return
 	}
-	r.q.over, r.stop = context.WithCancel(context.Background())
-	l.open[r.q.id] = r
+	r.q.Done, r.stop = context.WithCancel(context.Background())
+	l.open[r.q.ID] = r
 	l.taken++
 	l.guard(r)
 	l.pending = append(l.pending, m.event)
@@ -262,8 +262,8 @@
 }
 
 func (l *Loop) forget(r *request) {
-	if r.ended && r.out == 0 && l.open[r.q.id] == r {
-		delete(l.open, r.q.id)
+	if r.ended && r.out == 0 && l.open[r.q.ID] == r {
+		delete(l.open, r.q.ID)
 	}
 }
 
@@ -280,7 +280,7 @@
 	r.out--
 	r.risky = r.risky || !m.event.Result.NeverRan() || l.s.RejectedMayHaveRun && m.event.Result == balancer.Rejected
 	if m.event.Result == balancer.Served && !r.ended {
-		l.reply(r, answer{status: http.StatusOK, body: m.answer.body})
+		l.reply(r, answer{status: http.StatusOK, body: m.answer.Body})
 	}
 	m.event.Done = r.ended
 	l.forget(r)
@@ -300,7 +300,7 @@
 			continue
 		}
 		if l.until == 0 {
-			l.log.Error("bug: no final answer by the deadline", "id", r.q.id, "attempts", len(r.attempts), "out", r.out)
+			l.log.Error("bug: no final answer by the deadline", "id", r.q.ID, "attempts", len(r.attempts), "out", r.out)
 		}
 		l.reply(r, answer{status: http.StatusBadGateway})
 		for _, cancel := range r.attempts {
@@ -308,7 +308,7 @@
 				cancel()
 			}
 		}
-		l.pending = append(l.pending, balancer.Abandoned{Request: r.q.id})
+		l.pending = append(l.pending, balancer.Abandoned{Request: r.q.ID})
 	}
 }
 
@@ -370,13 +370,13 @@
 	case balancer.HealthCheck:
 		l.probe(a.Endpoint)
 	case balancer.Subscribe:
-		l.disc.subscribe(l.ctx)
+		l.discovery.Subscribe(l.ctx)
 	case balancer.Unsubscribe:
-		l.disc.unsubscribe()
+		l.discovery.Unsubscribe()
 	case balancer.PollEndpoints:
-		l.disc.fetch(l.ctx)
+		l.discovery.Poll(l.ctx)
 	case balancer.CloseIdle:
-		l.back.pool.closeIdle(a.Endpoint)
+		l.upstream.CloseIdle(a.Endpoint)
 	case balancer.LogMessage:
 		l.log.Info(a.Text)
 	default:
@@ -424,8 +424,8 @@
 	}
 	until := l.clock.Time(cut)
 	go func() {
-		res, rep := l.back.attempt(ctx, r.q, a.Endpoint, until)
-		event.Result, event.Latency, event.LoadReport = res, l.clock.At(rep.at)-now, loadReport(rep)
+		res, rep := l.upstream.Attempt(ctx, r.q, a.Endpoint, until)
+		event.Result, event.Latency, event.LoadReport = res, l.clock.At(rep.EndedAt)-now, rep.LoadReport()
 		l.post(outcome{r: r, event: event, answer: rep})
 	}()
 }
@@ -433,9 +433,9 @@
 func (l *Loop) probe(backend string) {
 	start := l.clock.Now()
 	go func() {
-		res, rep := l.back.probe(l.ctx, backend)
-		l.post(balancer.HealthCheckResult{Endpoint: backend, Result: res, Latency: l.clock.At(rep.at) - start,
-			LoadReport: loadReport(rep)})
+		res, rep := l.upstream.HealthCheck(l.ctx, backend)
+		l.post(balancer.HealthCheckResult{Endpoint: backend, Result: res, Latency: l.clock.At(rep.EndedAt) - start,
+			LoadReport: rep.LoadReport()})
 	}()
 }
 
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"context"
+	"errors"
 	"io"
+	"net"
 	"net/http"
 	"strings"
 	"testing"
@@ -10,6 +12,7 @@
 
 	"ashshunt/balancer"
 	"ashshunt/internal/config"
+	"ashshunt/internal/discovery"
 	"ashshunt/internal/testutil"
 )
 
@@ -78,9 +81,14 @@
 	return resp, string(text)
 }
 
-// count is the number of connections that are open.
-func (p *pool) count() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.open
+// changeDiscovery has an agent use discovery with changed options.
+func changeDiscovery(a *Agent, c *config.Config, change func(*discovery.Options)) {
+	options := a.loop.discoveryOptions(c)
+	change(&options)
+	a.loop.discovery = discovery.New(options)
+}
+
+func isTimeout(err error) bool {
+	var ne net.Error
+	return errors.As(err, &ne) && ne.Timeout()
 }
--- a/internal/agent/trouble_test.go
+++ b/internal/agent/trouble_test.go
@@ -154,7 +154,7 @@
 	settle()
 	testutil.Receive(t, s0.Received)
 	d.Say <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s1", s1.Addr(), "SERVING") + `]}`
-	testutil.Eventually(t, "the second backend", func() bool { _, ok := a.loop.back.table.Serving("s1"); return ok })
+	testutil.Eventually(t, "the second backend", func() bool { _, ok := a.loop.table.Serving("s1"); return ok })
 	used := false // the second backend; from then on the first is not the only one
 	for range 1000 {
 		settle()
--- a/internal/agent/discovery.go
+++ b/internal/discovery/client.go
@@ -1,4 +1,5 @@
-package agent
+// Package discovery is the agent's side of discovery: it watches and polls the endpoint list.
+package discovery
 
 import (
 	"context"
@@ -16,7 +17,6 @@
 
 	"ashshunt/balancer"
 	"ashshunt/internal/clock"
-	"ashshunt/internal/config"
 	"ashshunt/internal/endpoint"
 )
 
@@ -34,9 +34,9 @@
 	// toldWithin is when a change counts as told at the latest after discovery had it and could be reached, whatever
 	// became of the calls before: a watch that fell silent or a call that hung, the wait after it and the next
 	// call's turn fit in it. One that was refused tells that discovery could not be reached until then.
-	toldWithin    = 6 * time.Second
-	askSpread     = toldWithin - max(watchSilence, callTime) - turnTime
-	refusedSpread = toldWithin - turnTime
+	toldWithin        = 6 * time.Second
+	PollSpread        = toldWithin - max(watchSilence, callTime) - turnTime
+	RefusedPollSpread = toldWithin - turnTime
 	// resumeWithin is the longest wait before an unasked watch, whose calls end on this machine: two silent ones
 	// in a row, the waits after them and the next fit in toldWithin.
 	resumeWithin = (toldWithin - watchSilence - callTime) / 4
@@ -45,22 +45,24 @@
 // errRefused marks a call that discovery answered with a refusal.
 var errRefused = errors.New("discovery answered")
 
-// discovery asks for the list and watches it, when told to. Its events reach the loop by post.
-type discovery struct {
-	client  *http.Client
+// Client polls and watches the endpoint list, when told to.
+type Client struct {
+	http    *http.Client
 	table   *endpoint.Table
-	stale   func(backend string) // retires its connections
-	post    func(any)
-	silence time.Duration // see watchSilence
-	calling time.Duration // see callTime; for a watch, until its first byte
-	event   func(endpoint.List, balancer.ListKind) balancer.EndpointList
+	retire  func(endpointID string)     // ends the use of its connections
+	onList  func(balancer.EndpointList) // takes the events
+	silence time.Duration               // see watchSilence
+	calling time.Duration               // see callTime; for a watch, until its first byte
+	convert func(endpoint.List, balancer.ListKind) balancer.EndpointList
 	log     *slog.Logger
 
 	// Where the settings say that changes come unasked, the module never asks for a watch. On sockets nothing
 	// comes without one, so it is kept here, and one that ends is begun again after a jittered wait.
-	unasked bool
-	unit    time.Duration // of that wait ...
-	longest time.Duration // ... and its bound
+	keepWatch bool
+	unit      time.Duration // of that wait ...
+	longest   time.Duration // ... and its bound
+
+	known endpoint.List // as given at the start
 
 	order sync.Mutex // orders listings, from reading to posting; held while posting
 
@@ -73,6 +75,58 @@
 	rng     *rand.Rand
 }
 
+// Options are what a Client is made of.
+type Options struct {
+	Addr   string        // host:port of discovery
+	Known  endpoint.List // the list as last known, from which it goes on
+	Table  *endpoint.Table
+	Retire func(endpointID string)     // ends the use of connections to an endpoint
+	OnList func(balancer.EndpointList) // takes the events; may be called on any goroutine
+	Zones  []string                    // as the settings name them, in the order of the module's numbers
+	Kinds  []string
+	Clock  clock.Clock
+	Log    *slog.Logger
+
+	// KeepWatch: the client keeps a watch open by itself, since the module never asks for one.
+	KeepWatch      bool
+	ConnectTimeout time.Duration // the unit of the wait between two such watches
+	DrainGrace     time.Duration // bounds it, since draining endpoints may get requests for so long only
+	Seed           uint64        // of its jitter
+
+	WatchSilence time.Duration // how long a watch may bring nothing; 0: the default
+	CallTimeout  time.Duration // how long a call may take; 0: the default
+}
+
+// minWait is the least that the unit and the bound of the wait between two kept watches may be.
+const minWait = 10 * time.Millisecond
+
+// New returns a client that holds the known list, which it applies to the table; it calls nobody yet.
+func New(o Options) *Client {
+	d := &Client{addr: o.Addr, http: newListClient(), table: o.Table, retire: o.Retire, onList: o.OnList,
+		silence: watchSilence, calling: callTime, convert: converter(o.Zones, o.Kinds, o.Clock), log: o.Log,
+		keepWatch: o.KeepWatch, unit: max(o.ConnectTimeout, minWait), longest: min(max(o.DrainGrace/4, minWait), resumeWithin),
+		rng: rand.New(rand.NewPCG(o.Seed, 1)), known: o.Known, version: o.Known.Version}
+	if o.WatchSilence > 0 {
+		d.silence = o.WatchSilence
+	}
+	if o.CallTimeout > 0 {
+		d.calling = o.CallTimeout
+	}
+	d.known.Full = true
+	d.table.Apply(d.known)
+	return d
+}
+
+// Known is the event of the list that the client was given.
+func (d *Client) Known() balancer.EndpointList { return d.convert(d.known, balancer.ListCached) }
+
+// Start begins the watch that the client keeps by itself, if it is to.
+func (d *Client) Start(ctx context.Context) {
+	if d.keepWatch {
+		d.Subscribe(ctx)
+	}
+}
+
 // maxDoubling bounds the growth of the wait before an unasked watch: all agents of a machine room lose theirs at
 // once.
 const maxDoubling = 3
@@ -98,7 +152,7 @@
 // take applies a listing from an address at once and passes it on, unless a later watch or another
 // address took over meanwhile. One that is older than what is held, as the answer to a call may be that a line
 // of the watch has overtaken, says nothing new. w is nil for a call for the whole list.
-func (d *discovery) take(w *watch, addr string, l endpoint.List) bool {
+func (d *Client) take(w *watch, addr string, l endpoint.List) bool {
 	d.order.Lock()
 	defer d.order.Unlock()
 	if w != nil && !d.establish(w, l.Full) {
@@ -118,19 +172,19 @@
 		l = endpoint.List{} // whoever has asked hears that nothing changed
 	}
 	for _, id := range d.table.Apply(l) {
-		d.stale(id)
+		d.retire(id)
 	}
 	kind := balancer.ListDelta
 	if l.Full {
 		kind = balancer.ListComplete
 	}
-	d.post(d.event(l, kind))
+	d.onList(d.convert(l, kind))
 	return true
 }
 
 // establish reports whether lists are to be taken from w. Once it has begun it ends the watch before it;
 // where it is to bring the whole list, once that has come.
-func (d *discovery) establish(w *watch, full bool) bool {
+func (d *Client) establish(w *watch, full bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if w == d.next && (full || w.since != unknown) {
@@ -143,9 +197,9 @@
 	return w == d.current
 }
 
-// subscribe starts a watch. The one before it goes on until the new one brings its list: a new address
+// Subscribe starts a watch. The one before it goes on until the new one brings its list: a new address
 // may be slow to answer, or never do.
-func (d *discovery) subscribe(parent context.Context) {
+func (d *Client) Subscribe(parent context.Context) {
 	ctx, stop := context.WithCancel(parent)
 	d.mu.Lock()
 	if d.next != nil {
@@ -159,10 +213,10 @@
 		err := d.follow(ctx, w)
 		if ctx.Err() == nil && d.ended(w) {
 			d.log.Warn("watch ended", "discovery", w.addr, "err", err)
-			if d.unasked {
+			if d.keepWatch {
 				d.resume(parent)
 			} else {
-				d.post(failure(err))
+				d.onList(failure(err))
 			}
 		}
 	}()
@@ -178,7 +232,7 @@
 
 // resume begins an unasked watch again after an exponential, fully jittered wait, unless another began meanwhile.
 // A watch of an address from which discovery has moved away does not count.
-func (d *discovery) resume(ctx context.Context) {
+func (d *Client) resume(ctx context.Context) {
 	d.mu.Lock()
 	wait := time.Duration(d.rng.Float64() * float64(min(d.unit<<min(d.fails, maxDoubling), d.longest)))
 	d.fails++
@@ -192,13 +246,13 @@
 	watched := d.current != nil && d.current.addr == d.addr || d.next != nil
 	d.mu.Unlock()
 	if !watched {
-		d.subscribe(ctx)
+		d.Subscribe(ctx)
 	}
 }
 
 // ended forgets a watch that ended by itself and reports whether the module is to hear of it: while
 // another one is to replace it, nothing is lost.
-func (d *discovery) ended(w *watch) bool {
+func (d *Client) ended(w *watch) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch w {
@@ -212,7 +266,7 @@
 	return false
 }
 
-func (d *discovery) unsubscribe() {
+func (d *Client) Unsubscribe() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, w := range []*watch{d.current, d.next} {
@@ -223,33 +277,33 @@
 	d.current, d.next = nil, nil
 }
 
-// move turns to another address and watches it at once, if the old one was watched or is about to be.
-func (d *discovery) move(ctx context.Context, addr string) {
+// Move turns to another address and watches it at once, if the old one was watched or is about to be.
+func (d *Client) Move(ctx context.Context, addr string) {
 	d.mu.Lock()
 	if addr == d.addr {
 		d.mu.Unlock()
 		return
 	}
 	d.addr, d.version = addr, unknown
-	watched := d.unasked || d.current != nil || d.next != nil
+	watched := d.keepWatch || d.current != nil || d.next != nil
 	d.mu.Unlock()
 	d.log.Info("discovery moved", "discovery", addr)
 	if watched {
-		d.subscribe(ctx)
+		d.Subscribe(ctx)
 	}
 }
 
-// fetch asks for the whole list once.
-func (d *discovery) fetch(ctx context.Context) {
+// Poll asks for the whole list once.
+func (d *Client) Poll(ctx context.Context) {
 	go func() {
 		if err := d.list(ctx); err != nil && ctx.Err() == nil {
 			d.log.Warn("list call failed", "err", err)
-			d.post(failure(err))
+			d.onList(failure(err))
 		}
 	}()
 }
 
-func (d *discovery) list(ctx context.Context) error {
+func (d *Client) list(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, d.calling)
 	defer cancel()
 	d.mu.Lock()
@@ -273,12 +327,12 @@
 	return nil
 }
 
-func (d *discovery) get(ctx context.Context, addr, query string) (*http.Response, error) {
+func (d *Client) get(ctx context.Context, addr, query string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/servers"+query, nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := d.client.Do(req)
+	resp, err := d.http.Do(req)
 	if err != nil {
 		return nil, err
 	}
@@ -310,7 +364,7 @@
 
 // follow reads changes until the watch ends, falls silent or brings what can't be read. A list ends where its
 // JSON does, which may be several lines on.
-func (d *discovery) follow(ctx context.Context, w *watch) error {
+func (d *Client) follow(ctx context.Context, w *watch) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	silence := time.AfterFunc(d.calling, func() { cancel(errors.New("silent")) })
@@ -351,13 +405,13 @@
 	}
 }
 
-// lister returns the conversion of a listing to the module's event.
-func lister(c *config.Config, clock clock.Clock) func(endpoint.List, balancer.ListKind) balancer.EndpointList {
+// converter returns the conversion of a listing to the module's event.
+func converter(zones, kinds []string, clock clock.Clock) func(endpoint.List, balancer.ListKind) balancer.EndpointList {
 	return func(l endpoint.List, kind balancer.ListKind) balancer.EndpointList {
 		e := balancer.EndpointList{Kind: kind, Endpoints: make([]balancer.Endpoint, 0, len(l.Entries))}
 		for _, s := range l.Entries {
 			e.Endpoints = append(e.Endpoints, balancer.Endpoint{ID: s.ID, State: endpoint.States[s.State],
-				Zone: slices.Index(c.Names.Zones, s.Zone), Cell: s.Cell, Kind: slices.Index(c.Names.Kinds, s.Kind),
+				Zone: slices.Index(zones, s.Zone), Cell: s.Cell, Kind: slices.Index(kinds, s.Kind),
 				Weight: s.Weight, Started: clock.FromUnixMillis(s.StartedMs)})
 		}
 		return e
--- a/internal/agent/backend.go
+++ b/internal/upstream/client.go
@@ -1,10 +1,10 @@
-package agent
+// Package upstream is the servers' side of the agent: connections to endpoints, attempts and their results.
+package upstream
 
 import (
 	"bytes"
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"log/slog"
 	"math"
@@ -12,6 +12,7 @@
 	"net/url"
 	"strconv"
 	"strings"
+	"syscall"
 	"time"
 
 	"ashshunt/balancer"
@@ -19,8 +20,8 @@
 	"ashshunt/internal/simwire"
 )
 
-// backends carries out attempts and probes. Each ends with exactly one outcome.
-type backends struct {
+// Client carries out attempts and health checks. Each ends with exactly one result.
+type Client struct {
 	pool    *pool
 	table   *endpoint.Table
 	reports balancer.LoadReportSource
@@ -29,45 +30,86 @@
 	log     *slog.Logger
 }
 
-// call is a client's request as it goes on to backends.
-type call struct {
-	id, key      string // X-Call-Id and Idempotency-Key
-	method, host string
-	target       *url.URL
-	body         []byte
-	over         context.Context // ends with it: nothing more may go out for it
-	left         func() bool     // whether its client has left, which the loop may not know yet
+// Options are what a Client is made of.
+type Options struct {
+	Table          *endpoint.Table // consulted right before the first byte of each attempt
+	LoadReports    balancer.LoadReportSource
+	ConnectTimeout time.Duration
+	IdleClose      time.Duration // endpoints close connections that are idle for so long; 0: never
+	MaxConnections int           // 0: no limit
+	Log            *slog.Logger
+	DialControl    func(network, address string, c syscall.RawConn) error // as in net.Dialer; may be nil
 }
 
-// attempt sends one attempt and returns its result, and the body where it was served.
-func (b *backends) attempt(ctx context.Context, q *call, backend string, cut time.Time) (balancer.Result, reply) {
+const (
+	// idleForNever is how long connections stay idle to endpoints that never close one themselves.
+	idleForNever = time.Minute
+	// minStall is the least that a response which has begun may pause.
+	minStall = 100 * time.Millisecond
+)
+
+// New returns a client without connections.
+func New(o Options) *Client {
+	maxIdle := o.IdleClose * 3 / 4
+	if maxIdle == 0 {
+		maxIdle = idleForNever
+	}
+	pool := newPool(maxIdle, o.ConnectTimeout, o.MaxConnections)
+	pool.dialer.Control = o.DialControl
+	return &Client{pool: pool, table: o.Table, reports: o.LoadReports, probing: 2 * o.ConnectTimeout,
+		stall: max(2*o.ConnectTimeout, minStall), log: o.Log}
+}
+
+// CloseIdle closes the idle connections to an endpoint.
+func (b *Client) CloseIdle(endpointID string) { b.pool.closeIdle(endpointID) }
+
+// Retire ends the use of all connections to an endpoint that drains, is gone or was started again: those in use
+// close when they are done.
+func (b *Client) Retire(endpointID string) { b.pool.retire(endpointID) }
+
+// OpenConnections is the number of connections that are open or being dialled.
+func (b *Client) OpenConnections() int { return b.pool.count() }
+
+// Request is a client's request as it goes on to endpoints.
+type Request struct {
+	ID             string // X-Call-Id
+	IdempotencyKey string
+	Method, Host   string
+	Target         *url.URL // path and query as the client sent them
+	Body           []byte
+	Done           context.Context // once it ends, nothing more may go out for the request
+	ClientGone     func() bool     // reports whether the client has left, which the owner may not know yet
+}
+
+// Attempt sends one attempt and returns its result, and the body where it was served.
+func (b *Client) Attempt(ctx context.Context, q *Request, backend string, cut time.Time) (balancer.Result, Response) {
 	dial, stop := context.WithCancel(ctx)
 	defer stop()
-	defer context.AfterFunc(q.over, stop)() // what is written runs on, a dial does not
+	defer context.AfterFunc(q.Done, stop)() // what is written runs on, a dial does not
 	c, res, err := b.connect(dial, backend, cut)
 	if c == nil {
-		return res, reply{at: time.Now(), err: err}
+		return res, Response{EndedAt: time.Now(), Err: err}
 	}
 	// The dial took time: the request may have ended meanwhile. From here to the first byte nothing waits.
-	if q.over.Err() != nil || q.left() || ctx.Err() != nil || !time.Now().Before(cut) {
+	if q.Done.Err() != nil || q.ClientGone() || ctx.Err() != nil || !time.Now().Before(cut) {
 		b.pool.release(c)
-		return balancer.NotSent, reply{at: time.Now()}
+		return balancer.NotSent, Response{EndedAt: time.Now()}
 	}
-	req := &http.Request{Method: q.method, URL: q.target, Host: q.host, Header: http.Header{
-		"X-Call-Id":   {q.id},
+	req := &http.Request{Method: q.Method, URL: q.Target, Host: q.Host, Header: http.Header{
+		"X-Call-Id":   {q.ID},
 		"X-Budget-Ms": {strconv.FormatInt(max(1, time.Until(cut).Milliseconds()), 10)},
 		"User-Agent":  {""}, // none
 	}}
-	if q.key != "" {
-		req.Header["Idempotency-Key"] = []string{q.key}
+	if q.IdempotencyKey != "" {
+		req.Header["Idempotency-Key"] = []string{q.IdempotencyKey}
 	}
-	return b.exchange(ctx, c, req, q.body, cut)
+	return b.exchange(ctx, c, req, q.Body, cut)
 }
 
 // connect gives a connection to a backend, or the result if there is none to be had. By then the backend may have
 // begun to drain, or been started again: nothing goes out to a process that is no more, whose end of a connection
 // would pass for that of a request which may have run.
-func (b *backends) connect(ctx context.Context, backend string, cut time.Time) (*conn, balancer.Result, error) {
+func (b *Client) connect(ctx context.Context, backend string, cut time.Time) (*conn, balancer.Result, error) {
 	for {
 		to, ok := b.table.Serving(backend)
 		if !ok { // since it was chosen: there is no connection for this, and another may serve it
@@ -99,15 +141,15 @@
 const staleAfter = 100 * time.Millisecond
 
 // exchange sends a request on c and reads the outcome off what comes back, by the protocol's table.
-func (b *backends) exchange(ctx context.Context, c *conn, req *http.Request, body []byte,
-	cut time.Time) (balancer.Result, reply) {
+func (b *Client) exchange(ctx context.Context, c *conn, req *http.Request, body []byte,
+	cut time.Time) (balancer.Result, Response) {
 	if len(body) > 0 {
 		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 	}
 	var raw bytes.Buffer
 	if err := req.Write(&raw); err != nil { // before any byte: what can't be written can't have run
 		b.pool.release(c)
-		return balancer.NotSent, reply{at: time.Now(), err: err}
+		return balancer.NotSent, Response{EndedAt: time.Now(), Err: err}
 	}
 	var idle time.Duration
 	if !c.since.IsZero() {
@@ -131,40 +173,40 @@
 		// use says nothing of the others: closing them costs a handshake each, which the backend pays.
 		b.pool.closeIdleSince(c.group.backend, c.since)
 	}
-	if errors.Is(r.err, errMalformed) {
+	if errors.Is(r.Err, errMalformed) {
 		b.log.Warn("malformed answer", "backend", c.group.backend)
-	} else if r.err == nil && res == balancer.ServerError && r.status != http.StatusInternalServerError {
-		b.log.Warn("unexpected answer", "backend", c.group.backend, "status", r.status)
+	} else if r.Err == nil && res == balancer.ServerError && r.Status != http.StatusInternalServerError {
+		b.log.Warn("unexpected answer", "backend", c.group.backend, "status", r.Status)
 	}
 	return res, r
 }
 
 // result is the protocol's table of outcomes. Where there is doubt the request may have run.
-func result(r reply, written, cancelled bool) balancer.Result {
+func result(r Response, written, cancelled bool) balancer.Result {
 	switch {
-	case r.err == nil && r.status == http.StatusOK:
+	case r.Err == nil && r.Status == http.StatusOK:
 		return balancer.Served
-	case r.err == nil && (r.status == http.StatusServiceUnavailable || r.status == http.StatusGatewayTimeout) &&
-		r.header.Get("X-Rejected") == "1":
+	case r.Err == nil && (r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout) &&
+		r.Header.Get("X-Rejected") == "1":
 		return balancer.Rejected
-	case r.err == nil || errors.Is(r.err, errMalformed):
+	case r.Err == nil || errors.Is(r.Err, errMalformed):
 		return balancer.ServerError
 	case !written:
 		return balancer.ConnectFailed // its last byte never left
 	case cancelled:
 		return balancer.Cancelled
-	case isTimeout(r.err):
+	case isTimeout(r.Err):
 		return balancer.TimedOut
 	}
 	return balancer.Reset
 }
 
-// probe examines a backend outside any request.
-func (b *backends) probe(ctx context.Context, backend string) (balancer.Result, reply) {
+// HealthCheck examines an endpoint outside any request.
+func (b *Client) HealthCheck(ctx context.Context, backend string) (balancer.Result, Response) {
 	cut := time.Now().Add(b.probing)
 	c, res, err := b.connect(ctx, backend, cut)
 	if c == nil {
-		return res, reply{at: time.Now(), err: err}
+		return res, Response{EndedAt: time.Now(), Err: err}
 	}
 	path := "/healthz"
 	if b.reports != balancer.LoadReportsNone {
@@ -173,17 +215,17 @@
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: c.RemoteAddr().String(),
 		Header: http.Header{"User-Agent": {""}}}
 	res, r := b.exchange(ctx, c, req, nil, cut)
-	if path == "/load" && r.err == nil && r.header.Get(loadHeader) == "" {
-		r.header.Set(loadHeader, string(r.body))
+	if path == "/load" && r.Err == nil && r.Header.Get(loadHeader) == "" {
+		r.Header.Set(loadHeader, string(r.Body))
 	}
 	return res, r
 }
 
 const loadHeader = "X-Load-Report"
 
-// loadReport reads a load report as backends write it: TEXT name=value, name=value.
-func loadReport(r reply) balancer.LoadReport {
-	text, ok := strings.CutPrefix(strings.TrimSpace(r.header.Get(loadHeader)), "TEXT ")
+// LoadReport reads the load report of a response as endpoints write it: TEXT name=value, name=value.
+func (r Response) LoadReport() balancer.LoadReport {
+	text, ok := strings.CutPrefix(strings.TrimSpace(r.Header.Get(loadHeader)), "TEXT ")
 	if !ok {
 		return balancer.LoadReport{}
 	}
@@ -198,15 +240,3 @@
 	}
 	return simwire.LoadReport(usage)
 }
-
-// targetOf is the path and query as the client sent them, unchanged.
-func targetOf(r *http.Request) (*url.URL, error) {
-	if !strings.HasPrefix(r.RequestURI, "/") {
-		return r.URL, nil
-	}
-	path, query, _ := strings.Cut(r.RequestURI, "?")
-	if strings.HasPrefix(path, "//") {
-		return nil, fmt.Errorf("path %q", path)
-	}
-	return &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.RequestURI, "?")}, nil
-}
--- a/internal/agent/backend_test.go
+++ b/internal/upstream/client_test.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 )
 
 // newBackends knows the given addresses as s0, s1 ...
-func newBackends(t *testing.T, addrs ...string) *backends {
+func newBackends(t *testing.T, addrs ...string) *Client {
 	t.Helper()
 	l := endpoint.List{Full: true}
 	for i, addr := range addrs {
@@ -27,17 +27,17 @@
 	}
 	table := endpoint.NewTable()
 	table.Apply(l)
-	return &backends{pool: newPool(time.Minute, testutil.Timeout, 0), table: table, probing: testutil.Timeout, stall: time.Second,
+	return &Client{pool: newPool(time.Minute, testutil.Timeout, 0), table: table, probing: testutil.Timeout, stall: time.Second,
 		log: testutil.NewLogger(&testutil.Log{})}
 }
 
-func settle() *call {
-	return &call{id: "00000000000000a1", method: "POST", host: "api.internal", target: &url.URL{Opaque: "/settle"},
-		body: []byte("x"), over: context.Background(), left: func() bool { return false }}
+func settle() *Request {
+	return &Request{ID: "00000000000000a1", Method: "POST", Host: "api.internal", Target: &url.URL{Opaque: "/settle"},
+		Body: []byte("x"), Done: context.Background(), ClientGone: func() bool { return false }}
 }
 
-func (b *backends) try(q *call, wait time.Duration) (balancer.Result, reply) {
-	return b.attempt(context.Background(), q, "s0", time.Now().Add(wait))
+func (b *Client) try(q *Request, wait time.Duration) (balancer.Result, Response) {
+	return b.Attempt(context.Background(), q, "s0", time.Now().Add(wait))
 }
 
 // Guards the protocol's table of outcomes, on which the rule on repeats rests, and against a request
@@ -186,8 +186,8 @@
 	p := testutil.NewServer(t, testutil.Echo)
 	b := newBackends(t, p.Addr())
 	for range 5 {
-		if res, r := b.try(settle(), testutil.Timeout); res != balancer.Served || string(r.body) != "did x" {
-			t.Fatalf("result %d, body %q", res, r.body)
+		if res, r := b.try(settle(), testutil.Timeout); res != balancer.Served || string(r.Body) != "did x" {
+			t.Fatalf("result %d, body %q", res, r.Body)
 		}
 		addrs[testutil.Receive(t, p.Received).RemoteAddr] = true
 	}
@@ -217,25 +217,6 @@
 	}
 }
 
-// Guards against settings under which backends never close a connection: each request opened a new one.
-func TestIdleForNever(t *testing.T) {
-	t.Parallel()
-	p := testutil.NewServer(t, testutil.Echo)
-	c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING"))
-	c.Settings.IdleClose = 0
-	a, _ := start(t, c, nil)
-	var from []string
-	for i := range 2 {
-		if resp, _ := ask(t, a, "GET", "/look", "", "X-Call-Id", id[:15]+string(rune('0'+i)), "X-Budget-Ms", "7000"); resp.StatusCode != 200 {
-			t.Fatalf("status %d", resp.StatusCode)
-		}
-		from = append(from, testutil.Receive(t, p.Received).RemoteAddr)
-	}
-	if from[0] != from[1] {
-		t.Error("two connections for two requests, one after the other")
-	}
-}
-
 // Guards against meeting the backend's own idle time-out: the agent closes first.
 func TestIdleTimeout(t *testing.T) {
 	p := testutil.NewServer(t, testutil.Echo)
@@ -252,15 +233,15 @@
 func TestNothingGoesOutAfterTheDial(t *testing.T) {
 	tests := []struct {
 		name  string
-		event func(b *backends, q *call, end func())
+		event func(b *Client, q *Request, end func())
 		want  balancer.Result
 	}{
-		{"draining", func(b *backends, _ *call, _ func()) {
+		{"draining", func(b *Client, _ *Request, _ func()) {
 			b.table.Apply(endpoint.List{Entries: []endpoint.Entry{{ID: "s0", Addr: "127.0.0.1:1", State: "DRAINING"}}})
 		}, balancer.ConnectFailed},
-		{"gone", func(b *backends, _ *call, _ func()) { b.table.Apply(endpoint.List{Full: true}) }, balancer.ConnectFailed},
-		{"ended", func(_ *backends, _ *call, end func()) { end() }, balancer.NotSent},
-		{"its client has left", func(_ *backends, q *call, _ func()) { q.left = func() bool { return true } }, balancer.NotSent},
+		{"gone", func(b *Client, _ *Request, _ func()) { b.table.Apply(endpoint.List{Full: true}) }, balancer.ConnectFailed},
+		{"ended", func(_ *Client, _ *Request, end func()) { end() }, balancer.NotSent},
+		{"its client has left", func(_ *Client, q *Request, _ func()) { q.ClientGone = func() bool { return true } }, balancer.NotSent},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -268,7 +249,7 @@
 			b, q := newBackends(t, p.Addr()), settle()
 			over, end := context.WithCancel(context.Background())
 			defer end()
-			q.over = over
+			q.Done = over
 			b.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error { tt.event(b, q, end); return nil }
 			if res, _ := b.try(q, testutil.Timeout); res != tt.want {
 				t.Errorf("result %d, want %d", res, tt.want)
@@ -377,11 +358,11 @@
 func TestConnectionsInUse(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
-		event  func(b *backends)
+		event  func(b *Client)
 		remain int
 	}{
-		{"another one failed", func(b *backends) { b.pool.closeIdle("s0") }, 1},
-		{"retired", func(b *backends) { b.pool.retire("s0") }, 0},
+		{"another one failed", func(b *Client) { b.pool.closeIdle("s0") }, 1},
+		{"retired", func(b *Client) { b.pool.retire("s0") }, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			gate := make(chan struct{})
@@ -406,7 +387,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan balancer.Result, 1)
 	go func() {
-		res, _ := b.attempt(ctx, settle(), "s0", time.Now().Add(testutil.Timeout))
+		res, _ := b.Attempt(ctx, settle(), "s0", time.Now().Add(testutil.Timeout))
 		done <- res
 	}()
 	testutil.Receive(t, p.Received)
@@ -426,7 +407,7 @@
 	if res, _ := b.try(settle(), testutil.Timeout); res != balancer.Served {
 		t.Fatal("not served")
 	}
-	if res, _ := b.attempt(context.Background(), settle(), "s1", time.Now().Add(testutil.Timeout)); res != balancer.Served {
+	if res, _ := b.Attempt(context.Background(), settle(), "s1", time.Now().Add(testutil.Timeout)); res != balancer.Served {
 		t.Errorf("result %d, want OK in place of the idle connection", res)
 	}
 	testutil.Receive(t, p.Closed)
@@ -455,8 +436,8 @@
 			})
 			b := newBackends(t, p.Addr())
 			for i := range 3 {
-				if res, r := b.try(settle(), testutil.Timeout); res != balancer.Served || string(r.body) != "did x" {
-					t.Fatalf("request %d: result %d, body %q", i, res, r.body)
+				if res, r := b.try(settle(), testutil.Timeout); res != balancer.Served || string(r.Body) != "did x" {
+					t.Fatalf("request %d: result %d, body %q", i, res, r.Body)
 				}
 				if late {
 					more <- struct{}{}
@@ -487,7 +468,7 @@
 func TestLoadReports(t *testing.T) {
 	for _, text := range []string{"", "inflight=7", "TEXT inflight=NaN", "TEXT inflight=1, queue=+Inf", "TEXT util=-1",
 		"TEXT inflight=1e999", "TEXT inflight", "TEXT \x01"} {
-		if l := loadReport(reply{header: map[string][]string{loadHeader: {text}}}); l.Valid {
+		if l := (Response{Header: map[string][]string{loadHeader: {text}}}).LoadReport(); l.Valid {
 			t.Errorf("%q was read as %+v", text, l)
 		}
 	}
@@ -501,16 +482,16 @@
 		return true
 	})
 	b := newBackends(t, p.Addr())
-	if res, _ := b.probe(context.Background(), "s0"); res != balancer.Served || testutil.Receive(t, p.Received).URL.Path != "/healthz" {
+	if res, _ := b.HealthCheck(context.Background(), "s0"); res != balancer.Served || testutil.Receive(t, p.Received).URL.Path != "/healthz" {
 		t.Errorf("result %d", res)
 	}
 	b.reports = balancer.LoadReportsWithHealthChecks
-	_, r := b.probe(context.Background(), "s0")
-	if l := loadReport(r); testutil.Receive(t, p.Received).URL.Path != "/load" || l.InFlight != 7 || l.Queue != 2 || l.Utilization != 0.61 || l.Throughput != -1 {
+	_, r := b.HealthCheck(context.Background(), "s0")
+	if l := r.LoadReport(); testutil.Receive(t, p.Received).URL.Path != "/load" || l.InFlight != 7 || l.Queue != 2 || l.Utilization != 0.61 || l.Throughput != -1 {
 		t.Errorf("load %+v", l)
 	}
 	status.Store(503)
-	if res, _ := b.probe(context.Background(), "s0"); res != balancer.ServerError {
+	if res, _ := b.HealthCheck(context.Background(), "s0"); res != balancer.ServerError {
 		t.Errorf("result %d, want Errored", res)
 	}
 }
--- a/internal/agent/pool.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"context"
@@ -216,3 +216,10 @@
 		p.drop(c)
 	}
 }
+
+// count is the number of connections that are open or being dialled.
+func (p *pool) count() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.open
+}
--- a/internal/agent/answer.go
+++ b/internal/upstream/response.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"bufio"
@@ -26,32 +26,32 @@
 // errMalformed marks an answer that came but says nothing usable; the request may have run.
 var errMalformed = errors.New("malformed answer")
 
-// reply is what came back: an answer, whole, or an error.
-type reply struct {
-	status int
-	header textproto.MIMEHeader
-	body   []byte
-	at     time.Time
-	err    error
+// Response is what came back for a request: a whole response, or an error.
+type Response struct {
+	Status  int
+	Header  textproto.MIMEHeader
+	Body    []byte
+	EndedAt time.Time // when its last byte or the error came
+	Err     error
 }
 
 // readers are the buffers of exchanges; an idle connection has none.
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4096) }}
 
-// send writes a request in one go and reads its reply. written tells whether its last byte went out; again,
+// send writes a request in one go and reads its Response. written tells whether its last byte went out; again,
 // whether the connection is good for another one. Once an answer has begun, a gap of stall ends it.
-func send(ctx context.Context, c net.Conn, raw []byte, cut time.Time, stall time.Duration) (r reply, written, again bool) {
+func send(ctx context.Context, c net.Conn, raw []byte, cut time.Time, stall time.Duration) (r Response, written, again bool) {
 	c.SetDeadline(cut)
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if n, err := c.Write(raw); n < len(raw) {
-		return reply{err: err, at: time.Now()}, false, false
+		return Response{Err: err, EndedAt: time.Now()}, false, false
 	}
 	a := &answerReader{Conn: c, ctx: ctx, cut: cut, stall: stall}
 	a.in = readers.Get().(*bufio.Reader)
 	a.in.Reset(a)
 	r, again = a.read()
-	r.at = time.Now()
+	r.EndedAt = time.Now()
 	extra := a.in.Buffered() > 0
 	a.in.Reset(nil)
 	readers.Put(a.in)
@@ -100,7 +100,7 @@
 
 // read reads one answer to its end, so that a half one is never passed on, and tells whether another may
 // follow on the same connection.
-func (a *answerReader) read() (reply, bool) {
+func (a *answerReader) read() (Response, bool) {
 	for range maxEarly + 1 {
 		a.left, a.begun = maxHead, a.in.Buffered() > 0
 		status, header, last, err := readHead(a.in)
@@ -120,18 +120,18 @@
 		if err != nil {
 			return a.failed(err), false
 		}
-		return reply{status: status, header: header, body: body}, !last
+		return Response{Status: status, Header: header, Body: body}, !last
 	}
 	return a.failed(errors.New("no end of early answers")), false
 }
 
 // failed tells an end of the connection from an answer that can't be used. One that began and came to a
 // standstill is of the latter kind: its connection stays open and brings no more.
-func (a *answerReader) failed(err error) reply {
+func (a *answerReader) failed(err error) Response {
 	if a.end != nil && !(a.begun && isTimeout(a.end) && time.Now().Before(a.cut) && a.ctx.Err() == nil) {
-		return reply{err: a.end}
+		return Response{Err: a.end}
 	}
-	return reply{err: fmt.Errorf("%w: %w", errMalformed, err)}
+	return Response{Err: fmt.Errorf("%w: %w", errMalformed, err)}
 }
 
 // readHead reads the head of an answer. last: nothing may follow it on the connection.
