--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -112,7 +112,7 @@
 	if o.CallTimeout > 0 {
 		d.calling = o.CallTimeout
 	}
-	d.known.Full = true
+	d.known.Complete = true
 	d.table.Apply(d.known)
 	return d
 }
@@ -155,7 +155,7 @@
 func (d *Client) take(w *watch, addr string, l endpoint.List) bool {
 	d.order.Lock()
 	defer d.order.Unlock()
-	if w != nil && !d.establish(w, l.Full) {
+	if w != nil && !d.establish(w, l.Complete) {
 		return false
 	}
 	d.mu.Lock()
@@ -175,7 +175,7 @@
 		d.retire(id)
 	}
 	kind := balancer.ListDelta
-	if l.Full {
+	if l.Complete {
 		kind = balancer.ListComplete
 	}
 	d.onList(d.convert(l, kind))
@@ -320,9 +320,9 @@
 	}
 	l, err := endpoint.ParseList(raw)
 	if err != nil {
-		return fmt.Errorf("malformed list: %w", err)
+		return err
 	}
-	l.Full = true
+	l.Complete = true
 	d.take(nil, addr, l)
 	return nil
 }
@@ -394,7 +394,7 @@
 		}
 		l, err := endpoint.ParseList(raw)
 		if err != nil {
-			return fmt.Errorf("malformed list: %w", err)
+			return err
 		}
 		if ctx.Err() != nil {
 			return ctx.Err() // replaced or silent meanwhile: what follows is not ours to tell
@@ -410,7 +410,7 @@
 	return func(l endpoint.List, kind balancer.ListKind) balancer.EndpointList {
 		e := balancer.EndpointList{Kind: kind, Endpoints: make([]balancer.Endpoint, 0, len(l.Entries))}
 		for _, s := range l.Entries {
-			e.Endpoints = append(e.Endpoints, balancer.Endpoint{ID: s.ID, State: endpoint.States[s.State],
+			e.Endpoints = append(e.Endpoints, balancer.Endpoint{ID: s.ID, State: s.BalancerState(),
 				Zone: slices.Index(zones, s.Zone), Cell: s.Cell, Kind: slices.Index(kinds, s.Kind),
 				Weight: s.Weight, Started: clock.FromUnixMillis(s.StartedMs)})
 		}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -123,22 +123,6 @@
 	}
 }
 
-// Guards against idle connections to a process that is no more: all that drains, left, moved or was
-// started again is named as stale.
-func TestStaleBackends(t *testing.T) {
-	table := endpoint.NewTable()
-	s := func(id, addr, state string, started float64) endpoint.Entry {
-		return endpoint.Entry{ID: id, Addr: addr, State: state, StartedMs: started}
-	}
-	table.Apply(endpoint.List{Full: true, Entries: []endpoint.Entry{s("a", "x:1", "SERVING", 0), s("b", "x:2", "SERVING", 0),
-		s("c", "x:3", "SERVING", 0), s("d", "x:4", "SERVING", 0), s("e", "x:5", "SERVING", 0)}})
-	stale := table.Apply(endpoint.List{Full: true, Entries: []endpoint.Entry{s("a", "x:1", "DRAINING", 0), s("b", "x:9", "SERVING", 0),
-		s("c", "x:3", "SERVING", 77), s("d", "x:4", "SERVING", 0)}})
-	if got := strings.Join(stale, ""); got != "abce" {
-		t.Errorf("stale %q, want abce", got)
-	}
-}
-
 // Guards against a new address of discovery that brings nothing, or numbers its versions otherwise: the
 // old watch goes on until the new one has brought the whole list, and has no say after.
 func TestDiscoveryMoves(t *testing.T) {
--- /dev/null
+++ b/internal/endpoint/entry.go
@@ -0,0 +1,80 @@
+// Package endpoint holds discovery's endpoint list: its entries, how a list is parsed, and the table that attempts
+// consult.
+package endpoint
+
+import (
+	"fmt"
+	"net"
+	"strconv"
+
+	"ashshunt/balancer"
+)
+
+// State is an endpoint's state as discovery names it.
+type State string
+
+// The states that discovery may give. StateDeleted appears among changes only.
+const (
+	StateServing  State = "SERVING"
+	StateDraining State = "DRAINING"
+	StateDeleted  State = "DELETED"
+)
+
+// balancerStates gives the decision module's state for each state that discovery names.
+var balancerStates = map[State]balancer.EndpointState{
+	StateServing:  balancer.Serving,
+	StateDraining: balancer.Draining,
+	StateDeleted:  balancer.Removed,
+}
+
+// Entry is one entry of discovery's list.
+type Entry struct {
+	ID        string  `json:"id"`
+	Addr      string  `json:"addr"`
+	Zone      string  `json:"zone"`
+	Kind      string  `json:"kind"`
+	Cell      int     `json:"cell"`
+	State     State   `json:"state"`
+	Weight    float64 `json:"weight"`
+	StartedMs float64 `json:"started_ms"` // Unix time in milliseconds; 0: long ago
+}
+
+// BalancerState is the entry's state as the decision module names it.
+func (e Entry) BalancerState() balancer.EndpointState { return balancerStates[e.State] }
+
+// Serving reports whether the endpoint may get new requests.
+func (e Entry) Serving() bool { return e.State == StateServing }
+
+// SameProcess reports whether two entries of an endpoint describe one process at one address.
+func (e Entry) SameProcess(other Entry) bool {
+	return e.Addr == other.Addr && e.StartedMs == other.StartedMs
+}
+
+// check reports what makes an entry unusable.
+func (e Entry) check() error {
+	if e.ID == "" {
+		return fmt.Errorf("%w: server without id", ErrMalformedList)
+	}
+	if _, known := balancerStates[e.State]; !known {
+		return fmt.Errorf("%w: server %s: unknown state %q", ErrMalformedList, e.ID, e.State)
+	}
+	if e.State == StateDeleted {
+		return nil
+	}
+	if err := CheckAddress(e.Addr); err != nil {
+		return fmt.Errorf("%w: server %s: %w", ErrMalformedList, e.ID, err)
+	}
+	return nil
+}
+
+// CheckAddress reports whether an address is host:port with a valid port.
+func CheckAddress(addr string) error {
+	_, port, err := net.SplitHostPort(addr)
+	if err != nil {
+		return fmt.Errorf("%q is not host:port", addr)
+	}
+	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 {
+		return fmt.Errorf("%q has no valid port", addr)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/endpoint/list_test.go
@@ -0,0 +1,60 @@
+package endpoint_test
+
+import (
+	"errors"
+	"strings"
+	"testing"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/endpoint"
+	"ashshunt/internal/testutil"
+)
+
+func TestParseList(t *testing.T) {
+	list, err := endpoint.ParseList([]byte(`{"version":41,"full":true,"servers":[` +
+		testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING") + `,` + testutil.EntryJSON("s1", "", "DELETED") + `]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if list.Version != 41 || !list.Complete || len(list.Entries) != 2 {
+		t.Fatalf("list %+v", list)
+	}
+	first, second := list.Entries[0], list.Entries[1]
+	if first.ID != "s0" || first.Addr != "127.0.0.1:1" || !first.Serving() || first.BalancerState() != balancer.Serving {
+		t.Errorf("first entry %+v", first)
+	}
+	if second.ID != "s1" || second.Serving() || second.BalancerState() != balancer.Removed {
+		t.Errorf("second entry %+v", second)
+	}
+}
+
+func TestParseMalformedList(t *testing.T) {
+	good := testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING")
+	for name, text := range map[string]string{
+		"empty":         ``,
+		"no JSON":       `{"version":2,"servers":[}`,
+		"no version":    `{"full":true,"servers":[` + good + `]}`,
+		"no servers":    `{"version":2,"full":true}`,
+		"no id":         `{"version":2,"servers":[` + testutil.EntryJSON("", "127.0.0.1:1", "SERVING") + `]}`,
+		"unknown state": `{"version":2,"servers":[` + strings.Replace(good, "SERVING", "ASLEEP", 1) + `]}`,
+		"bad address":   `{"version":2,"servers":[` + good + `,` + testutil.EntryJSON("s1", "here", "DRAINING") + `]}`,
+		"bad type":      `{"version":2,"servers":{}}`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			if list, err := endpoint.ParseList([]byte(text)); !errors.Is(err, endpoint.ErrMalformedList) {
+				t.Errorf("list %+v, error %v, want ErrMalformedList", list, err)
+			}
+		})
+	}
+}
+
+func TestCheckAddress(t *testing.T) {
+	for addr, valid := range map[string]bool{
+		"10.1.0.18:9000": true, "host:0": true, "[::1]:65535": true,
+		"": false, "host": false, "host:": false, "host:http": false, "host:-1": false, "host:65536": false,
+	} {
+		if err := endpoint.CheckAddress(addr); (err == nil) != valid {
+			t.Errorf("%q: error %v, want valid %v", addr, err, valid)
+		}
+	}
+}
--- /dev/null
+++ b/internal/endpoint/table_test.go
@@ -0,0 +1,59 @@
+package endpoint_test
+
+import (
+	"strings"
+	"testing"
+
+	"ashshunt/internal/endpoint"
+)
+
+func newEntry(id, addr string, state endpoint.State, startedMs float64) endpoint.Entry {
+	return endpoint.Entry{ID: id, Addr: addr, State: state, StartedMs: startedMs}
+}
+
+// Idle connections to a process that has ended must not be used again: endpoints that drain, left the list, moved or
+// were started again are returned.
+func TestApplyReturnsRetiredEndpoints(t *testing.T) {
+	table := endpoint.NewTable()
+	table.Apply(endpoint.List{Complete: true, Entries: []endpoint.Entry{
+		newEntry("a", "x:1", endpoint.StateServing, 0),
+		newEntry("b", "x:2", endpoint.StateServing, 0),
+		newEntry("c", "x:3", endpoint.StateServing, 0),
+		newEntry("d", "x:4", endpoint.StateServing, 0),
+		newEntry("e", "x:5", endpoint.StateServing, 0),
+	}})
+	retired := table.Apply(endpoint.List{Complete: true, Entries: []endpoint.Entry{
+		newEntry("a", "x:1", endpoint.StateDraining, 0),
+		newEntry("b", "x:9", endpoint.StateServing, 0),
+		newEntry("c", "x:3", endpoint.StateServing, 77),
+		newEntry("d", "x:4", endpoint.StateServing, 0),
+	}})
+	if got := strings.Join(retired, ""); got != "abce" {
+		t.Errorf("retired %q, want abce", got)
+	}
+}
+
+func TestServing(t *testing.T) {
+	table := endpoint.NewTable()
+	if table.AnyServing() {
+		t.Error("an empty table has an endpoint to send to")
+	}
+	table.Apply(endpoint.List{Complete: true, Entries: []endpoint.Entry{
+		newEntry("a", "x:1", endpoint.StateServing, 0),
+		newEntry("b", "x:2", endpoint.StateDraining, 0),
+		newEntry("c", "x:3", endpoint.StateServing, 0),
+	}})
+	table.Apply(endpoint.List{Entries: []endpoint.Entry{newEntry("c", "", endpoint.StateDeleted, 0)}})
+	for id, want := range map[string]bool{"a": true, "b": false, "c": false, "unknown": false} {
+		if _, got := table.Serving(id); got != want {
+			t.Errorf("endpoint %s: serving %v, want %v", id, got, want)
+		}
+	}
+	if !table.AnyServing() {
+		t.Error("no endpoint to send to, although one is serving")
+	}
+	table.Apply(endpoint.List{Complete: true})
+	if _, serving := table.Serving("a"); serving || table.AnyServing() {
+		t.Error("an endpoint that a complete list leaves out is still serving")
+	}
+}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -21,7 +21,7 @@
 // newBackends knows the given addresses as s0, s1 ...
 func newBackends(t *testing.T, addrs ...string) *Client {
 	t.Helper()
-	l := endpoint.List{Full: true}
+	l := endpoint.List{Complete: true}
 	for i, addr := range addrs {
 		l.Entries = append(l.Entries, endpoint.Entry{ID: fmt.Sprintf("s%d", i), Addr: addr, State: "SERVING"})
 	}
@@ -239,7 +239,7 @@
 		{"draining", func(b *Client, _ *Request, _ func()) {
 			b.table.Apply(endpoint.List{Entries: []endpoint.Entry{{ID: "s0", Addr: "127.0.0.1:1", State: "DRAINING"}}})
 		}, balancer.ConnectFailed},
-		{"gone", func(b *Client, _ *Request, _ func()) { b.table.Apply(endpoint.List{Full: true}) }, balancer.ConnectFailed},
+		{"gone", func(b *Client, _ *Request, _ func()) { b.table.Apply(endpoint.List{Complete: true}) }, balancer.ConnectFailed},
 		{"ended", func(_ *Client, _ *Request, end func()) { end() }, balancer.NotSent},
 		{"its client has left", func(_ *Client, q *Request, _ func()) { q.ClientGone = func() bool { return true } }, balancer.NotSent},
 	}
