--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket looks at the receive side of TCP sockets without reading from them.
+// Package socket examines the receive side of TCP sockets without reading from them.
 package socket
 
 import (
@@ -9,68 +9,107 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxUnread is how much may wait behind an open request.
+// maxUnread is how many bytes may wait behind an open request.
 const maxUnread = 16 << 10
 
-// Peek peeks at a socket without waiting. quiet: nothing has come and the other side has not closed it.
-// bytes: something is there to be read.
-func Peek(c net.Conn) (quiet, bytes bool) {
-	raw, err := rawConn(c)
+// ReceiveState is what the receive side of a socket holds.
+type ReceiveState uint8
+
+// The states of a receive side.
+const (
+	Ended    ReceiveState = iota // either side has closed it, it failed, or it can't be examined
+	Quiet                        // open, with nothing to read
+	Readable                     // bytes wait to be read
+)
+
+// Peek examines a socket without waiting.
+func Peek(conn net.Conn) ReceiveState {
+	raw, err := rawConn(conn)
 	if err != nil {
-		return false, false
+		return Ended
 	}
-	if raw.Control(func(fd uintptr) { quiet, bytes = peek(fd) }) != nil {
-		return false, false
+	state := Ended
+	if raw.Control(func(fd uintptr) { state = peek(fd) }) != nil {
+		return Ended
 	}
-	return quiet, bytes
+	return state
 }
 
+// HasUnread reports whether bytes wait to be read.
+func HasUnread(conn net.Conn) bool { return Peek(conn) == Readable }
+
 // WaitReadable waits until a socket has bytes to be read, or has ended.
-func WaitReadable(c net.Conn) error {
-	raw, err := rawConn(c)
+func WaitReadable(conn net.Conn) error {
+	raw, err := rawConn(conn)
 	if err != nil {
 		return err
 	}
-	return raw.Read(func(fd uintptr) bool {
-		quiet, _ := peek(fd)
-		return !quiet
+	return raw.Read(func(fd uintptr) bool { return peek(fd) != Quiet })
+}
+
+// PeerState is what a socket tells about the other side while that waits for a response.
+type PeerState struct {
+	Closed  bool // it has closed the connection, or at least its sending
+	Flooded bool // it has sent so much behind its request that a close behind that would not be seen
+}
+
+// Gone reports whether the other side is not to be answered any more.
+func (s PeerState) Gone() bool { return s.Closed || s.Flooded }
+
+// Peer examines the other side of a socket. It sees a close also behind bytes that nobody has read yet.
+func Peer(conn net.Conn) PeerState {
+	raw, err := rawConn(conn)
+	if err != nil {
+		return PeerState{}
+	}
+	var state PeerState
+	err = raw.Control(func(fd uintptr) {
+		state = PeerState{Closed: hungUp(fd), Flooded: unread(fd) > maxUnread}
 	})
+	if err != nil { // closed by this side: nobody can be answered on it
+		state.Closed = true
+	}
+	return state
+}
+
+// PeerClosed is Peer with its result as two values.
+func PeerClosed(conn net.Conn) (closed, flooded bool) {
+	state := Peer(conn)
+	return state.Closed, state.Flooded
 }
 
-func rawConn(c net.Conn) (syscall.RawConn, error) {
-	sc, ok := c.(syscall.Conn)
+func rawConn(conn net.Conn) (syscall.RawConn, error) {
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil, errors.ErrUnsupported
 	}
-	return sc.SyscallConn()
+	return syscallConn.SyscallConn()
 }
 
-func peek(fd uintptr) (quiet, bytes bool) {
-	var b [1]byte
-	n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	return err == syscall.EAGAIN, err == nil && n > 0
+func peek(fd uintptr) ReceiveState {
+	var buffer [1]byte
+	n, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	switch {
+	case err == syscall.EAGAIN:
+		return Quiet
+	case err == nil && n > 0:
+		return Readable
+	}
+	return Ended
 }
 
-// PeerClosed reports whether a client has left, although bytes that it sent before may hide its end from whoever
-// reads, and whether more waits to be read than follows an open request of a client that means to wait: behind
-// that, no end would be seen.
-func PeerClosed(c net.Conn) (left, flooded bool) {
-	raw, err := rawConn(c)
-	if err != nil {
-		return false, false
-	}
-	err = raw.Control(func(fd uintptr) {
-		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(p, 0)
-		left = err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-		waiting, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ)
-		flooded = err == nil && waiting > maxUnread
-	})
-	return left || err != nil, flooded // closed by this side, nobody can be answered on it
+// hungUp reports whether the other side has ended its sending or the connection has failed.
+func hungUp(fd uintptr) bool {
+	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(polled, 0)
+	return err == nil && n > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// HasUnread reports whether bytes wait to be read.
-func HasUnread(c net.Conn) bool {
-	_, bytes := Peek(c)
-	return bytes
+// unread is the number of bytes that wait to be read; 0 if that is not known.
+func unread(fd uintptr) int {
+	n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ)
+	if err != nil {
+		return 0
+	}
+	return n
 }
--- /dev/null
+++ b/internal/socket/socket_test.go
@@ -0,0 +1,130 @@
+package socket_test
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+
+	"ashshunt/internal/socket"
+	"ashshunt/internal/testutil"
+)
+
+// connect returns both ends of a TCP connection.
+func connect(t *testing.T) (local net.Conn, peer *net.TCPConn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }()
+	dialled, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	local, err = listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _, _ = dialled.Close(), local.Close() })
+	return local, dialled.(*net.TCPConn)
+}
+
+func send(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func closeWrite(t *testing.T, conn *net.TCPConn) {
+	t.Helper()
+	if err := conn.CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestPeek(t *testing.T) {
+	local, peer := connect(t)
+	if state := socket.Peek(local); state != socket.Quiet || socket.HasUnread(local) {
+		t.Errorf("before any byte: state %d, want Quiet", state)
+	}
+	send(t, peer, "x")
+	testutil.Eventually(t, "the byte", func() bool { return socket.Peek(local) == socket.Readable })
+	if !socket.HasUnread(local) {
+		t.Error("a byte that was not read is not reported")
+	}
+	if _, err := io.ReadFull(local, make([]byte, 1)); err != nil {
+		t.Errorf("Peek has taken the byte: %v", err)
+	}
+	closeWrite(t, peer)
+	testutil.Eventually(t, "the end", func() bool { return socket.Peek(local) == socket.Ended })
+}
+
+func TestPeekAtUnusableConnections(t *testing.T) {
+	pipe, other := net.Pipe()
+	defer func() { _, _ = pipe.Close(), other.Close() }()
+	closed, _ := connect(t)
+	if err := closed.Close(); err != nil {
+		t.Fatal(err)
+	}
+	for name, conn := range map[string]net.Conn{"not a socket": pipe, "closed by this side": closed} {
+		if state := socket.Peek(conn); state != socket.Ended {
+			t.Errorf("%s: state %d, want Ended", name, state)
+		}
+		if err := socket.WaitReadable(conn); err == nil {
+			t.Errorf("%s: WaitReadable reports no error", name)
+		}
+	}
+	if !socket.Peer(closed).Closed {
+		t.Error("nobody can be answered on a connection that this side has closed")
+	}
+}
+
+func TestWaitReadable(t *testing.T) {
+	for name, event := range map[string]func(*testing.T, *net.TCPConn){
+		"bytes": func(t *testing.T, peer *net.TCPConn) { send(t, peer, "x") },
+		"end":   closeWrite,
+	} {
+		t.Run(name, func(t *testing.T) {
+			local, peer := connect(t)
+			done := make(chan error, 1)
+			go func() { done <- socket.WaitReadable(local) }()
+			event(t, peer)
+			if err := testutil.Receive(t, done); err != nil {
+				t.Error(err)
+			}
+			if state := socket.Peek(local); state == socket.Quiet {
+				t.Error("the wait ended with nothing to read")
+			}
+		})
+	}
+}
+
+func TestPeer(t *testing.T) {
+	flood := strings.Repeat("x", 24<<10)
+	for _, tt := range []struct {
+		name, behind string
+		closes       bool
+		want         socket.PeerState
+	}{
+		{"waits", "", false, socket.PeerState{}},
+		{"waits, bytes behind", "GET /", false, socket.PeerState{}},
+		{"closes", "", true, socket.PeerState{Closed: true}},
+		{"closes, bytes behind", "GET /", true, socket.PeerState{Closed: true}},
+		{"floods", flood, false, socket.PeerState{Flooded: true}},
+		{"floods and closes", flood, true, socket.PeerState{Closed: true, Flooded: true}},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			local, peer := connect(t)
+			send(t, peer, tt.behind)
+			if tt.closes {
+				closeWrite(t, peer)
+			}
+			testutil.Eventually(t, "the state", func() bool { return socket.Peer(local) == tt.want })
+			if got, want := socket.Peer(local).Gone(), tt.want != (socket.PeerState{}); got != want {
+				t.Errorf("gone %v, want %v", got, want)
+			}
+		})
+	}
+}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -209,8 +209,7 @@
 	testutil.Eventually(t, "the end to arrive", func() bool {
 		b.pool.mu.Lock()
 		defer b.pool.mu.Unlock()
-		quiet, _ := socket.Peek(b.pool.groups["s0"].idle[0].Conn)
-		return !quiet
+		return socket.Peek(b.pool.groups["s0"].idle[0].Conn) != socket.Quiet
 	})
 	if res, _ := b.try(settle(), testutil.Timeout); res != balancer.Served {
 		t.Errorf("result %d, want OK on a new connection", res)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -58,7 +58,7 @@
 		c := g.idle[len(g.idle)-1]
 		g.idle = g.idle[:len(g.idle)-1]
 		// Guards against an end that nobody has seen, and against bytes behind the last answer.
-		if quiet, _ := socket.Peek(c.Conn); quiet && time.Since(c.since) < p.maxIdle {
+		if socket.Peek(c.Conn) == socket.Quiet && time.Since(c.since) < p.maxIdle {
 			return c
 		}
 		p.drop(c)
