--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -2,22 +2,16 @@
 package upstream
 
 import (
-	"bytes"
 	"context"
-	"errors"
-	"io"
 	"log/slog"
-	"math"
 	"net/http"
 	"net/url"
 	"strconv"
-	"strings"
 	"syscall"
 	"time"
 
 	"ashshunt/balancer"
 	"ashshunt/internal/endpoint"
-	"ashshunt/internal/simwire"
 )
 
 // Client carries out attempts and health checks. Each ends with exactly one result.
@@ -137,70 +131,6 @@
 	}
 }
 
-// staleAfter is the rest of a connection after which a break at the next request is put down to the rest.
-const staleAfter = 100 * time.Millisecond
-
-// exchange sends a request on c and reads the outcome off what comes back, by the protocol's table.
-func (b *Client) exchange(ctx context.Context, c *conn, req *http.Request, body []byte,
-	cut time.Time) (balancer.Result, Response) {
-	if len(body) > 0 {
-		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
-	}
-	var raw bytes.Buffer
-	if err := req.Write(&raw); err != nil { // before any byte: what can't be written can't have run
-		b.pool.release(c)
-		return balancer.NotSent, Response{EndedAt: time.Now(), Err: err}
-	}
-	var idle time.Duration
-	if !c.since.IsZero() {
-		idle = time.Since(c.since)
-	}
-	r, written, again := send(ctx, c.Conn, raw.Bytes(), cut, b.stall)
-	if again {
-		b.pool.release(c)
-	} else {
-		b.pool.close(c)
-	}
-	res := result(r, written, ctx.Err() != nil)
-	switch {
-	case res == balancer.TimedOut:
-		// Idle connections to a machine that vanished would swallow requests that may not be sent
-		// again; a new one fails fast, with proof.
-		b.pool.closeIdle(c.group.backend)
-	case (res == balancer.Reset || res == balancer.ConnectFailed) && idle > staleAfter:
-		// It broke at the first request after a rest. Whatever ended it meanwhile, be it a middlebox or a
-		// machine that was away, has ended those that have rested for longer too. One that broke in full
-		// use says nothing of the others: closing them costs a handshake each, which the backend pays.
-		b.pool.closeIdleSince(c.group.backend, c.since)
-	}
-	if errors.Is(r.Err, errMalformed) {
-		b.log.Warn("malformed answer", "backend", c.group.backend)
-	} else if r.Err == nil && res == balancer.ServerError && r.Status != http.StatusInternalServerError {
-		b.log.Warn("unexpected answer", "backend", c.group.backend, "status", r.Status)
-	}
-	return res, r
-}
-
-// result is the protocol's table of outcomes. Where there is doubt the request may have run.
-func result(r Response, written, cancelled bool) balancer.Result {
-	switch {
-	case r.Err == nil && r.Status == http.StatusOK:
-		return balancer.Served
-	case r.Err == nil && (r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout) &&
-		r.Header.Get("X-Rejected") == "1":
-		return balancer.Rejected
-	case r.Err == nil || errors.Is(r.Err, errMalformed):
-		return balancer.ServerError
-	case !written:
-		return balancer.ConnectFailed // its last byte never left
-	case cancelled:
-		return balancer.Cancelled
-	case isTimeout(r.Err):
-		return balancer.TimedOut
-	}
-	return balancer.Reset
-}
-
 // HealthCheck examines an endpoint outside any request.
 func (b *Client) HealthCheck(ctx context.Context, backend string) (balancer.Result, Response) {
 	cut := time.Now().Add(b.probing)
@@ -220,23 +150,3 @@
 	}
 	return res, r
 }
-
-const loadHeader = "X-Load-Report"
-
-// LoadReport reads the load report of a response as endpoints write it: TEXT name=value, name=value.
-func (r Response) LoadReport() balancer.LoadReport {
-	text, ok := strings.CutPrefix(strings.TrimSpace(r.Header.Get(loadHeader)), "TEXT ")
-	if !ok {
-		return balancer.LoadReport{}
-	}
-	usage := map[string]float64{}
-	for part := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(v >= 0) || math.IsInf(v, 0) {
-			return balancer.LoadReport{} // what can't be read is no report; one such figure would spoil running means
-		}
-		usage[name] = v
-	}
-	return simwire.LoadReport(usage)
-}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -12,7 +12,6 @@
 	"net/textproto"
 	"strconv"
 	"strings"
-	"sync"
 	"time"
 )
 
@@ -35,29 +34,6 @@
 	Err     error
 }
 
-// readers are the buffers of exchanges; an idle connection has none.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4096) }}
-
-// send writes a request in one go and reads its Response. written tells whether its last byte went out; again,
-// whether the connection is good for another one. Once an answer has begun, a gap of stall ends it.
-func send(ctx context.Context, c net.Conn, raw []byte, cut time.Time, stall time.Duration) (r Response, written, again bool) {
-	c.SetDeadline(cut)
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	defer stop()
-	if n, err := c.Write(raw); n < len(raw) {
-		return Response{Err: err, EndedAt: time.Now()}, false, false
-	}
-	a := &answerReader{Conn: c, ctx: ctx, cut: cut, stall: stall}
-	a.in = readers.Get().(*bufio.Reader)
-	a.in.Reset(a)
-	r, again = a.read()
-	r.EndedAt = time.Now()
-	extra := a.in.Buffered() > 0
-	a.in.Reset(nil)
-	readers.Put(a.in)
-	return r, true, again && !extra && stop()
-}
-
 // answerReader reads one answer off a connection and bounds what it may take.
 type answerReader struct {
 	net.Conn
