--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -67,7 +67,7 @@
 		{"class without an objective", `"AimMs":100`, `"AimMs":0`, "settings: Profiles[0].AimMs: 0s makes no sense"},
 		{"tenant with a negative quota", `"QuotaPerS":10`, `"QuotaPerS":-1`, "settings: Tenants[0].QuotaPerS: -1 makes no sense"},
 		{"ill-typed setting", `"ColdFrom":1`, `"ColdFrom":"all"`, "Contract.ColdFrom"},
-		{"known list without a version", `"version":4,`, "", "known: missing version or servers"},
+		{"known list without a version", `"version":4,`, "", "known: malformed endpoint list: missing version or servers"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
