--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -8,6 +8,7 @@
 
 	"ashshunt/balancer"
 	"ashshunt/internal/config"
+	"ashshunt/internal/loadreport"
 )
 
 // The kinds of message that hold no event.
@@ -209,7 +210,7 @@
 	}
 	return Event{Event: balancer.Outcome{
 		Request: *m.Job, Attempt: *m.SendNo, Endpoint: *m.Backend, Result: result,
-		Latency: duration(*m.WaitTimeMs), Done: m.Ended, LoadReport: loadReport(m.Usage),
+		Latency: duration(*m.WaitTimeMs), Done: m.Ended, LoadReport: loadreport.FromValues(m.Usage),
 	}}, nil
 }
 
@@ -223,7 +224,7 @@
 	}
 	return Event{Event: balancer.HealthCheckResult{
 		Endpoint: *m.Backend, Result: result,
-		Latency: duration(*m.WaitTimeMs), LoadReport: loadReport(m.Usage),
+		Latency: duration(*m.WaitTimeMs), LoadReport: loadreport.FromValues(m.Usage),
 	}}, nil
 }
 
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/loadreport"
 )
 
 const ms = time.Millisecond
@@ -36,7 +37,7 @@
 				LoadReport: balancer.LoadReport{Valid: true, InFlight: 6, Queue: 4, Utilization: 0.75, Throughput: 90, Service: 7 * ms,
 					ErrorsPerSec: 0.5}}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"stale_send","WaitTimeMs":0,"Backend":"b","SendNo":0}`,
-			balancer.Outcome{Request: "d0", Endpoint: "b", Result: balancer.NotSent, LoadReport: loadReport(nil)}},
+			balancer.Outcome{Request: "d0", Endpoint: "b", Result: balancer.NotSent, LoadReport: loadreport.FromValues(nil)}},
 		{`{"msg":"Expired","Agent":3,"Job":"d0"}`, balancer.Abandoned{Request: "d0"}},
 		{`{"msg":"Reminder","Agent":3,"Cookie":9223372036854775807}`, balancer.TimerFired{Token: 1<<63 - 1}},
 		{`{"msg":"Streaming","Agent":3,"Job":"d0","WaitTimeMs":1,"SendNo":1,"Backend":"b"}`,
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -1,7 +1,6 @@
 package upstream
 
 import (
-	"ashshunt/balancer"
 	"bufio"
 	"bytes"
 	"context"
@@ -11,6 +10,8 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"ashshunt/balancer"
 )
 
 // staleAfter is the rest of a connection after which a break at the next request is put down to the rest.
