--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -45,7 +45,7 @@
 		{`{"msg":"Peer","Agent":3,"From":2,"Msg":"68692037"}`,
 			balancer.GossipMessage{From: 2, Data: []byte("hi 7")}},
 		{`{"msg":"ProbeDone","Agent":3,"Backend":"b","Outcome":"no_route","WaitTimeMs":2}`,
-			balancer.HealthCheckResult{Endpoint: "b", Result: balancer.ConnectFailed, Latency: 2 * ms, LoadReport: loadReport(nil)}},
+			balancer.HealthCheckResult{Endpoint: "b", Result: balancer.ConnectFailed, Latency: 2 * ms, LoadReport: loadreport.FromValues(nil)}},
 		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`, balancer.EndpointList{Kind: balancer.ListFailed}},
 		{list + "\n" + `{"msg":"View","Agent":3,"How":"diff","Index":4,"Sheet":3}`,
 			balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: entries}},
