--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,12 +1,15 @@
-// Package upstream is the servers' side of the agent: connections to endpoints, attempts and their results.
+// Package upstream is the servers' side of the agent: connections to endpoints, the attempts and health checks on
+// them, and the result of each.
+//
+// It starts no goroutine for an attempt or a health check: each runs on its caller's. The only work in the
+// background is the pool's sweep of idle connections (see pool).
 package upstream
 
 import (
 	"context"
+	"errors"
 	"log/slog"
-	"net/http"
 	"net/url"
-	"strconv"
 	"syscall"
 	"time"
 
@@ -14,17 +17,22 @@
 	"ashshunt/internal/endpoint"
 )
 
-// Client carries out attempts and health checks. Each ends with exactly one result.
-type Client struct {
-	pool    *pool
-	table   *endpoint.Table
-	reports balancer.LoadReportSource
-	probing time.Duration // how long a probe waits
-	stall   time.Duration // an answer that has begun and brings nothing for so long is spoilt
-	log     *slog.Logger
-}
+const (
+	// idleWithoutClose is how long connections stay idle to endpoints that never close one themselves.
+	idleWithoutClose = time.Minute
+	// minStallTimeout is the least that a response which has begun may pause.
+	minStallTimeout = 100 * time.Millisecond
+)
+
+var (
+	// ErrNotServing is why an attempt has no connection if its endpoint began to drain or left the list after the
+	// attempt was decided on.
+	ErrNotServing = errors.New("endpoint is not serving")
+	// ErrPoolExhausted is why an attempt has no connection if all that the pool may hold are in use.
+	ErrPoolExhausted = errors.New("connection pool exhausted")
+)
 
-// Options are what a Client is made of.
+// Options are the parameters of a Client.
 type Options struct {
 	Table          *endpoint.Table // consulted right before the first byte of each attempt
 	LoadReports    balancer.LoadReportSource
@@ -32,39 +40,49 @@
 	IdleClose      time.Duration // endpoints close connections that are idle for so long; 0: never
 	MaxConnections int           // 0: no limit
 	Log            *slog.Logger
-	DialControl    func(network, address string, c syscall.RawConn) error // as in net.Dialer; may be nil
+	// DialControl is the Control function of the net.Dialer; may be nil.
+	DialControl func(network, address string, conn syscall.RawConn) error
 }
 
-const (
-	// idleForNever is how long connections stay idle to endpoints that never close one themselves.
-	idleForNever = time.Minute
-	// minStall is the least that a response which has begun may pause.
-	minStall = 100 * time.Millisecond
-)
+// Client carries out attempts and health checks. Each ends with exactly one result.
+type Client struct {
+	pool               *pool
+	table              *endpoint.Table
+	loadReports        balancer.LoadReportSource
+	healthCheckTimeout time.Duration
+	stallTimeout       time.Duration // a response that has begun and pauses for longer is malformed
+	log                *slog.Logger
+}
 
 // New returns a client without connections.
-func New(o Options) *Client {
-	maxIdle := o.IdleClose * 3 / 4
+func New(options Options) *Client {
+	maxIdle := options.IdleClose * 3 / 4 // before the endpoint closes it, which may cross a request
 	if maxIdle == 0 {
-		maxIdle = idleForNever
+		maxIdle = idleWithoutClose
+	}
+	pool := newPool(maxIdle, options.ConnectTimeout, options.MaxConnections)
+	pool.dialer.Control = options.DialControl
+	return &Client{
+		pool:               pool,
+		table:              options.Table,
+		loadReports:        options.LoadReports,
+		healthCheckTimeout: 2 * options.ConnectTimeout,
+		stallTimeout:       max(2*options.ConnectTimeout, minStallTimeout),
+		log:                options.Log,
 	}
-	pool := newPool(maxIdle, o.ConnectTimeout, o.MaxConnections)
-	pool.dialer.Control = o.DialControl
-	return &Client{pool: pool, table: o.Table, reports: o.LoadReports, probing: 2 * o.ConnectTimeout,
-		stall: max(2*o.ConnectTimeout, minStall), log: o.Log}
 }
 
 // CloseIdle closes the idle connections to an endpoint.
-func (b *Client) CloseIdle(endpointID string) { b.pool.closeIdle(endpointID) }
+func (c *Client) CloseIdle(endpointID string) { c.pool.closeIdle(endpointID) }
 
 // Retire ends the use of all connections to an endpoint that drains, is gone or was started again: those in use
 // close when they are done.
-func (b *Client) Retire(endpointID string) { b.pool.retire(endpointID) }
+func (c *Client) Retire(endpointID string) { c.pool.retire(endpointID) }
 
 // OpenConnections is the number of connections that are open or being dialled.
-func (b *Client) OpenConnections() int { return b.pool.count() }
+func (c *Client) OpenConnections() int { return c.pool.openConnections() }
 
-// Request is a client's request as it goes on to endpoints.
+// Request is a client's request as it is forwarded to endpoints.
 type Request struct {
 	ID             string // X-Call-Id
 	IdempotencyKey string
@@ -75,78 +93,90 @@
 	ClientGone     func() bool     // reports whether the client has left, which the owner may not know yet
 }
 
-// Attempt sends one attempt and returns its result, and the body where it was served.
-func (b *Client) Attempt(ctx context.Context, q *Request, backend string, cut time.Time) (balancer.Result, Response) {
-	dial, stop := context.WithCancel(ctx)
-	defer stop()
-	defer context.AfterFunc(q.Done, stop)() // what is written runs on, a dial does not
-	c, res, err := b.connect(dial, backend, cut)
-	if c == nil {
-		return res, Response{EndedAt: time.Now(), Err: err}
+// Attempt forwards a request to an endpoint once and returns the result, and the response if there was one.
+func (c *Client) Attempt(ctx context.Context, request *Request, endpointID string,
+	deadline time.Time) (balancer.Result, Response) {
+	// The end of the request ends a dial for it, but not an exchange that has begun.
+	dialCtx, cancelDial := context.WithCancel(ctx)
+	defer cancelDial()
+	defer context.AfterFunc(request.Done, cancelDial)()
+	conn, failure := c.connect(dialCtx, endpointID, deadline)
+	if failure != nil {
+		return failure.result, failure.response()
 	}
 	// The dial took time: the request may have ended meanwhile. From here to the first byte nothing waits.
-	if q.Done.Err() != nil || q.ClientGone() || ctx.Err() != nil || !time.Now().Before(cut) {
-		b.pool.release(c)
+	if request.Done.Err() != nil || request.ClientGone() || ctx.Err() != nil || !time.Now().Before(deadline) {
+		c.pool.release(conn)
 		return balancer.NotSent, Response{EndedAt: time.Now()}
 	}
-	req := &http.Request{Method: q.Method, URL: q.Target, Host: q.Host, Header: http.Header{
-		"X-Call-Id":   {q.ID},
-		"X-Budget-Ms": {strconv.FormatInt(max(1, time.Until(cut).Milliseconds()), 10)},
-		"User-Agent":  {""}, // none
-	}}
-	if q.IdempotencyKey != "" {
-		req.Header["Idempotency-Key"] = []string{q.IdempotencyKey}
+	return c.exchange(ctx, conn, newForwardedRequest(request, deadline), deadline)
+}
+
+// HealthCheck examines an endpoint outside any request.
+func (c *Client) HealthCheck(ctx context.Context, endpointID string) (balancer.Result, Response) {
+	deadline := time.Now().Add(c.healthCheckTimeout)
+	conn, failure := c.connect(ctx, endpointID, deadline)
+	if failure != nil {
+		return failure.result, failure.response()
+	}
+	path := "/healthz"
+	if c.loadReports != balancer.LoadReportsNone {
+		path = "/load"
+	}
+	result, response := c.exchange(ctx, conn, newHealthCheckRequest(path, conn.RemoteAddr().String()), deadline)
+	if path == "/load" && response.Err == nil && response.Header.Get(loadReportHeader) == "" {
+		response.Header.Set(loadReportHeader, string(response.Body))
 	}
-	return b.exchange(ctx, c, req, q.Body, cut)
+	return result, response
+}
+
+// connectError is why there is no connection for an attempt, and the attempt's result.
+type connectError struct {
+	result balancer.Result
+	cause  error
 }
 
-// connect gives a connection to a backend, or the result if there is none to be had. By then the backend may have
-// begun to drain, or been started again: nothing goes out to a process that is no more, whose end of a connection
-// would pass for that of a request which may have run.
-func (b *Client) connect(ctx context.Context, backend string, cut time.Time) (*conn, balancer.Result, error) {
+func (e *connectError) Error() string { return "connect: " + e.cause.Error() }
+
+func (e *connectError) Unwrap() error { return e.cause }
+
+// response is what an attempt without a connection returns.
+func (e *connectError) response() Response { return Response{EndedAt: time.Now(), Err: e} }
+
+// connect returns a connection to an endpoint, idle or new. By the time it is there the endpoint may have begun to
+// drain or have been started again: nothing goes out to a process that has ended, since the reset of that connection
+// would look like the reset of a request that may have run.
+func (c *Client) connect(ctx context.Context, endpointID string, deadline time.Time) (*connection, *connectError) {
 	for {
-		to, ok := b.table.Serving(backend)
-		if !ok { // since it was chosen: there is no connection for this, and another may serve it
-			return nil, balancer.ConnectFailed, nil
+		entry, serving := c.table.Serving(endpointID)
+		if !serving { // no connection was tried, which proves that nothing ran: another endpoint may serve it
+			return nil, &connectError{balancer.ConnectFailed, ErrNotServing}
 		}
-		c := b.pool.take(backend)
-		if c == nil {
-			var err error
-			c, err = b.pool.dial(ctx, to, cut)
-			switch {
-			case err == nil:
-			case ctx.Err() != nil:
-				return nil, balancer.NotSent, err
-			default:
-				if isTimeout(err) {
-					b.pool.closeIdle(backend) // the machine says nothing: those that it has are no better
-				}
-				return nil, balancer.ConnectFailed, err
+		conn := c.pool.takeIdle(endpointID)
+		if conn == nil {
+			var failure *connectError
+			if conn, failure = c.dial(ctx, entry, deadline); failure != nil {
+				return nil, failure
 			}
 		}
-		if now, ok := b.table.Serving(backend); ok && c.to.SameProcess(now) {
-			return c, 0, nil
+		if current, serving := c.table.Serving(endpointID); serving && conn.entry.SameProcess(current) {
+			return conn, nil
 		}
-		b.pool.close(c)
+		c.pool.close(conn)
 	}
 }
 
-// HealthCheck examines an endpoint outside any request.
-func (b *Client) HealthCheck(ctx context.Context, backend string) (balancer.Result, Response) {
-	cut := time.Now().Add(b.probing)
-	c, res, err := b.connect(ctx, backend, cut)
-	if c == nil {
-		return res, Response{EndedAt: time.Now(), Err: err}
+// dial opens a connection for an attempt.
+func (c *Client) dial(ctx context.Context, entry endpoint.Entry, deadline time.Time) (*connection, *connectError) {
+	conn, err := c.pool.dial(ctx, entry, deadline)
+	if err == nil {
+		return conn, nil
 	}
-	path := "/healthz"
-	if b.reports != balancer.LoadReportsNone {
-		path = "/load"
+	if ctx.Err() != nil {
+		return nil, &connectError{balancer.NotSent, err}
 	}
-	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: c.RemoteAddr().String(),
-		Header: http.Header{"User-Agent": {""}}}
-	res, r := b.exchange(ctx, c, req, nil, cut)
-	if path == "/load" && r.Err == nil && r.Header.Get(loadHeader) == "" {
-		r.Header.Set(loadHeader, string(r.Body))
+	if isTimeout(err) { // the machine is silent: its idle connections are no better
+		c.pool.closeIdle(entry.ID)
 	}
-	return res, r
+	return nil, &connectError{balancer.ConnectFailed, err}
 }
--- /dev/null
+++ b/internal/upstream/exchange_test.go
@@ -0,0 +1,176 @@
+package upstream
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/socket"
+	"ashshunt/internal/testutil"
+)
+
+// respondRejected answers with a status and the mark of a rejected request.
+func respondRejected(status int) handler {
+	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		testutil.Respond(conn, status, "X-Rejected: 1\r\n", "")
+		return true
+	}
+}
+
+func respond(status int, body string) handler {
+	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		testutil.Respond(conn, status, "", body)
+		return true
+	}
+}
+
+// respondAndClose answers with raw bytes and closes the connection.
+func respondAndClose(text string) handler {
+	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		write(conn, text)
+		return false
+	}
+}
+
+// respondAndHang answers with raw bytes, keeps the connection open and says no more.
+func respondAndHang(text string) handler {
+	return func(conn net.Conn, request *http.Request, body []byte) bool {
+		write(conn, text)
+		return testutil.Hang(conn, request, body)
+	}
+}
+
+// The protocol's table of outcomes, on which the rule on repeated requests rests. A request goes out only once for
+// one attempt.
+func TestResults(t *testing.T) {
+	const ok, okHead = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\n"
+	const chunkedHead = okHead + "Transfer-Encoding: chunked\r\n\r\n"
+	const early = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
+	const switching = "HTTP/1.1 101 Switching Protocols\r\n\r\n"
+	const bothFramings = okHead + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+	endlessHead := okHead + strings.Repeat("A: b\r\n", 1<<16)
+	endlessEarly := strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)
+	tests := []struct {
+		name    string
+		respond handler
+		timeout time.Duration
+		want    balancer.Result
+	}{
+		{"served", testutil.Echo, testutil.Timeout, balancer.Served},
+		{"error", respond(500, "no"), testutil.Timeout, balancer.ServerError},
+		{"rejected", respondRejected(503), testutil.Timeout, balancer.Rejected},
+		{"rejected as too late", respondRejected(504), testutil.Timeout, balancer.Rejected},
+		{"503 without a mark", respond(503, ""), testutil.Timeout, balancer.ServerError},
+		{"an unknown status", respond(302, ""), testutil.Timeout, balancer.ServerError},
+		{"an error marked as rejected", respondRejected(500), testutil.Timeout, balancer.ServerError},
+		{"closed without a response", respondAndClose(""), testutil.Timeout, balancer.Reset},
+		{"half a head", respondAndClose(okHead + "Cont"), testutil.Timeout, balancer.Reset},
+		{"half a body", respondAndClose(okHead + "Content-Length: 9\r\n\r\nhalf"), testutil.Timeout, balancer.Reset},
+		{"half a chunked body", respondAndClose(chunkedHead + "4\r\nhalf\r\n"), testutil.Timeout, balancer.Reset},
+		{"not HTTP", respondAndClose("220 mail\r\n\r\n"), testutil.Timeout, balancer.ServerError},
+		{"an endless head", respondAndClose(endlessHead), testutil.Timeout, balancer.ServerError},
+		{"informational responses ahead", respondAndClose(early + ok), testutil.Timeout, balancer.Served},
+		{"endless informational responses", respondAndClose(endlessEarly), testutil.Timeout, balancer.ServerError},
+		{"another protocol", respondAndClose(switching + ok), testutil.Timeout, balancer.ServerError},
+		{"chunks", respondAndClose(chunkedHead + "2\r\nok\r\n0\r\n\r\n"), testutil.Timeout, balancer.Served},
+		{"noise, then silence", respondAndHang("\x00\xff\x17"), testutil.Timeout, balancer.ServerError},
+		{"a body that stalls", respondAndHang(okHead + "Content-Length: 9\r\n\r\nhalf"), testutil.Timeout, balancer.ServerError},
+		{"a body of 3 GB", respondAndHang(okHead + "Content-Length: 3000000000\r\n\r\nxxxx"), testutil.Timeout, balancer.ServerError},
+		{"two lengths", respondAndHang(okHead + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nfour"), testutil.Timeout, balancer.ServerError},
+		{"length and encoding", respondAndHang(bothFramings), testutil.Timeout, balancer.ServerError},
+		{"a negative length", respondAndHang(okHead + "Content-Length: -2\r\n\r\n"), testutil.Timeout, balancer.ServerError},
+		{"no length", respondAndHang(okHead + "\r\nbody"), testutil.Timeout, balancer.ServerError},
+		{"too large a body", respond(200, strings.Repeat("x", maxBodySize+1)), testutil.Timeout, balancer.ServerError},
+		{"the largest body", respond(200, strings.Repeat("x", maxBodySize)), testutil.Timeout, balancer.Served},
+		{"silence", testutil.Hang, time.Second, balancer.TimedOut},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			t.Parallel()
+			server := testutil.NewServer(t, tt.respond)
+			client := newTestClient(t, server.Addr())
+			if result, _ := client.attempt(tt.timeout); result != tt.want {
+				t.Errorf("result %d, want %d", result, tt.want)
+			}
+			if n := len(server.Received); n != 1 {
+				t.Errorf("the endpoint got %d requests for one attempt", n)
+			}
+		})
+	}
+}
+
+// A reused connection that breaks after the write may have run its request, even if nothing came back, and nothing
+// may send that again by itself.
+func TestReusedConnectionBreaks(t *testing.T) {
+	var requests atomic.Int32
+	server := testutil.NewServer(t, func(conn net.Conn, request *http.Request, body []byte) bool {
+		if requests.Add(1) == 2 {
+			return false
+		}
+		return testutil.Echo(conn, request, body)
+	})
+	client := newTestClient(t, server.Addr())
+	client.mustServe(t)
+	if result, _ := client.attempt(testutil.Timeout); result != balancer.Reset {
+		t.Errorf("second: result %d, want Reset", result)
+	}
+	if len(server.Received) != 2 {
+		t.Errorf("the endpoint got %d requests for two attempts", len(server.Received))
+	}
+}
+
+// A cancelled attempt closes its connection, on which it would still count.
+func TestCancelClosesConnection(t *testing.T) {
+	readOn := func(net.Conn, *http.Request, []byte) bool { return true }
+	server := testutil.NewServer(t, readOn)
+	client := newTestClient(t, server.Addr())
+	ctx, cancel := context.WithCancel(context.Background())
+	results := make(chan balancer.Result, 1)
+	go func() {
+		result, _ := client.Attempt(ctx, newUnsafeRequest(), "s0", time.Now().Add(testutil.Timeout))
+		results <- result
+	}()
+	testutil.Receive(t, server.Received)
+	cancel()
+	if result := testutil.Receive(t, results); result != balancer.Cancelled {
+		t.Errorf("result %d, want Cancelled", result)
+	}
+	testutil.Receive(t, server.Closed)
+}
+
+// Bytes behind a response must not pass for the response to the next request: the good response before them counts,
+// and the connection is not used again.
+func TestBytesBehindResponse(t *testing.T) {
+	const twice = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid xHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid x"
+	for name, late := range map[string]bool{"at once": false, "later, while idle": true} {
+		t.Run(name, func(t *testing.T) {
+			sendMore := make(chan struct{})
+			server := testutil.NewServer(t, func(conn net.Conn, request *http.Request, body []byte) bool {
+				if !late {
+					write(conn, twice)
+					return true
+				}
+				testutil.Echo(conn, request, body)
+				<-sendMore
+				testutil.Respond(conn, 200, "", "another's")
+				return true
+			})
+			client := newTestClient(t, server.Addr())
+			for i := range 3 {
+				result, response := client.attempt(testutil.Timeout)
+				if result != balancer.Served || string(response.Body) != "did x" {
+					t.Fatalf("request %d: result %d, body %q", i, result, response.Body)
+				}
+				if late {
+					sendMore <- struct{}{}
+					testutil.Eventually(t, "the extra response", func() bool { return socket.HasUnread(client.firstIdle()) })
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/upstream/helpers_test.go
@@ -0,0 +1,114 @@
+package upstream
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"testing"
+	"time"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/endpoint"
+	"ashshunt/internal/testutil"
+)
+
+// handler answers a request on its connection and reports whether that stays open.
+type handler = func(conn net.Conn, request *http.Request, body []byte) bool
+
+// newTestClient returns a client to which the given addresses are the endpoints s0, s1 and so on.
+func newTestClient(t *testing.T, addrs ...string) *Client {
+	t.Helper()
+	list := endpoint.List{Complete: true}
+	for i, addr := range addrs {
+		entry := endpoint.Entry{ID: fmt.Sprintf("s%d", i), Addr: addr, State: endpoint.StateServing}
+		list.Entries = append(list.Entries, entry)
+	}
+	table := endpoint.NewTable()
+	table.Apply(list)
+	client := New(Options{
+		Table:          table,
+		ConnectTimeout: testutil.Timeout,
+		Log:            testutil.NewLogger(&testutil.Log{}),
+	})
+	client.healthCheckTimeout = testutil.Timeout
+	client.stallTimeout = time.Second
+	return client
+}
+
+// newUnsafeRequest returns a request that must not run twice.
+func newUnsafeRequest() *Request {
+	return &Request{
+		ID:         "00000000000000a1",
+		Method:     http.MethodPost,
+		Host:       "api.internal",
+		Target:     &url.URL{Opaque: "/settle"},
+		Body:       []byte("x"),
+		Done:       context.Background(),
+		ClientGone: func() bool { return false },
+	}
+}
+
+// attempt sends an unsafe request to the endpoint s0.
+func (c *Client) attempt(timeout time.Duration) (balancer.Result, Response) {
+	return c.Attempt(context.Background(), newUnsafeRequest(), "s0", time.Now().Add(timeout))
+}
+
+// startAttempt is attempt on a goroutine of its own, which passes the result on.
+func (c *Client) startAttempt(results chan<- balancer.Result) {
+	go func() {
+		result, _ := c.attempt(testutil.Timeout)
+		results <- result
+	}()
+}
+
+// mustServe fails the test unless an attempt is served.
+func (c *Client) mustServe(t *testing.T) {
+	t.Helper()
+	if result, _ := c.attempt(testutil.Timeout); result != balancer.Served {
+		t.Fatalf("result %d, want Served", result)
+	}
+}
+
+// firstIdle returns the connection to s0 that has been idle for longest.
+func (c *Client) firstIdle() net.Conn {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	return c.pool.groups["s0"].idle[0].Conn
+}
+
+// twoIdleConnections returns a client with two idle connections to one server. After a value on next, the server
+// hands one request to exceptional.
+func twoIdleConnections(t *testing.T, exceptional handler) (client *Client, next chan<- struct{}) {
+	t.Helper()
+	trigger, gate := make(chan struct{}, 1), make(chan struct{})
+	server := testutil.NewServer(t, func(conn net.Conn, request *http.Request, body []byte) bool {
+		select {
+		case <-trigger:
+			return exceptional(conn, request, body)
+		default:
+			<-gate
+			return testutil.Echo(conn, request, body)
+		}
+	})
+	client = newTestClient(t, server.Addr())
+	results := make(chan balancer.Result, 2)
+	for range 2 { // at the same time, for which they need two connections
+		client.startAttempt(results)
+	}
+	for range 2 {
+		testutil.Receive(t, server.Received)
+	}
+	close(gate)
+	for range 2 {
+		if result := testutil.Receive(t, results); result != balancer.Served {
+			t.Fatalf("result %d, want Served", result)
+		}
+	}
+	return client, trigger
+}
+
+// write sends raw bytes. The client may have given up on them by then.
+func write(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -1,29 +1,31 @@
 package upstream
 
 import (
-	"ashshunt/balancer"
-	"ashshunt/internal/simwire"
 	"math"
 	"strconv"
 	"strings"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/simwire"
 )
 
-const loadHeader = "X-Load-Report"
+const loadReportHeader = "X-Load-Report"
 
-// LoadReport reads the load report of a response as endpoints write it: TEXT name=value, name=value.
+// LoadReport reads the response's load report, as endpoints write it: TEXT name=value, name=value. One that can't be
+// read, or has a figure that would spoil a running mean, counts as none.
 func (r Response) LoadReport() balancer.LoadReport {
-	text, ok := strings.CutPrefix(strings.TrimSpace(r.Header.Get(loadHeader)), "TEXT ")
+	text, ok := strings.CutPrefix(strings.TrimSpace(r.Header.Get(loadReportHeader)), "TEXT ")
 	if !ok {
 		return balancer.LoadReport{}
 	}
 	usage := map[string]float64{}
-	for part := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(v >= 0) || math.IsInf(v, 0) {
-			return balancer.LoadReport{} // what can't be read is no report; one such figure would spoil running means
+	for field := range strings.SplitSeq(text, ",") {
+		name, figure, _ := strings.Cut(strings.TrimSpace(field), "=")
+		value, err := strconv.ParseFloat(figure, 64)
+		if err != nil || !(value >= 0) || math.IsInf(value, 0) { // NaN is not >= 0
+			return balancer.LoadReport{}
 		}
-		usage[name] = v
+		usage[name] = value
 	}
 	return simwire.LoadReport(usage)
 }
--- /dev/null
+++ b/internal/upstream/pool_test.go
@@ -0,0 +1,173 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/socket"
+	"ashshunt/internal/testutil"
+)
+
+func TestConnectionIsReused(t *testing.T) {
+	connections := map[string]bool{}
+	server := testutil.NewServer(t, testutil.Echo)
+	client := newTestClient(t, server.Addr())
+	for range 5 {
+		result, response := client.attempt(testutil.Timeout)
+		if result != balancer.Served || string(response.Body) != "did x" {
+			t.Fatalf("result %d, body %q", result, response.Body)
+		}
+		connections[testutil.Receive(t, server.Received).RemoteAddr] = true
+	}
+	if len(connections) != 1 {
+		t.Errorf("5 requests one after the other took %d connections", len(connections))
+	}
+}
+
+// A connection that the endpoint has closed while it was idle is not written to: the request would end as a reset,
+// which an unsafe one does not survive.
+func TestIdleCloseIsNoticed(t *testing.T) {
+	var requests atomic.Int32
+	server := testutil.NewServer(t, func(conn net.Conn, request *http.Request, body []byte) bool {
+		testutil.Echo(conn, request, body)
+		return requests.Add(1) > 1 // closes the first connection after its response, unannounced
+	})
+	client := newTestClient(t, server.Addr())
+	client.mustServe(t)
+	testutil.Eventually(t, "the close", func() bool { return socket.Peek(client.firstIdle()) != socket.Quiet })
+	client.mustServe(t) // on a new connection
+}
+
+// The agent closes idle connections before the endpoint does.
+func TestIdleTimeout(t *testing.T) {
+	server := testutil.NewServer(t, testutil.Echo)
+	client := newTestClient(t, server.Addr())
+	client.pool.maxIdle = 10 * time.Millisecond
+	client.mustServe(t)
+	testutil.Receive(t, server.Closed)
+	testutil.Eventually(t, "the pool to forget it", func() bool { return client.OpenConnections() == 0 })
+}
+
+func TestIdleTimeoutFollowsSettings(t *testing.T) {
+	for idleClose, want := range map[time.Duration]time.Duration{
+		0:                idleWithoutClose,
+		40 * time.Second: 30 * time.Second,
+	} {
+		client := New(Options{IdleClose: idleClose})
+		if got := client.pool.maxIdle; got != want {
+			t.Errorf("endpoints close after %v: the pool does after %v, want %v", idleClose, got, want)
+		}
+	}
+}
+
+// Idle connections to a machine that vanished swallow what is written to them, and an unsafe request never gets
+// another attempt.
+func TestTimeoutClosesIdleConnections(t *testing.T) {
+	client, next := twoIdleConnections(t, testutil.Hang)
+	next <- struct{}{}
+	if result, _ := client.attempt(time.Second); result != balancer.TimedOut {
+		t.Fatalf("result %d, want TimedOut", result)
+	}
+	if n := client.OpenConnections(); n != 0 {
+		t.Errorf("%d connections are left to a silent endpoint", n)
+	}
+}
+
+// A connection that breaks in full use tells nothing of the others, which would cost a handshake each; one that
+// breaks after it was idle tells that those that were idle for as long are dead as well.
+func TestBreakAndIdleConnections(t *testing.T) {
+	closeConnection := func(net.Conn, *http.Request, []byte) bool { return false }
+	for _, tt := range []struct {
+		name   string
+		idle   time.Duration
+		remain int
+	}{
+		{"in full use", 0, 1},
+		{"after it was idle", time.Minute, 0},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			client, next := twoIdleConnections(t, closeConnection)
+			client.pool.mu.Lock()
+			for i, conn := range client.pool.groups["s0"].idle { // the older one first
+				conn.idleSince = time.Now().Add(-tt.idle - time.Duration(1-i)*time.Microsecond)
+			}
+			client.pool.mu.Unlock()
+			client.pool.maxIdle = time.Hour
+			next <- struct{}{}
+			if result, _ := client.attempt(testutil.Timeout); result != balancer.Reset {
+				t.Fatalf("result %d, want Reset", result)
+			}
+			if n := client.OpenConnections(); n != tt.remain {
+				t.Errorf("%d connections are left, want %d", n, tt.remain)
+			}
+		})
+	}
+}
+
+// A connection in use stays when others are closed over one that failed, as when an endpoint takes no more of them;
+// one to a process that was restarted closes with its response.
+func TestConnectionsInUse(t *testing.T) {
+	for _, tt := range []struct {
+		name   string
+		event  func(client *Client)
+		remain int
+	}{
+		{"another one failed", func(client *Client) { client.CloseIdle("s0") }, 1},
+		{"retired", func(client *Client) { client.Retire("s0") }, 0},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			gate := make(chan struct{})
+			server := testutil.NewServer(t, func(conn net.Conn, request *http.Request, body []byte) bool {
+				<-gate
+				return testutil.Echo(conn, request, body)
+			})
+			client := newTestClient(t, server.Addr())
+			results := make(chan balancer.Result, 1)
+			client.startAttempt(results)
+			testutil.Receive(t, server.Received)
+			tt.event(client)
+			close(gate)
+			result := testutil.Receive(t, results)
+			if open := client.OpenConnections(); result != balancer.Served || open != tt.remain {
+				t.Errorf("result %d, %d connections open, want %d", result, open, tt.remain)
+			}
+		})
+	}
+}
+
+// At the limit an idle connection elsewhere makes room; when none is idle the attempt fails unsent.
+func TestConnectionLimit(t *testing.T) {
+	first, second := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
+	client := newTestClient(t, first.Addr(), second.Addr())
+	client.pool.maxConnections = 1
+	client.mustServe(t)
+	result, _ := client.Attempt(context.Background(), newUnsafeRequest(), "s1", time.Now().Add(testutil.Timeout))
+	if result != balancer.Served {
+		t.Errorf("result %d, want Served in place of the idle connection", result)
+	}
+	testutil.Receive(t, first.Closed)
+	inUse := client.pool.takeIdle("s1")
+	result, response := client.attempt(testutil.Timeout)
+	if result != balancer.ConnectFailed || !errors.Is(response.Err, ErrPoolExhausted) {
+		t.Errorf("result %d, error %v, want ConnectFailed at the limit", result, response.Err)
+	}
+	client.pool.close(inUse)
+}
+
+// Nothing is kept of an endpoint without connections.
+func TestPoolForgetsEndpoints(t *testing.T) {
+	server := testutil.NewServer(t, testutil.Echo)
+	client := newTestClient(t, server.Addr())
+	client.mustServe(t)
+	client.Retire("s0")
+	client.Retire("s1")
+	if n := len(client.pool.groups); n != 0 || client.OpenConnections() != 0 {
+		t.Errorf("%d groups and %d connections are left", n, client.OpenConnections())
+	}
+}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -16,16 +16,18 @@
 )
 
 const (
-	maxBody  = 64 << 10 // bytes of a body, either way
-	maxHead  = 16 << 10 // bytes of an answer's head
-	maxEarly = 8        // 1xx answers ahead of the real one
-	maxWire  = 2 * maxBody
+	maxBodySize         = 64 << 10        // bytes of a body
+	maxHeadSize         = 16 << 10        // bytes of a response's head
+	maxInformational    = 8               // 1xx responses ahead of the final one
+	maxEncodedBodySize  = 2 * maxBodySize // bytes of a body with the framing of its chunks
+	maxQuoted           = 40              // characters of a response that an error quotes
+	lengthOfChunkedBody = -1              // bodyLength of a body that comes in chunks
 )
 
-// errMalformed marks an answer that came but says nothing usable; the request may have run.
-var errMalformed = errors.New("malformed answer")
+// ErrMalformedResponse marks a response that can't be used. Its request may have run.
+var ErrMalformedResponse = errors.New("malformed response")
 
-// Response is what came back for a request: a whole response, or an error.
+// Response is what came back for a request: a complete response, or an error.
 type Response struct {
 	Status  int
 	Header  textproto.MIMEHeader
@@ -34,157 +36,189 @@
 	Err     error
 }
 
-// answerReader reads one answer off a connection and bounds what it may take.
-type answerReader struct {
-	net.Conn
-	ctx   context.Context
-	in    *bufio.Reader
-	cut   time.Time
-	stall time.Duration
-	begun bool  // some of the answer has come
-	left  int   // bytes that it may still take
-	end   error // of the connection, as it was read
+// rejected reports whether the endpoint says that it has not run the request.
+func (r Response) rejected() bool {
+	unavailable := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout
+	return unavailable && r.Header.Get("X-Rejected") == "1"
 }
 
-// Read notes how the connection ended, since the codecs tell that and a spoilt answer alike.
-func (a *answerReader) Read(p []byte) (int, error) {
-	if a.left <= 0 {
-		return 0, errMalformed
-	}
-	if a.begun {
-		a.deadline(time.Now().Add(a.stall))
-	}
-	n, err := a.Conn.Read(p[:min(len(p), a.left)])
-	a.left -= n
-	a.begun = a.begun || n > 0
+// responseReader reads one response off a connection and bounds the time and the bytes that it may take.
+type responseReader struct {
+	conn         net.Conn
+	ctx          context.Context // the attempt's; its end interrupts reads
+	buffer       *bufio.Reader   // reads from this reader
+	deadline     time.Time
+	stallTimeout time.Duration
+
+	started        bool  // some of the response has come
+	bytesRemaining int   // what the part that is being read may still take
+	connErr        error // how the connection ended
+}
+
+// Read reads from the connection, for the buffer. It notes how the connection ended, which the parsers don't tell
+// from a malformed response.
+func (r *responseReader) Read(p []byte) (int, error) {
+	if r.bytesRemaining <= 0 {
+		return 0, ErrMalformedResponse
+	}
+	if r.started {
+		r.setReadDeadline(time.Now().Add(r.stallTimeout))
+	}
+	n, err := r.conn.Read(p[:min(len(p), r.bytesRemaining)])
+	r.bytesRemaining -= n
+	r.started = r.started || n > 0
 	if err != nil {
-		a.end = err
+		r.connErr = err
 	}
 	return n, err
 }
 
-// deadline moves the read deadline, but never past the cut, nor over that of a cancelled attempt.
-func (a *answerReader) deadline(t time.Time) {
-	if t.After(a.cut) {
-		t = a.cut
+// setReadDeadline moves the read deadline, but never past the response's, nor past the interruption of a cancelled
+// attempt.
+func (r *responseReader) setReadDeadline(at time.Time) {
+	if at.After(r.deadline) {
+		at = r.deadline
 	}
-	a.Conn.SetReadDeadline(t)
-	if a.ctx.Err() != nil {
-		a.Conn.SetDeadline(time.Unix(1, 0))
+	_ = r.conn.SetReadDeadline(at) // fails on a closed connection, as the read will
+	if r.ctx.Err() != nil {
+		_ = r.conn.SetDeadline(interruptAt)
 	}
 }
 
-// read reads one answer to its end, so that a half one is never passed on, and tells whether another may
-// follow on the same connection.
-func (a *answerReader) read() (Response, bool) {
-	for range maxEarly + 1 {
-		a.left, a.begun = maxHead, a.in.Buffered() > 0
-		status, header, last, err := readHead(a.in)
+// readResponse reads one response to its end, so that a partial one is never passed on. keepAlive: another one may
+// follow on the connection.
+func (r *responseReader) readResponse() (response Response, keepAlive bool) {
+	for range maxInformational + 1 {
+		r.bytesRemaining, r.started = maxHeadSize, r.buffer.Buffered() > 0
+		head, err := readHead(r.buffer)
 		if err != nil {
-			return a.failed(err), false
+			return r.failure(err), false
 		}
-		if status >= 100 && status < 200 && status != http.StatusSwitchingProtocols {
-			a.deadline(a.cut) // the real one may take its time
+		if head.informational() {
+			r.setReadDeadline(r.deadline) // the final one may take its time
 			continue
 		}
-		length, err := bodyLength(status, header)
+		length, err := head.bodyLength()
 		if err != nil {
-			return a.failed(err), false
+			return r.failure(err), false
 		}
-		a.left = maxWire
-		body, err := readAnswer(a.in, length)
+		r.bytesRemaining = maxEncodedBodySize
+		body, err := readBody(r.buffer, length)
 		if err != nil {
-			return a.failed(err), false
+			return r.failure(err), false
 		}
-		return Response{Status: status, Header: header, Body: body}, !last
+		return Response{Status: head.status, Header: head.header, Body: body}, head.keepAlive
 	}
-	return a.failed(errors.New("no end of early answers")), false
+	return r.failure(errors.New("too many informational responses")), false
 }
 
-// failed tells an end of the connection from an answer that can't be used. One that began and came to a
-// standstill is of the latter kind: its connection stays open and brings no more.
-func (a *answerReader) failed(err error) Response {
-	if a.end != nil && !(a.begun && isTimeout(a.end) && time.Now().Before(a.cut) && a.ctx.Err() == nil) {
-		return Response{Err: a.end}
+// failure tells an end of the connection from a response that can't be used. One that started and stalled is of the
+// latter kind: its connection stays open and brings no more.
+func (r *responseReader) failure(err error) Response {
+	if r.connErr != nil && !r.stalled() {
+		return Response{Err: r.connErr}
 	}
-	return Response{Err: fmt.Errorf("%w: %w", errMalformed, err)}
+	return Response{Err: fmt.Errorf("%w: %w", ErrMalformedResponse, err)}
 }
 
-// readHead reads the head of an answer. last: nothing may follow it on the connection.
-func readHead(in *bufio.Reader) (status int, header textproto.MIMEHeader, last bool, err error) {
-	const start = "HTTP/1."
-	for i := range len(start) { // noise may end anywhere: what begins wrong is not waited for
-		b, err := in.Peek(i + 1)
-		if err != nil {
-			return 0, nil, false, err
-		}
-		if b[i] != start[i] {
-			return 0, nil, false, errors.New("no HTTP/1")
-		}
+// stalled reports whether the read ended by the stall timeout, neither by the deadline nor by a cancel.
+func (r *responseReader) stalled() bool {
+	return r.started && isTimeout(r.connErr) && time.Now().Before(r.deadline) && r.ctx.Err() == nil
+}
+
+// responseHead is the status line and the header of a response.
+type responseHead struct {
+	status    int
+	header    textproto.MIMEHeader
+	keepAlive bool // another response may follow on the connection
+}
+
+func readHead(in *bufio.Reader) (responseHead, error) {
+	if err := checkProtocol(in); err != nil {
+		return responseHead{}, err
 	}
-	r := textproto.NewReader(in)
-	line, err := r.ReadLine()
+	reader := textproto.NewReader(in)
+	line, err := reader.ReadLine()
 	if err != nil {
-		return 0, nil, false, err
+		return responseHead{}, err
 	}
-	proto, rest, _ := strings.Cut(line, " ")
+	protocol, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
-	status, err = strconv.Atoi(code)
-	if err != nil || len(code) != 3 || status < 100 || len(proto) != len(start)+1 {
-		return 0, nil, false, fmt.Errorf("status line %.40q", line)
+	status, err := strconv.Atoi(code)
+	if err != nil || len(code) != 3 || status < 100 || len(protocol) != len(protocolPrefix)+1 {
+		return responseHead{}, fmt.Errorf("status line %.*q", maxQuoted, line)
 	}
-	header, err = r.ReadMIMEHeader()
+	header, err := reader.ReadMIMEHeader()
 	if err != nil {
-		return 0, nil, false, err
+		return responseHead{}, err
 	}
-	last = proto != "HTTP/1.1" || strings.EqualFold(header.Get("Connection"), "close")
-	return status, header, last, nil
+	closes := protocol != "HTTP/1.1" || strings.EqualFold(header.Get("Connection"), "close")
+	return responseHead{status: status, header: header, keepAlive: !closes}, nil
 }
 
-// chunked is the length of a body that comes in chunks.
-const chunked = -1
+// protocolPrefix is how each response begins; the minor version follows.
+const protocolPrefix = "HTTP/1."
 
-// bodyLength reads the framing off a head. Two lengths, a length beside an encoding, or neither say nothing
-// certain about where the body ends, and one that is too long is not waited for.
-func bodyLength(status int, h textproto.MIMEHeader) (int, error) {
-	lengths, encodings := h["Content-Length"], h["Transfer-Encoding"]
+// checkProtocol looks at the first bytes one by one: bytes that are not HTTP may stop anywhere, and what begins wrong
+// is not waited for.
+func checkProtocol(in *bufio.Reader) error {
+	for i := range len(protocolPrefix) {
+		begin, err := in.Peek(i + 1)
+		if err != nil {
+			return err
+		}
+		if begin[i] != protocolPrefix[i] {
+			return errors.New("not HTTP/1")
+		}
+	}
+	return nil
+}
+
+// informational reports whether the final response follows on the same connection.
+func (h responseHead) informational() bool {
+	return h.status >= 100 && h.status < 200 && h.status != http.StatusSwitchingProtocols
+}
+
+// bodyLength reads the framing. Two lengths, a length beside an encoding, or neither leave it open where the body
+// ends, and one that is too long is not waited for.
+func (h responseHead) bodyLength() (int, error) {
+	lengths, encodings := h.header["Content-Length"], h.header["Transfer-Encoding"]
 	switch {
-	case status < 200:
-		return 0, fmt.Errorf("status %d", status)
+	case h.status < 200:
+		return 0, fmt.Errorf("status %d", h.status)
 	case len(lengths)+len(encodings) != 1:
 		return 0, errors.New("framed twice or not at all")
 	case len(encodings) == 1:
 		if !strings.EqualFold(encodings[0], "chunked") {
-			return 0, fmt.Errorf("encoding %.40q", encodings[0])
+			return 0, fmt.Errorf("encoding %.*q", maxQuoted, encodings[0])
 		}
-		return chunked, nil
+		return lengthOfChunkedBody, nil
 	}
-	n, err := strconv.ParseUint(lengths[0], 10, 31)
-	if err != nil || n > maxBody {
-		return 0, fmt.Errorf("length %.40q", lengths[0])
+	length, err := strconv.ParseUint(lengths[0], 10, 31)
+	if err != nil || length > maxBodySize {
+		return 0, fmt.Errorf("length %.*q", maxQuoted, lengths[0])
 	}
-	return int(n), nil
+	return int(length), nil
 }
 
-func readAnswer(in *bufio.Reader, length int) ([]byte, error) {
-	if length >= 0 {
-		body := make([]byte, length)
-		_, err := io.ReadFull(in, body)
-		return body, err
+func readBody(in *bufio.Reader, length int) ([]byte, error) {
+	if length == lengthOfChunkedBody {
+		return readChunkedBody(in)
 	}
-	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(in), maxBody+1))
+	body := make([]byte, length)
+	_, err := io.ReadFull(in, body)
+	return body, err
+}
+
+func readChunkedBody(in *bufio.Reader) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(in), maxBodySize+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxBody {
-		return nil, errors.New("too long a body")
+	if len(body) > maxBodySize {
+		return nil, errors.New("body too long")
 	}
-	// What ends the chunks is a trailer, empty as a rule.
+	// The chunks end with a trailer, empty as a rule.
 	_, err = textproto.NewReader(in).ReadMIMEHeader()
 	return body, err
 }
-
-func isTimeout(err error) bool {
-	var ne net.Error
-	return errors.As(err, &ne) && ne.Timeout()
-}
