--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -111,7 +111,7 @@
 	a, logged := startWith(t, c, func(a *Agent) {
 		changeDiscovery(a, c, func(o *discovery.Options) { o.WatchSilence = testutil.Timeout })
 	}) // the old watch stays
-	testutil.Eventually(t, "the old watch", func() bool { return logged.Contains("watch begins") })
+	testutil.Eventually(t, "the old watch", func() bool { return logged.Contains("watch established") })
 	a.Reload(&config.Config{Discovery: l.Addr().String()})
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(testutil.Timeout))
 	for range 3 {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,11 +1,10 @@
-// Package discovery is the agent's side of discovery: it watches and polls the endpoint list.
+// Package discovery is the agent's client of discovery: it watches and polls the endpoint list, applies what comes to
+// the endpoint table and passes it on as events of the decision module.
 package discovery
 
 import (
 	"context"
-	"errors"
 	"log/slog"
-	"math/rand/v2"
 	"net/http"
 	"sync"
 	"time"
@@ -15,209 +14,187 @@
 	"ashshunt/internal/endpoint"
 )
 
-// Client polls and watches the endpoint list, when told to.
-type Client struct {
-	http    *http.Client
-	table   *endpoint.Table
-	retire  func(endpointID string)     // ends the use of its connections
-	onList  func(balancer.EndpointList) // takes the events
-	silence time.Duration               // see watchSilence
-	calling time.Duration               // see callTime; for a watch, until its first byte
-	convert func(endpoint.List, balancer.ListKind) balancer.EndpointList
-	log     *slog.Logger
-
-	// Where the settings say that changes come unasked, the module never asks for a watch. On sockets nothing
-	// comes without one, so it is kept here, and one that ends is begun again after a jittered wait.
-	keepWatch bool
-	unit      time.Duration // of that wait ...
-	longest   time.Duration // ... and its bound
-
-	known endpoint.List // as given at the start
-
-	order sync.Mutex // orders listings, from reading to posting; held while posting
-
-	mu      sync.Mutex // guards what follows; held for moments, since the loop waits for it
-	addr    string     // host:port
-	version int64      // of the list that was last taken from addr; unknown: the whole list is wanted
-	current *watch     // the one that lists are taken from
-	next    *watch     // the one that is to replace it, until it has begun to bring lists
-	fails   int        // watches that ended since one last began
-	rng     *rand.Rand
-}
+// unknownVersion is the version of an address that has sent no list yet. Another discovery may number its versions
+// otherwise, so none is carried over.
+const unknownVersion = -1
 
-// Options are what a Client is made of.
+// Options are the parameters of a Client.
 type Options struct {
-	Addr   string        // host:port of discovery
-	Known  endpoint.List // the list as last known, from which it goes on
-	Table  *endpoint.Table
+	Addr   string                      // host:port of discovery
+	Known  endpoint.List               // the complete list as last known, from whose version a watch continues
+	Table  *endpoint.Table             // to which lists are applied
 	Retire func(endpointID string)     // ends the use of connections to an endpoint
-	OnList func(balancer.EndpointList) // takes the events; may be called on any goroutine
-	Zones  []string                    // as the settings name them, in the order of the module's numbers
+	OnList func(balancer.EndpointList) // takes the events; called on the goroutines of watches and polls
+	Zones  []string                    // names in the order of the decision module's numbers
 	Kinds  []string
 	Clock  clock.Clock
 	Log    *slog.Logger
 
-	// KeepWatch: the client keeps a watch open by itself, since the module never asks for one.
+	// KeepWatch: the client keeps a watch open by itself. The module never asks for one where the settings say that
+	// changes are pushed; on sockets nothing comes without a watch.
 	KeepWatch      bool
-	ConnectTimeout time.Duration // the unit of the wait between two such watches
-	DrainGrace     time.Duration // bounds it, since draining endpoints may get requests for so long only
+	ConnectTimeout time.Duration // unit of the backoff between two such watches
+	DrainGrace     time.Duration // bounds it: requests to a draining endpoint are tolerated for so long
 	Seed           uint64        // of its jitter
 
 	WatchSilence time.Duration // how long a watch may bring nothing; 0: the default
-	CallTimeout  time.Duration // how long a call may take; 0: the default
+	CallTimeout  time.Duration // how long a poll may take, or a watch until its first byte; 0: the default
 }
 
-// New returns a client that holds the known list, which it applies to the table; it calls nobody yet.
-func New(o Options) *Client {
-	d := &Client{addr: o.Addr, http: newListClient(), table: o.Table, retire: o.Retire, onList: o.OnList,
-		silence: watchSilence, calling: callTime, convert: converter(o.Zones, o.Kinds, o.Clock), log: o.Log,
-		keepWatch: o.KeepWatch, unit: max(o.ConnectTimeout, minWait), longest: min(max(o.DrainGrace/4, minWait), resumeWithin),
-		rng: rand.New(rand.NewPCG(o.Seed, 1)), known: o.Known, version: o.Known.Version}
-	if o.WatchSilence > 0 {
-		d.silence = o.WatchSilence
-	}
-	if o.CallTimeout > 0 {
-		d.calling = o.CallTimeout
-	}
-	d.known.Complete = true
-	d.table.Apply(d.known)
-	return d
+// Client polls and watches the endpoint list. Its methods may be called on any goroutine.
+type Client struct {
+	http           *http.Client
+	table          *endpoint.Table
+	retire         func(endpointID string)
+	onList         func(balancer.EndpointList)
+	convert        converter
+	known          endpoint.List
+	keepWatch      bool
+	silenceTimeout time.Duration
+	callTimeout    time.Duration
+	log            *slog.Logger
+
+	// applying puts lists in one order, from the check of their version to the event. It is held while OnList runs,
+	// and taken before mu.
+	applying sync.Mutex
+
+	// mu protects what follows. It is held for moments only, since the event loop waits for it.
+	mu          sync.Mutex
+	addr        string // host:port of discovery
+	version     int64  // of the list that was last applied from addr, or unknownVersion
+	current     *watch // the one that lists are taken from
+	replacement *watch // the one that is to replace it, until it has begun to bring lists
+	backoff     backoff
+}
+
+// New returns a client that has applied the known list to the table. It calls nobody yet.
+func New(options Options) *Client {
+	c := &Client{
+		http:           newHTTPClient(),
+		table:          options.Table,
+		retire:         options.Retire,
+		onList:         options.OnList,
+		convert:        converter{zones: options.Zones, kinds: options.Kinds, clock: options.Clock},
+		known:          options.Known,
+		keepWatch:      options.KeepWatch,
+		silenceTimeout: watchSilenceTimeout,
+		callTimeout:    callTimeout,
+		log:            options.Log,
+		addr:           options.Addr,
+		version:        options.Known.Version,
+		backoff:        newBackoff(options.ConnectTimeout, options.DrainGrace, options.Seed),
+	}
+	if options.WatchSilence > 0 {
+		c.silenceTimeout = options.WatchSilence
+	}
+	if options.CallTimeout > 0 {
+		c.callTimeout = options.CallTimeout
+	}
+	c.known.Complete = true
+	c.table.Apply(c.known)
+	return c
 }
 
 // Known is the event of the list that the client was given.
-func (d *Client) Known() balancer.EndpointList { return d.convert(d.known, balancer.ListCached) }
+func (c *Client) Known() balancer.EndpointList { return c.convert.event(c.known, balancer.ListCached) }
 
-// Start begins the watch that the client keeps by itself, if it is to.
-func (d *Client) Start(ctx context.Context) {
-	if d.keepWatch {
-		d.Subscribe(ctx)
+// Start starts the watch that the client keeps by itself, if it is to.
+func (c *Client) Start(ctx context.Context) {
+	if c.keepWatch {
+		c.Subscribe(ctx)
 	}
 }
 
-// unknown is the version of an address that has told no list yet. Another discovery may number its
-// versions otherwise, so none is carried over.
-const unknown = -1
-
-// take applies a listing from an address at once and passes it on, unless a later watch or another
-// address took over meanwhile. One that is older than what is held, as the answer to a call may be that a line
-// of the watch has overtaken, says nothing new. w is nil for a call for the whole list.
-func (d *Client) take(w *watch, addr string, l endpoint.List) bool {
-	d.order.Lock()
-	defer d.order.Unlock()
-	if w != nil && !d.establish(w, l.Complete) {
-		return false
-	}
-	d.mu.Lock()
-	ours := addr == d.addr
-	old := ours && l.Version < d.version
-	if ours && !old {
-		d.version = l.Version
-	}
-	d.mu.Unlock()
-	if !ours && w == nil {
-		return false
-	}
-	if old {
-		l = endpoint.List{} // whoever has asked hears that nothing changed
-	}
-	for _, id := range d.table.Apply(l) {
-		d.retire(id)
-	}
-	kind := balancer.ListDelta
-	if l.Complete {
-		kind = balancer.ListComplete
+// Unsubscribe ends all watches.
+func (c *Client) Unsubscribe() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, w := range []*watch{c.current, c.replacement} {
+		if w != nil {
+			w.stop()
+		}
 	}
-	d.onList(d.convert(l, kind))
-	return true
+	c.current, c.replacement = nil, nil
 }
 
-// establish reports whether lists are to be taken from w. Once it has begun it ends the watch before it;
-// where it is to bring the whole list, once that has come.
-func (d *Client) establish(w *watch, full bool) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if w == d.next && (full || w.since != unknown) {
-		d.fails = 0
-		if d.current != nil {
-			d.current.stop()
-		}
-		d.current, d.next = w, nil
+// Move turns to another address and watches it at once, if the old one was watched or is about to be.
+func (c *Client) Move(ctx context.Context, addr string) {
+	c.mu.Lock()
+	if addr == c.addr {
+		c.mu.Unlock()
+		return
+	}
+	c.addr, c.version = addr, unknownVersion
+	watched := c.keepWatch || c.current != nil || c.replacement != nil
+	c.mu.Unlock()
+	c.log.Info("discovery address changed", "discovery", addr)
+	if watched {
+		c.Subscribe(ctx)
 	}
-	return w == d.current
 }
 
-// Subscribe starts a watch. The one before it goes on until the new one brings its list: a new address
-// may be slow to answer, or never do.
-func (d *Client) Subscribe(parent context.Context) {
-	ctx, stop := context.WithCancel(parent)
-	d.mu.Lock()
-	if d.next != nil {
-		d.next.stop()
-	}
-	w := &watch{addr: d.addr, since: d.version, stop: stop}
-	d.next = w
-	d.mu.Unlock()
-	go func() {
-		defer stop()
-		err := d.follow(ctx, w)
-		if ctx.Err() == nil && d.ended(w) {
-			d.log.Warn("watch ended", "discovery", w.addr, "err", err)
-			if d.keepWatch {
-				d.resume(parent)
-			} else {
-				d.onList(failure(err))
-			}
-		}
-	}()
+func (c *Client) currentAddr() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.addr
 }
 
-// failure is what the module hears of a call that failed.
-func failure(err error) balancer.EndpointList {
-	if errors.Is(err, errRefused) {
-		return balancer.EndpointList{Kind: balancer.ListRefused}
+// applyWatched applies a list of a watch, unless a later watch has replaced that one, and reports whether it did.
+func (c *Client) applyWatched(w *watch, list endpoint.List) bool {
+	c.applying.Lock()
+	defer c.applying.Unlock()
+	if !c.establishWatch(w, list.Complete) {
+		return false
 	}
-	return balancer.EndpointList{Kind: balancer.ListFailed}
+	c.publish(list, c.recordVersion(w.addr, list.Version))
+	return true
 }
 
-// ended forgets a watch that ended by itself and reports whether the module is to hear of it: while
-// another one is to replace it, nothing is lost.
-func (d *Client) ended(w *watch) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	switch w {
-	case d.next:
-		d.next = nil
-		return true
-	case d.current:
-		d.current = nil
-		return d.next == nil
+// applyPolled applies a list that was polled from an address, unless discovery has moved to another one.
+func (c *Client) applyPolled(addr string, list endpoint.List) {
+	c.applying.Lock()
+	defer c.applying.Unlock()
+	if origin := c.recordVersion(addr, list.Version); origin != otherAddr {
+		c.publish(list, origin)
 	}
-	return false
 }
 
-func (d *Client) Unsubscribe() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, w := range []*watch{d.current, d.next} {
-		if w != nil {
-			w.stop()
-		}
+// listOrigin is how a list stands to the ones before it.
+type listOrigin uint8
+
+const (
+	upToDate  listOrigin = iota
+	outdated             // older than the last one of the same address
+	otherAddr            // of an address from which discovery has moved away; its version can't be compared
+)
+
+// recordVersion notes the version of a list that is about to be applied.
+func (c *Client) recordVersion(addr string, version int64) listOrigin {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if addr != c.addr {
+		return otherAddr
 	}
-	d.current, d.next = nil, nil
+	if version < c.version {
+		return outdated
+	}
+	c.version = version
+	return upToDate
 }
 
-// Move turns to another address and watches it at once, if the old one was watched or is about to be.
-func (d *Client) Move(ctx context.Context, addr string) {
-	d.mu.Lock()
-	if addr == d.addr {
-		d.mu.Unlock()
-		return
+// publish applies a list to the table at once and passes it on. An outdated one, as the response to a poll may be that
+// a line of the watch has overtaken, changes nothing, but who polled hears that there is no news. The caller holds
+// applying.
+func (c *Client) publish(list endpoint.List, origin listOrigin) {
+	if origin == outdated {
+		list = endpoint.List{}
 	}
-	d.addr, d.version = addr, unknown
-	watched := d.keepWatch || d.current != nil || d.next != nil
-	d.mu.Unlock()
-	d.log.Info("discovery moved", "discovery", addr)
-	if watched {
-		d.Subscribe(ctx)
+	for _, id := range c.table.Apply(list) {
+		c.retire(id)
+	}
+	kind := balancer.ListDelta
+	if list.Complete {
+		kind = balancer.ListComplete
 	}
+	c.onList(c.convert.event(list, kind))
 }
--- a/internal/discovery/convert.go
+++ b/internal/discovery/convert.go
@@ -1,21 +1,32 @@
 package discovery
 
 import (
+	"slices"
+
 	"ashshunt/balancer"
 	"ashshunt/internal/clock"
 	"ashshunt/internal/endpoint"
-	"slices"
 )
 
-// converter returns the conversion of a listing to the module's event.
-func converter(zones, kinds []string, clock clock.Clock) func(endpoint.List, balancer.ListKind) balancer.EndpointList {
-	return func(l endpoint.List, kind balancer.ListKind) balancer.EndpointList {
-		e := balancer.EndpointList{Kind: kind, Endpoints: make([]balancer.Endpoint, 0, len(l.Entries))}
-		for _, s := range l.Entries {
-			e.Endpoints = append(e.Endpoints, balancer.Endpoint{ID: s.ID, State: s.BalancerState(),
-				Zone: slices.Index(zones, s.Zone), Cell: s.Cell, Kind: slices.Index(kinds, s.Kind),
-				Weight: s.Weight, Started: clock.FromUnixMillis(s.StartedMs)})
-		}
-		return e
+// converter turns endpoint lists into the decision module's events.
+type converter struct {
+	zones []string // in the order of the module's numbers
+	kinds []string
+	clock clock.Clock
+}
+
+func (c converter) event(list endpoint.List, kind balancer.ListKind) balancer.EndpointList {
+	event := balancer.EndpointList{Kind: kind, Endpoints: make([]balancer.Endpoint, 0, len(list.Entries))}
+	for _, entry := range list.Entries {
+		event.Endpoints = append(event.Endpoints, balancer.Endpoint{
+			ID:      entry.ID,
+			State:   entry.BalancerState(),
+			Zone:    slices.Index(c.zones, entry.Zone),
+			Cell:    entry.Cell,
+			Kind:    slices.Index(c.kinds, entry.Kind),
+			Weight:  entry.Weight,
+			Started: c.clock.FromUnixMillis(entry.StartedMs),
+		})
 	}
+	return event
 }
--- /dev/null
+++ b/internal/discovery/helpers_test.go
@@ -0,0 +1,97 @@
+package discovery
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/clock"
+	"ashshunt/internal/config"
+	"ashshunt/internal/endpoint"
+	"ashshunt/internal/testutil"
+)
+
+// newOptions returns the options of a client with a configuration, and the channel that its events come out of.
+func newOptions(t *testing.T, c *config.Config) (Options, chan balancer.EndpointList) {
+	t.Helper()
+	events := make(chan balancer.EndpointList, 10)
+	return Options{
+		Addr:           c.Discovery,
+		Known:          c.Known,
+		Table:          endpoint.NewTable(),
+		Retire:         func(string) {},
+		OnList:         func(event balancer.EndpointList) { events <- event },
+		Zones:          c.Names.Zones,
+		Kinds:          c.Names.Kinds,
+		Clock:          clock.New(),
+		Log:            testutil.NewLogger(&testutil.Log{}),
+		KeepWatch:      !c.Settings.Subscribe,
+		ConnectTimeout: c.Settings.ConnectTimeout,
+		DrainGrace:     c.Settings.DrainGrace,
+		Seed:           c.Seed,
+	}, events
+}
+
+// subscribed returns a client that knows the endpoints s0 and s1, by version 1, and has begun to watch discovery. Its
+// watches and calls may be silent for so long.
+func subscribed(t *testing.T, server *testutil.Discovery,
+	silence time.Duration) (*Client, chan balancer.EndpointList) {
+	t.Helper()
+	options, events := newOptions(t, testutil.Config(t, server.Addr, entry("s0", "SERVING"), entry("s1", "SERVING")))
+	options.WatchSilence, options.CallTimeout = silence, silence
+	client := New(options)
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	client.Subscribe(ctx)
+	return client, events
+}
+
+// entry is one entry of a list, as discovery writes it.
+func entry(id string, state endpoint.State) string {
+	return testutil.EntryJSON(id, "127.0.0.1:1", string(state))
+}
+
+// completeList is a list with all entries, as discovery writes it.
+func completeList(version int, entries ...string) string { return listJSON(version, true, entries) }
+
+// changes is a list with the entries that changed, as discovery writes it.
+func changes(version int, entries ...string) string { return listJSON(version, false, entries) }
+
+func listJSON(version int, complete bool, entries []string) string {
+	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, complete, strings.Join(entries, ","))
+}
+
+// expectEvent checks the kind of the next event and the number of its entries.
+func expectEvent(t *testing.T, events <-chan balancer.EndpointList, kind balancer.ListKind,
+	entries int) balancer.EndpointList {
+	t.Helper()
+	event := testutil.Receive(t, events)
+	if event.Kind != kind || len(event.Endpoints) != entries {
+		t.Errorf("event %+v, want kind %d with %d entries", event, kind, entries)
+	}
+	return event
+}
+
+func expectFailure(t *testing.T, events <-chan balancer.EndpointList) {
+	t.Helper()
+	expectEvent(t, events, balancer.ListFailed, 0)
+}
+
+// expectWatch checks the query of the next watch.
+func expectWatch(t *testing.T, server *testutil.Discovery, query string) {
+	t.Helper()
+	if got := testutil.Receive(t, server.Watches); got != query {
+		t.Errorf("watched with %q, want %q", got, query)
+	}
+}
+
+// expectServing checks whether attempts may go to an endpoint.
+func expectServing(t *testing.T, client *Client, id string, want bool) {
+	t.Helper()
+	if _, serving := client.table.Serving(id); serving != want {
+		t.Errorf("endpoint %s: serving %v, want %v", id, serving, want)
+	}
+}
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -1,71 +1,88 @@
 package discovery
 
 import (
-	"ashshunt/internal/endpoint"
 	"context"
 	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/endpoint"
 )
 
-// errRefused marks a call that discovery answered with a refusal.
-var errRefused = errors.New("discovery answered")
+// maxListSize is the most bytes that one list may have.
+const maxListSize = 8 << 20
+
+// errRefused marks a call that discovery answered with another status than 200.
+var errRefused = errors.New("discovery refused the call")
 
-// newListClient returns a client that uses each connection once, so that it never sends a call twice.
-func newListClient() *http.Client {
-	dialer := &net.Dialer{Timeout: callTime}
-	return &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true,
-		DisableCompression: true, ResponseHeaderTimeout: callTime}}
+// newHTTPClient returns a client that uses each connection once, so that it never sends a call again by itself.
+func newHTTPClient() *http.Client {
+	dialer := &net.Dialer{Timeout: callTimeout}
+	return &http.Client{Transport: &http.Transport{
+		DialContext:           dialer.DialContext,
+		DisableKeepAlives:     true,
+		DisableCompression:    true,
+		ResponseHeaderTimeout: callTimeout,
+	}}
 }
 
-// Poll asks for the whole list once.
-func (d *Client) Poll(ctx context.Context) {
+// Poll asks for the complete list once and passes it, or the failure, to Options.OnList. It doesn't wait for that: a
+// goroutine does, which ends within callTimeout.
+func (c *Client) Poll(ctx context.Context) {
 	go func() {
-		if err := d.list(ctx); err != nil && ctx.Err() == nil {
-			d.log.Warn("list call failed", "err", err)
-			d.onList(failure(err))
+		if err := c.poll(ctx); err != nil && ctx.Err() == nil {
+			c.log.Warn("poll failed", "err", err)
+			c.onList(failureEvent(err))
 		}
 	}()
 }
 
-func (d *Client) list(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, d.calling)
+func (c *Client) poll(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
-	d.mu.Lock()
-	addr := d.addr
-	d.mu.Unlock()
-	resp, err := d.get(ctx, addr, "")
+	addr := c.currentAddr()
+	body, err := c.get(ctx, addr, "")
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxListing))
+	defer func() { _ = body.Close() }()
+	raw, err := io.ReadAll(io.LimitReader(body, maxListSize))
 	if err != nil {
 		return fmt.Errorf("reading the list: %w", err)
 	}
-	l, err := endpoint.ParseList(raw)
+	list, err := endpoint.ParseList(raw)
 	if err != nil {
 		return err
 	}
-	l.Complete = true
-	d.take(nil, addr, l)
+	list.Complete = true
+	c.applyPolled(addr, list)
 	return nil
 }
 
-func (d *Client) get(ctx context.Context, addr, query string) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/servers"+query, nil)
+// get calls discovery and returns the body of its response. Its error is errRefused for a status other than 200.
+func (c *Client) get(ctx context.Context, addr, query string) (io.ReadCloser, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/servers"+query, nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := d.http.Do(req)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	if resp.StatusCode != http.StatusOK {
-		resp.Body.Close()
-		return nil, fmt.Errorf("%w %s", errRefused, resp.Status)
+	if response.StatusCode != http.StatusOK {
+		_ = response.Body.Close()
+		return nil, fmt.Errorf("%w: %s", errRefused, response.Status)
+	}
+	return response.Body, nil
+}
+
+// failureEvent is what the decision module hears of a call that failed.
+func failureEvent(err error) balancer.EndpointList {
+	if errors.Is(err, errRefused) {
+		return balancer.EndpointList{Kind: balancer.ListRefused}
 	}
-	return resp, nil
+	return balancer.EndpointList{Kind: balancer.ListFailed}
 }
--- /dev/null
+++ b/internal/discovery/poll_test.go
@@ -0,0 +1,76 @@
+package discovery
+
+import (
+	"context"
+	"strings"
+	"testing"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/testutil"
+)
+
+func TestPoll(t *testing.T) {
+	server := testutil.NewDiscovery(t)
+	server.Complete = func() string { return completeList(9, entry("s7", "SERVING")) }
+	client, events := subscribed(t, server, testutil.Timeout)
+	client.Poll(context.Background())
+	if event := expectEvent(t, events, balancer.ListComplete, 1); event.Endpoints[0].ID != "s7" {
+		t.Errorf("event %+v", event)
+	}
+}
+
+// A part of a list must not be taken: endpoints would look as if they were gone.
+func TestMalformedLists(t *testing.T) {
+	good := entry("s0", "SERVING")
+	for name, text := range map[string]string{
+		"no JSON":          `{"version":2,"servers":[}`,
+		"no version":       `{"full":true,"servers":[` + good + `]}`,
+		"no servers":       `{"version":2,"full":true}`,
+		"no id":            completeList(2, entry("", "SERVING")),
+		"an unknown state": completeList(2, strings.Replace(good, "SERVING", "ASLEEP", 1)),
+		"a bad address":    completeList(2, testutil.EntryJSON("s0", "here", "SERVING")),
+		"a bad type":       `{"version":2,"full":true,"servers":{}}`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := testutil.NewDiscovery(t)
+			server.Complete = func() string { return text }
+			client, events := subscribed(t, server, testutil.Timeout)
+			testutil.Receive(t, server.Watches)
+			server.Say <- text
+			expectFailure(t, events) // of the watch
+			client.Poll(context.Background())
+			expectFailure(t, events)
+			expectServing(t, client, "s1", true) // by the old list
+		})
+	}
+}
+
+// The response to a poll that a line of the watch has overtaken, and a line that is older than the ones before it, must
+// not set version and table back: a draining endpoint would get requests again.
+func TestOutdatedListIsIgnored(t *testing.T) {
+	server := testutil.NewDiscovery(t)
+	polled, gate := make(chan struct{}), make(chan struct{})
+	server.Complete = func() string {
+		close(polled)
+		<-gate
+		return completeList(1, entry("s0", "SERVING"))
+	}
+	client, events := subscribed(t, server, testutil.Timeout)
+	testutil.Receive(t, server.Watches)
+	client.Poll(context.Background())
+	testutil.Receive(t, polled)
+	server.Say <- changes(2, entry("s0", "DRAINING"))
+	testutil.Receive(t, events)
+	close(gate)
+	expectEvent(t, events, balancer.ListDelta, 0) // whoever polled hears that there is no news
+	server.Say <- completeList(1, entry("s0", "SERVING"))
+	if event := testutil.Receive(t, events); len(event.Endpoints) != 0 {
+		t.Errorf("event %+v of an outdated line", event)
+	}
+	expectServing(t, client, "s0", false)
+	expectServing(t, client, "s1", true) // which the outdated list does not know
+	server.Cut <- struct{}{}
+	testutil.Receive(t, events)
+	client.Subscribe(context.Background())
+	expectWatch(t, server, "follow=1&since=2")
+}
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -1,32 +1,66 @@
 package discovery
 
-import "time"
+import (
+	"math/rand/v2"
+	"time"
+)
 
-const maxListing = 8 << 20 // bytes of one list or line
+// The budget of a change. It counts as received propagationLimit after discovery had it and could be reached, whatever
+// became of the calls before; from then on requests sent to an endpoint that drains are errors of the agent. All that
+// may lie in between has to fit in:
+//
+//   - where the decision module subscribes and polls, a watch that fell silent or a poll that hung, the wait until
+//     the next call (PollSpread), and that call's turn;
+//   - where the client keeps the watch open by itself, two silent watches in a row, the waits after them and the next
+//     watch. Such calls end on this machine and have no turn to wait for.
+const (
+	// watchSilenceTimeout ends a watch that has brought nothing for so long. An empty line is due every 2 s, and a
+	// machine that was cut off says nothing at all.
+	watchSilenceTimeout = 2500 * time.Millisecond
+	// callTimeout is the longest that a poll may take, or a watch until its first byte.
+	callTimeout = 2500 * time.Millisecond
+	// maxTurn is how long a call may wait in discovery's queue before that refuses it.
+	maxTurn = 2 * time.Second
+	// propagationLimit is when a change counts as received at the latest.
+	propagationLimit = 6 * time.Second
+	// PollSpread is the time over which agents spread their calls after a start or a failure.
+	PollSpread = propagationLimit - max(watchSilenceTimeout, callTimeout) - maxTurn
+	// RefusedPollSpread is the same after a refusal, which tells that discovery could not be reached until then.
+	RefusedPollSpread = propagationLimit - maxTurn
+	// maxRestartDelay bounds the delay before a watch that the client keeps is started again.
+	maxRestartDelay = (propagationLimit - watchSilenceTimeout - callTimeout) / 4
+)
 
 const (
-	// watchSilence ends a watch that brings nothing for so long. An empty line is due every 2 s, and a machine
-	// that was cut off says nothing at all. What a silent watch misses counts as told 6 s after it fell silent:
-	// by then the next one must have brought it, even if that one is silent from its start.
-	watchSilence = 2500 * time.Millisecond
-	// callTime is the longest that a call may take to be answered. Where discovery must be asked, calls wait in turn,
-	// for turnTime at the most before they are turned away.
-	callTime = 2500 * time.Millisecond
-	turnTime = 2 * time.Second
-	// toldWithin is when a change counts as told at the latest after discovery had it and could be reached, whatever
-	// became of the calls before: a watch that fell silent or a call that hung, the wait after it and the next
-	// call's turn fit in it. One that was refused tells that discovery could not be reached until then.
-	toldWithin        = 6 * time.Second
-	PollSpread        = toldWithin - max(watchSilence, callTime) - turnTime
-	RefusedPollSpread = toldWithin - turnTime
-	// resumeWithin is the longest wait before an unasked watch, whose calls end on this machine: two silent ones
-	// in a row, the waits after them and the next fit in toldWithin.
-	resumeWithin = (toldWithin - watchSilence - callTime) / 4
+	// minRestartDelay is the least that the unit and the bound of that delay may be.
+	minRestartDelay = 10 * time.Millisecond
+	// maxDoublings bounds the growth of the delay: all agents of a machine room lose their watches at once.
+	maxDoublings = 3
 )
 
-// minWait is the least that the unit and the bound of the wait between two kept watches may be.
-const minWait = 10 * time.Millisecond
+// backoff gives the exponential, fully jittered delays before a watch is started again. It is not safe for concurrent
+// use.
+type backoff struct {
+	unit     time.Duration // the first delay is between 0 and this
+	limit    time.Duration
+	failures int // watches that ended since one was last established
+	random   *rand.Rand
+}
+
+func newBackoff(connectTimeout, drainGrace time.Duration, seed uint64) backoff {
+	return backoff{
+		unit:   max(connectTimeout, minRestartDelay),
+		limit:  min(max(drainGrace/4, minRestartDelay), maxRestartDelay),
+		random: rand.New(rand.NewPCG(seed, 1)),
+	}
+}
+
+// next returns the delay after one more failure.
+func (b *backoff) next() time.Duration {
+	bound := min(b.unit<<min(b.failures, maxDoublings), b.limit)
+	b.failures++
+	return time.Duration(b.random.Float64() * float64(bound))
+}
 
-// maxDoubling bounds the growth of the wait before an unasked watch: all agents of a machine room lose theirs at
-// once.
-const maxDoubling = 3
+// reset has the delays start over.
+func (b *backoff) reset() { b.failures = 0 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -1,84 +1,148 @@
 package discovery
 
 import (
-	"ashshunt/internal/endpoint"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"time"
+
+	"ashshunt/internal/endpoint"
+)
+
+// Why a watch was ended by this side.
+var (
+	errSilentWatch      = errors.New("watch fell silent")
+	errListTooLong      = errors.New("list too long")
+	errChangesBeforeAll = errors.New("changes came before the complete list")
 )
 
-// watch is one watch of an address.
+// watch is one watch of an address. It belongs to the goroutine that Subscribe starts for it.
 type watch struct {
 	addr  string
-	since int64 // the version that it continues
-	stop  context.CancelFunc
+	since int64              // the version that it continues; unknownVersion: it is to bring the complete list
+	stop  context.CancelFunc // ends it
 }
 
-// resume begins an unasked watch again after an exponential, fully jittered wait, unless another began meanwhile.
-// A watch of an address from which discovery has moved away does not count.
-func (d *Client) resume(ctx context.Context) {
-	d.mu.Lock()
-	wait := time.Duration(d.rng.Float64() * float64(min(d.unit<<min(d.fails, maxDoubling), d.longest)))
-	d.fails++
-	d.mu.Unlock()
-	select {
-	case <-time.After(wait):
-	case <-ctx.Done():
-		return
+func (w *watch) query() string {
+	if w.since == unknownVersion {
+		return "?follow=1"
 	}
-	d.mu.Lock()
-	watched := d.current != nil && d.current.addr == d.addr || d.next != nil
-	d.mu.Unlock()
-	if !watched {
-		d.Subscribe(ctx)
+	return fmt.Sprintf("?follow=1&since=%d", w.since)
+}
+
+// Subscribe starts a watch. The watch before it goes on until the new one brings its list: a new address may be slow
+// to answer, or never do.
+//
+// The watch runs on a goroutine of its own, which ends when ctx does, when Unsubscribe or a later watch stops it, or
+// when the watch ends by itself. In that last case it reports the failure, or, if the client keeps its watch, waits
+// and starts the next one.
+func (c *Client) Subscribe(ctx context.Context) {
+	watchCtx, stop := context.WithCancel(ctx)
+	w := c.addWatch(stop)
+	go func() {
+		defer stop()
+		err := c.runWatch(watchCtx, w)
+		if watchCtx.Err() != nil || !c.removeWatch(w) {
+			return
+		}
+		c.log.Warn("watch ended", "discovery", w.addr, "err", err)
+		if c.keepWatch {
+			c.restartWatch(ctx)
+		} else {
+			c.onList(failureEvent(err))
+		}
+	}()
+}
+
+// addWatch makes a new watch the one that is to replace the current one.
+func (c *Client) addWatch(stop context.CancelFunc) *watch {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.replacement != nil {
+		c.replacement.stop()
 	}
+	c.replacement = &watch{addr: c.addr, since: c.version, stop: stop}
+	return c.replacement
 }
 
-// stream is what a watch brings. It tells of every byte, and bounds one list.
-type stream struct {
-	io.Reader
-	heard func()
-	left  int // bytes that the list may still take
+// removeWatch forgets a watch that ended by itself and reports whether that matters: while another one is to replace
+// it, nothing is lost.
+func (c *Client) removeWatch(w *watch) (lost bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch w {
+	case c.replacement:
+		c.replacement = nil
+		return true
+	case c.current:
+		c.current = nil
+		return c.replacement == nil
+	}
+	return false
 }
 
-func (s *stream) Read(p []byte) (int, error) {
-	if s.left <= 0 {
-		return 0, errors.New("too long a list")
+// establishWatch reports whether lists are to be taken from a watch. A watch that replaces another one does so, and
+// ends it, once it has begun; if it is to bring the complete list, once that has come.
+func (c *Client) establishWatch(w *watch, complete bool) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if w == c.replacement && (complete || w.since != unknownVersion) {
+		c.backoff.reset()
+		if c.current != nil {
+			c.current.stop()
+		}
+		c.current, c.replacement = w, nil
 	}
-	n, err := s.Reader.Read(p[:min(len(p), s.left)])
-	s.left -= n
-	if n > 0 {
-		s.heard()
+	return w == c.current
+}
+
+// restartWatch starts a watch again after a backoff, unless another one was started meanwhile.
+func (c *Client) restartWatch(ctx context.Context) {
+	c.mu.Lock()
+	delay := c.backoff.next()
+	c.mu.Unlock()
+	select {
+	case <-time.After(delay):
+	case <-ctx.Done():
+		return
+	}
+	if !c.watchesCurrentAddr() {
+		c.Subscribe(ctx)
 	}
-	return n, err
 }
 
-// follow reads changes until the watch ends, falls silent or brings what can't be read. A list ends where its
-// JSON does, which may be several lines on.
-func (d *Client) follow(ctx context.Context, w *watch) error {
+// watchesCurrentAddr reports whether discovery's address is watched, or about to be. A watch of an address from which
+// discovery has moved away doesn't count.
+func (c *Client) watchesCurrentAddr() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.current != nil && c.current.addr == c.addr || c.replacement != nil
+}
+
+// runWatch opens a watch and reads it until it ends, falls silent or brings what can't be read.
+func (c *Client) runWatch(ctx context.Context, w *watch) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(d.calling, func() { cancel(errors.New("silent")) })
+	silence := time.AfterFunc(c.callTimeout, func() { cancel(errSilentWatch) })
 	defer silence.Stop()
-	query := "?follow=1"
-	if w.since != unknown {
-		query += fmt.Sprintf("&since=%d", w.since)
-	}
-	resp, err := d.get(ctx, w.addr, query)
+	body, err := c.get(ctx, w.addr, w.query())
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
-	heard := func() { silence.Reset(d.silence) }
-	heard()
-	d.establish(w, false)
-	d.log.Info("watch begins", "discovery", w.addr, "since", w.since)
-	in := &stream{Reader: resp.Body, heard: heard}
-	for lists := json.NewDecoder(in); ; {
-		in.left = maxListing
+	defer func() { _ = body.Close() }()
+	restartTimer := func() { silence.Reset(c.silenceTimeout) }
+	restartTimer()
+	c.establishWatch(w, false)
+	c.log.Info("watch established", "discovery", w.addr, "since", w.since)
+	return c.readChanges(ctx, w, &watchReader{body: body, onData: restartTimer})
+}
+
+// readChanges applies the lists that a watch brings. A list ends where its JSON does, which may be several lines on.
+func (c *Client) readChanges(ctx context.Context, w *watch, reader *watchReader) error {
+	for lists := json.NewDecoder(reader); ; {
+		reader.bytesRemaining = maxListSize
 		var raw json.RawMessage
 		if err := lists.Decode(&raw); err != nil {
 			if cause := context.Cause(ctx); cause != nil {
@@ -86,15 +150,35 @@
 			}
 			return fmt.Errorf("reading changes: %w", err)
 		}
-		l, err := endpoint.ParseList(raw)
+		list, err := endpoint.ParseList(raw)
 		if err != nil {
 			return err
 		}
-		if ctx.Err() != nil {
-			return ctx.Err() // replaced or silent meanwhile: what follows is not ours to tell
+		if ctx.Err() != nil { // replaced or silent meanwhile: another watch brings what follows
+			return ctx.Err()
 		}
-		if !d.take(w, w.addr, l) {
-			return errors.New("changes came before the whole list")
+		if !c.applyWatched(w, list) {
+			return errChangesBeforeAll
 		}
 	}
 }
+
+// watchReader reads the body of a watch. It reports every byte, since a slow list is no silence, and bounds the size
+// of one list.
+type watchReader struct {
+	body           io.Reader
+	onData         func()
+	bytesRemaining int // what the list may still take
+}
+
+func (r *watchReader) Read(p []byte) (int, error) {
+	if r.bytesRemaining <= 0 {
+		return 0, errListTooLong
+	}
+	n, err := r.body.Read(p[:min(len(p), r.bytesRemaining)])
+	r.bytesRemaining -= n
+	if n > 0 {
+		r.onData()
+	}
+	return n, err
+}
--- /dev/null
+++ b/internal/discovery/watch_test.go
@@ -0,0 +1,138 @@
+package discovery
+
+import (
+	"context"
+	"io"
+	"strings"
+	"testing"
+	"testing/iotest"
+	"time"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/testutil"
+)
+
+func TestWatch(t *testing.T) {
+	server := testutil.NewDiscovery(t)
+	client, events := subscribed(t, server, testutil.Timeout)
+	expectWatch(t, server, "follow=1&since=1")
+	server.Say <- ""
+	server.Say <- changes(2, entry("s0", "DRAINING"))
+	event := expectEvent(t, events, balancer.ListDelta, 1)
+	if event.Endpoints[0].State != balancer.Draining || event.Endpoints[0].Zone != 0 {
+		t.Errorf("event %+v", event)
+	}
+	expectServing(t, client, "s0", false)
+	server.Say <- completeList(3, entry("s0", "SERVING"))
+	expectEvent(t, events, balancer.ListComplete, 1)
+	expectServing(t, client, "s1", false)
+	server.Cut <- struct{}{}
+	expectFailure(t, events)
+	client.Subscribe(context.Background())
+	expectWatch(t, server, "follow=1&since=3")
+	client.Unsubscribe()
+}
+
+// A watch that a cut-off network holds open for ever is ended.
+func TestSilentWatch(t *testing.T) {
+	_, events := subscribed(t, testutil.NewDiscovery(t), 100*time.Millisecond)
+	expectFailure(t, events)
+}
+
+// indentedList is a list over several lines, as some write it.
+const indentedList = `{
+  "version": 2,
+  "full": false,
+  "servers": [
+    {"id": "s0", "addr": "127.0.0.1:1", "zone": "dc", "kind": "std", "cell": 1,
+     "state": "DRAINING", "weight": 1.0, "started_ms": 0}
+  ]
+}`
+
+// The end of a line is not the end of a list.
+func TestIndentedLists(t *testing.T) {
+	server := testutil.NewDiscovery(t)
+	server.Complete = func() string { return strings.Replace(indentedList, `"version": 2`, `"version": 4`, 1) }
+	client, events := subscribed(t, server, testutil.Timeout)
+	testutil.Receive(t, server.Watches)
+	server.Say <- ""
+	server.Say <- indentedList
+	server.Say <- `  {"version":3,"full":false,"servers":[]} {"version":4,"full":false,` + "\n\n" + `"servers":[]}`
+	for _, entries := range []int{1, 0, 0} {
+		expectEvent(t, events, balancer.ListDelta, entries)
+	}
+	expectServing(t, client, "s0", false)
+	client.Poll(context.Background())
+	expectEvent(t, events, balancer.ListComplete, 1)
+}
+
+// A watch that falls silent or ends within a list, or that brings a list without end, leaves the version as it was.
+func TestWatchEndsWithinList(t *testing.T) {
+	half := indentedList[:len(indentedList)/2]
+	for name, tt := range map[string]struct {
+		text    string
+		silence time.Duration
+		cut     bool
+	}{
+		"silent":      {text: half, silence: 100 * time.Millisecond},
+		"cut off":     {text: half, silence: testutil.Timeout, cut: true},
+		"without end": {text: `{"version":2,"x":"` + strings.Repeat("x", maxListSize), silence: testutil.Timeout},
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := testutil.NewDiscovery(t)
+			client, events := subscribed(t, server, tt.silence)
+			testutil.Receive(t, server.Watches)
+			server.Say <- tt.text
+			if tt.cut {
+				testutil.Eventually(t, "the half list to be sent", func() bool { return len(server.Say) == 0 })
+				server.Cut <- struct{}{}
+			}
+			expectFailure(t, events)
+			client.Subscribe(context.Background())
+			expectWatch(t, server, "follow=1&since=1")
+		})
+	}
+}
+
+// Silence is counted from the last byte, not from the last complete list: a slow one is no silence.
+func TestSlowListIsNoSilence(t *testing.T) {
+	reported := 0
+	reader := &watchReader{
+		body:           iotest.OneByteReader(strings.NewReader(indentedList)),
+		onData:         func() { reported++ },
+		bytesRemaining: maxListSize,
+	}
+	if raw, err := io.ReadAll(reader); err != nil || string(raw) != indentedList || reported != len(indentedList) {
+		t.Errorf("%d bytes reported of %d, error %v", reported, len(indentedList), err)
+	}
+}
+
+// The old watch goes on until the one of the new address has brought the complete list, since a new address may bring
+// nothing and may number its versions otherwise; after that the old one has no say.
+func TestMove(t *testing.T) {
+	oldServer, newServer := testutil.NewDiscovery(t), testutil.NewDiscovery(t)
+	client, events := subscribed(t, oldServer, testutil.Timeout)
+	testutil.Receive(t, oldServer.Watches)
+	oldServer.Say <- changes(2)
+	testutil.Receive(t, events)
+	client.Move(context.Background(), "127.0.0.1:1") // refused: the module hears of it, and subscribes again
+	expectFailure(t, events)
+	oldServer.Say <- changes(3, entry("s0", "DRAINING"))
+	expectEvent(t, events, balancer.ListDelta, 1) // from the old address, which is still watched
+	client.Move(context.Background(), newServer.Addr)
+	client.Move(context.Background(), newServer.Addr) // once more changes nothing
+	expectWatch(t, newServer, "follow=1")             // for the complete list
+	oldServer.Cut <- struct{}{}                       // no failure: the new one is under way
+	newServer.Say <- ""
+	newServer.Say <- completeList(1, entry("s1", "SERVING"))
+	expectEvent(t, events, balancer.ListComplete, 1)
+	expectServing(t, client, "s0", false) // which only the old address knew
+	newServer.Cut <- struct{}{}
+	expectFailure(t, events)
+	client.Subscribe(context.Background())
+	expectWatch(t, newServer, "follow=1&since=1")
+	if len(newServer.Watches) != 0 {
+		t.Error("watched twice")
+	}
+	client.Unsubscribe()
+}
