--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -26,6 +27,13 @@
 	}
 }
 
+func TestUnknownEndpoint(t *testing.T) {
+	result, response := newTestClient(t).attempt(testutil.Timeout)
+	if result != balancer.ConnectFailed || !errors.Is(response.Err, ErrNotServing) {
+		t.Errorf("result %d, error %v, want ConnectFailed since it is not serving", result, response.Err)
+	}
+}
+
 // listenWithFullQueue returns an address whose connections never come up, as those to a machine that vanished.
 func listenWithFullQueue(t *testing.T) string {
 	t.Helper()
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"net/http"
 	"strings"
@@ -45,14 +46,22 @@
 	}
 }
 
+// Responses and parts of them.
+const (
+	okHead       = "HTTP/1.1 200 OK\r\n"
+	okResponse   = okHead + "Content-Length: 2\r\n\r\nok"
+	chunkedHead  = okHead + "Transfer-Encoding: chunked\r\n\r\n"
+	early        = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
+	switching    = "HTTP/1.1 101 Switching Protocols\r\n\r\n"
+	bothFramings = okHead + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+	threeGB      = okHead + "Content-Length: 3000000000\r\n\r\nxxxx"
+	twoLengths   = okHead + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nfour"
+	halfBody     = okHead + "Content-Length: 9\r\n\r\nhalf"
+)
+
 // The protocol's table of outcomes, on which the rule on repeated requests rests. A request goes out only once for
 // one attempt.
 func TestResults(t *testing.T) {
-	const ok, okHead = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\n"
-	const chunkedHead = okHead + "Transfer-Encoding: chunked\r\n\r\n"
-	const early = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-	const switching = "HTTP/1.1 101 Switching Protocols\r\n\r\n"
-	const bothFramings = okHead + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 	endlessHead := okHead + strings.Repeat("A: b\r\n", 1<<16)
 	endlessEarly := strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)
 	tests := []struct {
@@ -70,18 +79,18 @@
 		{"an error marked as rejected", respondRejected(500), testutil.Timeout, balancer.ServerError},
 		{"closed without a response", respondAndClose(""), testutil.Timeout, balancer.Reset},
 		{"half a head", respondAndClose(okHead + "Cont"), testutil.Timeout, balancer.Reset},
-		{"half a body", respondAndClose(okHead + "Content-Length: 9\r\n\r\nhalf"), testutil.Timeout, balancer.Reset},
+		{"half a body", respondAndClose(halfBody), testutil.Timeout, balancer.Reset},
 		{"half a chunked body", respondAndClose(chunkedHead + "4\r\nhalf\r\n"), testutil.Timeout, balancer.Reset},
 		{"not HTTP", respondAndClose("220 mail\r\n\r\n"), testutil.Timeout, balancer.ServerError},
 		{"an endless head", respondAndClose(endlessHead), testutil.Timeout, balancer.ServerError},
-		{"informational responses ahead", respondAndClose(early + ok), testutil.Timeout, balancer.Served},
+		{"informational responses ahead", respondAndClose(early + okResponse), testutil.Timeout, balancer.Served},
 		{"endless informational responses", respondAndClose(endlessEarly), testutil.Timeout, balancer.ServerError},
-		{"another protocol", respondAndClose(switching + ok), testutil.Timeout, balancer.ServerError},
+		{"another protocol", respondAndClose(switching + okResponse), testutil.Timeout, balancer.ServerError},
 		{"chunks", respondAndClose(chunkedHead + "2\r\nok\r\n0\r\n\r\n"), testutil.Timeout, balancer.Served},
 		{"noise, then silence", respondAndHang("\x00\xff\x17"), testutil.Timeout, balancer.ServerError},
-		{"a body that stalls", respondAndHang(okHead + "Content-Length: 9\r\n\r\nhalf"), testutil.Timeout, balancer.ServerError},
-		{"a body of 3 GB", respondAndHang(okHead + "Content-Length: 3000000000\r\n\r\nxxxx"), testutil.Timeout, balancer.ServerError},
-		{"two lengths", respondAndHang(okHead + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nfour"), testutil.Timeout, balancer.ServerError},
+		{"a body that stalls", respondAndHang(halfBody), testutil.Timeout, balancer.ServerError},
+		{"a body of 3 GB", respondAndHang(threeGB), testutil.Timeout, balancer.ServerError},
+		{"two lengths", respondAndHang(twoLengths), testutil.Timeout, balancer.ServerError},
 		{"length and encoding", respondAndHang(bothFramings), testutil.Timeout, balancer.ServerError},
 		{"a negative length", respondAndHang(okHead + "Content-Length: -2\r\n\r\n"), testutil.Timeout, balancer.ServerError},
 		{"no length", respondAndHang(okHead + "\r\nbody"), testutil.Timeout, balancer.ServerError},
@@ -94,9 +103,13 @@
 			t.Parallel()
 			server := testutil.NewServer(t, tt.respond)
 			client := newTestClient(t, server.Addr())
-			if result, _ := client.attempt(tt.timeout); result != tt.want {
+			result, response := client.attempt(tt.timeout)
+			if result != tt.want {
 				t.Errorf("result %d, want %d", result, tt.want)
 			}
+			if response.Err != nil && result == balancer.ServerError && !errors.Is(response.Err, ErrMalformedResponse) {
+				t.Errorf("error %v, want ErrMalformedResponse", response.Err)
+			}
 			if n := len(server.Received); n != 1 {
 				t.Errorf("the endpoint got %d requests for one attempt", n)
 			}
