--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -5,7 +5,7 @@
 	"ashshunt/internal/loadreport"
 )
 
-const loadHeader = "X-Load-Report"
+const loadReportHeader = "X-Load-Report"
 
 // LoadReport reads the load report that the response carries, if any.
-func (r Response) LoadReport() balancer.LoadReport { return loadreport.Parse(r.Header.Get(loadHeader)) }
+func (r Response) LoadReport() balancer.LoadReport { return loadreport.Parse(r.Header.Get(loadReportHeader)) }
