--- a/check.sh
+++ b/check.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# The project's one test command (see README.md): formatting, vet, tests, the
-# deploy file's build, the limits of the decision module, and a start of both programs.
+# The project's one test command (see README.md): formatting, vet, tests, the deploy file's build, the size of the
+# decision module, and a start of both programs.
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -9,8 +9,9 @@
 	echo "gofmt: these files are not formatted:" $unformatted >&2
 	exit 1
 fi
+go mod tidy -diff
 go vet ./...
-go test -count=1 ./balancer/... ./cmd/...
+go test -count=1 ./balancer/... ./cmd/... ./docs/...
 go test -count=1 -race ./internal/...
 
 build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/balancer.toml)
@@ -36,7 +37,7 @@
 fi
 echo "policy files: $lines lines that are not blank"
 
-# The adapter answers an empty batch; the agent starts, says where it listens, and stops when asked.
+# The adapter replies to an empty batch; the agent refuses a bad configuration, starts, and shuts down on SIGTERM.
 key() { sed -n "s/^$1 = \"\(.*\)\"\$/\1/p" deploy/balancer.toml; }
 reply=$(printf '{"msg":"Frame","ClockMs":1}\n{"msg":"End"}\n' | sh -c "$(key sim)")
 [ "$reply" = '{"msg":"Eor"}' ] || { echo "the adapter answered '$reply' to an empty batch" >&2; exit 1; }
--- /dev/null
+++ b/docs/docs_test.go
@@ -0,0 +1,152 @@
+// Package docs holds the operators' pages. Its tests compare them with the code.
+package docs
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"maps"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// logLevels gives the level of each logging method.
+var logLevels = map[string]string{"Debug": "DEBUG", "Info": "INFO", "Warn": "WARN", "Error": "ERROR"}
+
+// logLine is a row of the table of log lines, or a call in the code.
+type logLine struct{ message, level string }
+
+var tableRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| (DEBUG|INFO|WARN|ERROR) \\|")
+
+// Each line that the agent logs is in the table of OPERATIONS.md, with its level, and each row of the table is logged.
+func TestLogLinesAreDocumented(t *testing.T) {
+	page, err := os.ReadFile("OPERATIONS.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	documented := map[logLine]bool{}
+	for _, row := range tableRow.FindAllStringSubmatch(string(page), -1) {
+		documented[logLine{message: row[1], level: row[2]}] = true
+	}
+	logged := map[logLine]bool{}
+	for _, dir := range []string{"../cmd/ashshunt", "../internal"} {
+		for _, path := range sourceFiles(t, dir) {
+			maps.Copy(logged, logCalls(t, path))
+		}
+	}
+	if len(logged) == 0 {
+		t.Fatal("found no log line in the code")
+	}
+	for line := range logged {
+		if !documented[line] {
+			t.Errorf("%q at level %s is logged, but not in OPERATIONS.md", line.message, line.level)
+		}
+	}
+	for line := range documented {
+		if !logged[line] {
+			t.Errorf("%q at level %s is in OPERATIONS.md, but not logged", line.message, line.level)
+		}
+	}
+}
+
+// Each package is in the table of ARCHITECTURE.md.
+func TestPackagesAreDocumented(t *testing.T) {
+	page, err := os.ReadFile("ARCHITECTURE.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	packages := map[string]bool{}
+	for _, dir := range []string{"../balancer", "../internal"} {
+		for _, path := range sourceFiles(t, dir) {
+			packages[strings.TrimPrefix(filepath.ToSlash(filepath.Dir(path)), "../")] = true
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(packages)) {
+		if !strings.Contains(string(page), "| `"+name+"` |") {
+			t.Errorf("package %s is not in the table of ARCHITECTURE.md", name)
+		}
+	}
+}
+
+// The README's build command is the one of the deploy file.
+func TestBuildCommandIsDocumented(t *testing.T) {
+	deploy, err := os.ReadFile("../deploy/balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	readme, err := os.ReadFile("../README.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	build := regexp.MustCompile(`(?m)^build = "(.*)"$`).FindSubmatch(deploy)
+	if build == nil {
+		t.Fatal("deploy/balancer.toml has no build command")
+	}
+	if !strings.Contains(string(readme), "\n    "+string(build[1])+"\n") {
+		t.Errorf("README.md lacks the build command %q", build[1])
+	}
+}
+
+// sourceFiles returns the Go files under a folder, tests left out.
+func sourceFiles(t *testing.T, dir string) []string {
+	t.Helper()
+	var paths []string
+	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
+		if err == nil && strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
+			paths = append(paths, path)
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return paths
+}
+
+// logCalls returns the log lines of a file: calls of a logger's methods whose message is a string literal.
+func logCalls(t *testing.T, path string) map[logLine]bool {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := map[logLine]bool{}
+	ast.Inspect(file, func(node ast.Node) bool {
+		call, ok := node.(*ast.CallExpr)
+		if !ok || len(call.Args) == 0 {
+			return true
+		}
+		method, ok := call.Fun.(*ast.SelectorExpr)
+		if !ok || logLevels[method.Sel.Name] == "" || !isLogger(method.X) {
+			return true
+		}
+		if literal, ok := call.Args[0].(*ast.BasicLit); ok && literal.Kind == token.STRING {
+			message, err := strconv.Unquote(literal.Value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			lines[logLine{message: message, level: logLevels[method.Sel.Name]}] = true
+		}
+		return true
+	})
+	return lines
+}
+
+// isLogger reports whether an expression is a variable or a field that is named as loggers are.
+func isLogger(x ast.Expr) bool {
+	name := ""
+	switch x := x.(type) {
+	case *ast.Ident:
+		name = x.Name
+	case *ast.SelectorExpr:
+		name = x.Sel.Name
+	}
+	name = strings.ToLower(name)
+	return name == "log" || name == "logger" || name == "slog"
+}
