--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -12,42 +11,32 @@
 	settings Settings
 	rng      *rand.Rand
 	now      time.Duration
-	actions  []Action
+	actions  []Action // of the current step
 
-	endpoints    []*endpoint // in the order in which they were first listed
-	endpointByID map[string]*endpoint
+	classes      []*classState
 	requests     map[string]*request
-	peakInFlight float64              // the most attempts out lately, decayed
-	candidates   []candidate          // of one pick; kept for its memory alone
-	openRequests int                  // requests that have no final answer yet
-	queue        []*request           // waiting for room, oldest first
-	keyQueues    map[string]*keyQueue // of ordered requests, by key
-	quietKeys    []*keyQueue          // lines whose key rests or has rested, in the order of its end
-	timers       map[int64]*request
-	lastToken    int64 // last timer token given out
+	timers       map[int64]*request // by token
+	lastTimer    int64              // the last token given out
+	openRequests int                // requests without a final answer
+	inFlight     int                // attempts without an outcome
+	queue        []*request         // the admission queue, oldest first
+	keyQueues    map[string]*keyQueue
+	quietKeys    []*keyQueue // those in a quiet period, which may be over, in the order of its end
 
-	retryTokens      float64 // the retry bucket
-	classes          []classState
-	inFlight         int
-	stalled          int     // of these, on backends that are not counted in capacity
-	limitPerEndpoint float64 // attempts that all agents may have in flight together, per backend that is up
-	serving          int     // backends that the list says are up
-	warm             int     // of these, not cold
-	capacity         float64 // their number, each counted by its warmth
-	latencyRatio     float64 // running mean of latency over aim
-	latencyDeviation float64 // running mean deviation of latency from the mean of its class, over that mean
-	latencySamples   float64 // that delay rests on
-	failureRate      float64 // share of attempts that lately ended by an error or a broken connection
-	baseLatencyRatio float64 // its low: what it is without queues
-	limitCutAt       time.Duration
-	sentRecently     float64 // requests sent lately ...
-	onTimeRecently   float64 // ... and those answered within their aim
-	decayedAt        time.Duration
+	endpoints      []*endpoint // in the order in which they were first listed
+	endpointByID   map[string]*endpoint
+	fleet          fleetSummary
+	subscribeTimer int64 // its token
+	listFailures   int   // in a row
 
-	warmWork       float64       // decayed work that a warm backend served, in the mean of them ...
-	warmWorkAt     time.Duration // ... by then
-	listFailures   int
-	subscribeToken int64
+	candidates       []candidate // of one pick; kept for its memory alone
+	retryTokens      float64
+	limit            concurrencyLimit
+	traffic          recentTraffic
+	warmWork         float64 // decayed work that a warm endpoint did for this agent, ns ...
+	warmWorkAt       time.Duration
+	latencyDeviation float64 // mean deviation of latency from its class's mean, over that mean
+	failureRate      float64 // share of recent attempts that ended by an error or a broken connection
 }
 
 // New returns a balancer with no state. All its random choices come from seed.
@@ -55,47 +44,42 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{settings: s, rng: rand.New(rand.NewPCG(seed, 0)), retryTokens: retryTokenCapacity,
-		latencyDeviation: 1,
-		baseLatencyRatio: targetRatio / targetRise, limitPerEndpoint: minLimitPerEndpoint,
-		endpointByID: map[string]*endpoint{},
-		requests:     map[string]*request{}, timers: map[int64]*request{}, keyQueues: map[string]*keyQueue{}}
-	b.settings.MaxAttempts = max(1, s.MaxAttempts)
-	if s.ColdCapacity == 0 {
-		b.settings.ColdCapacity = 1
-	}
-	for _, c := range s.Classes {
-		b.classes = append(b.classes, classState{Class: c, meanLatency: float64(c.Objective) / 4,
-			newOnTime: 1, connectedOnTime: 1})
+	b := &Balancer{settings: s.withDefaults(), rng: rand.New(rand.NewPCG(seed, 0)),
+		endpointByID: map[string]*endpoint{}, requests: map[string]*request{},
+		keyQueues: map[string]*keyQueue{}, timers: map[int64]*request{},
+		limit:       concurrencyLimit{perEndpoint: minLimitPerEndpoint, baseRatio: targetRatio / targetRise},
+		retryTokens: retryTokenCapacity, latencyDeviation: 1}
+	for _, class := range s.Classes {
+		b.classes = append(b.classes, &classState{Class: class, index: len(b.classes),
+			meanLatency: float64(class.Objective) / 4, newOnTime: 1, connectedOnTime: 1})
 	}
 	return b, nil
 }
 
 // Step takes what has happened by now, in order, and returns what to do.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
-	b.now, b.actions = max(now, b.now), nil
+	b.now = max(now, b.now)
+	b.actions = nil
 	b.expireQuietKeys()
-	f := math.Exp(-float64(b.now-b.decayedAt) / (trafficWindow * float64(b.classes[0].Objective)))
-	b.sentRecently, b.onTimeRecently, b.peakInFlight, b.decayedAt = b.sentRecently*f, b.onTimeRecently*f,
-		b.peakInFlight*f, b.now
+	b.decayTraffic()
 	b.measureFleet()
-	for _, e := range events {
-		switch e := e.(type) {
+	for _, event := range events {
+		switch event := event.(type) {
 		case Request:
-			b.onRequest(e)
+			b.onRequest(event)
 		case Outcome:
-			b.onOutcome(e)
+			b.onOutcome(event)
 		case TimerFired:
-			b.onTimer(e.Token)
+			b.onTimer(event.Token)
 		case EndpointList:
-			b.onEndpointList(e)
+			b.onEndpointList(event)
 			b.measureFleet()
 		case StreamStarted:
-			if r := b.requests[e.Request]; r != nil && !r.ended {
+			if r := b.requests[event.Request]; r != nil && !r.ended {
 				r.streaming = true
 			}
 		case Abandoned:
-			if r := b.requests[e.Request]; r != nil {
+			if r := b.requests[event.Request]; r != nil {
 				b.closeRequest(r)
 			}
 		}
@@ -104,100 +88,87 @@
 	return b.actions
 }
 
-func (b *Balancer) onRequest(e Request) {
-	if e.Class < 0 || e.Class >= len(b.classes) || b.requests[e.ID] != nil {
+func (b *Balancer) onRequest(event Request) {
+	if event.Class < 0 || event.Class >= len(b.classes) || b.requests[event.ID] != nil {
 		return
 	}
-	c := &b.classes[e.Class]
-	r := &request{id: e.ID, class: e.Class, objectiveAt: b.now + min(c.Objective, e.Timeout),
-		deadline: b.now + e.Timeout, clientRetry: e.ClientRetry}
-	// A client gives its tries a usual patience, its last one all that is left of its deadline.
-	// A try with any other patience therefore tells how long ago the client began.
-	if c.usualTimeout == 0 {
-		c.usualTimeout = e.Timeout
+	class := b.classes[event.Class]
+	r := &request{id: event.ID, class: class, objectiveAt: b.now + min(class.Objective, event.Timeout),
+		deadline: b.now + event.Timeout, clientRetry: event.ClientRetry, work: float64(event.Work)}
+	if event.Key != "" {
+		r.keyHash = hash(event.Key)
 	}
-	off := e.Timeout - c.usualTimeout
-	if off > 2*b.settings.Tick || off < -2*b.settings.Tick {
-		r.clientRetry = true
-		r.objectiveAt -= max(0, c.Deadline-e.Timeout)
+	b.observeArrival(r, event)
+	b.requests[r.id] = r
+	b.openRequests++
+	b.joinKeyQueue(r, event.Key)
+	b.enqueue(r)
+}
+
+func (b *Balancer) onOutcome(event Outcome) {
+	r, n := b.requests[event.Request], event.Attempt
+	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].inFlight {
+		return
 	}
-	if !e.ClientRetry {
-		c.usualTimeout += min(max(off, -b.settings.Tick/4), b.settings.Tick/4) // towards the median
+	a := r.attempts[n]
+	b.endAttempt(r, a, event.Result)
+	b.observeOutcome(r, a, event)
+	if event.Result == Served && !r.ended {
+		b.onServed(r)
 	}
-	if r.work = float64(e.Work); r.work > 0 {
-		c.meanWork = movingAverage(c.meanWork, r.work)
+	if a.endpoint.isGone() {
+		b.dropRemoved()
 	}
-	for i := range b.classes { // decay by arrivals: the last few hundred requests count
-		b.classes[i].arrived *= 1 - smoothing/20
-		b.classes[i].onTime *= 1 - smoothing/20
+	if event.Done || event.Result == Served || r.ended {
+		b.closeRequest(r)
+		return
 	}
-	c.arrived++
-	b.requests[e.ID] = r
-	b.openRequests++
-	if e.Key != "" {
-		r.keyHash = hash(e.Key)
+	r.lastFailed = a.endpoint
+	if r.inFlight == 0 && !r.backingOff && !r.queued {
+		b.retry(r, event.Result)
 	}
-	b.joinKeyQueue(r, e.Key)
-	b.enqueue(r)
 }
 
-func (b *Balancer) onOutcome(e Outcome) {
-	r := b.requests[e.Request]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].inFlight {
-		return
-	}
-	a := r.attempts[e.Attempt]
+func (b *Balancer) endAttempt(r *request, a *attempt, result Result) {
 	a.inFlight = false
 	r.inFlight--
 	b.inFlight--
 	a.endpoint.inFlight = slices.DeleteFunc(a.endpoint.inFlight, func(o *attempt) bool { return o == a })
-	if e.Result == TimedOut || e.Result == Reset || e.Result == Cancelled {
+	if result == TimedOut || result == Reset || result == Cancelled {
 		r.quietUntil = b.now + b.settings.KeyQuietPeriod
 	}
-	if e.Result.NeverRan() && !(e.Result == Rejected && b.settings.RejectedMayHaveRun) {
+	if result.NeverRan() && (result != Rejected || !b.settings.RejectedMayHaveRun) {
 		if r.mayHaveRun--; r.mayHaveRun == 0 {
 			r.firstMayHaveRun = nil
 		}
 	}
-	c := &b.classes[r.class]
-	b.observeOutcome(r, a, e)
-	if e.Result == Served && !r.ended {
-		b.retryTokens = min(retryTokenCapacity, b.retryTokens+successTokenRefill)
-		if b.now <= r.objectiveAt {
-			c.onTime++
-			b.onTimeRecently++
-		}
-		for i, o := range r.attempts {
-			if o.inFlight && b.settings.AllowCancel {
-				b.actions = append(b.actions, Cancel{Request: r.id, Attempt: i})
-			}
+}
+
+func (b *Balancer) onServed(r *request) {
+	b.retryTokens = min(retryTokenCapacity, b.retryTokens+successTokenRefill)
+	if b.now <= r.objectiveAt {
+		r.class.onTime++
+		b.traffic.onTime++
+	}
+	for i, other := range r.attempts {
+		if other.inFlight && b.settings.AllowCancel {
+			b.actions = append(b.actions, Cancel{Request: r.id, Attempt: i})
 		}
 	}
-	if a.endpoint.State == Removed && len(a.endpoint.inFlight) == 0 {
-		b.dropRemoved()
-	}
-	if e.Done || e.Result == Served || r.ended {
-		b.closeRequest(r)
-		return
-	}
-	r.lastFailed = a.endpoint
-	if r.inFlight == 0 && !r.backingOff && !r.queued {
-		b.retry(r, e.Result)
-	}
 }
 
 func (b *Balancer) onTimer(token int64) {
-	if token == b.subscribeToken && token != 0 {
-		b.subscribeToken = 0
+	if token == b.subscribeTimer && token != 0 {
+		b.subscribeTimer = 0
 		b.actions = append(b.actions, Subscribe{})
 		return
 	}
 	r := b.timers[token]
 	delete(b.timers, token)
-	if r == nil || r.ended || token != r.timerToken {
+	if r == nil || r.ended || token != r.timer {
 		return
 	}
-	r.timerToken = 0 // a held request that may stay longer than it seemed sets another one: lost otherwise
+	r.timer = 0 // a request that stays queued for longer than was expected gets another one
 	switch {
 	case r.backingOff:
 		r.backingOff = false
@@ -208,12 +179,12 @@
 }
 
 func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
-	r.timerToken = b.setTimer(at - b.now)
-	b.timers[r.timerToken] = r
+	r.timer = b.setTimer(at - b.now)
+	b.timers[r.timer] = r
 }
 
 func (b *Balancer) setTimer(wait time.Duration) int64 {
-	b.lastToken++
-	b.actions = append(b.actions, SetTimer{After: wait, Token: b.lastToken})
-	return b.lastToken
+	b.lastTimer++
+	b.actions = append(b.actions, SetTimer{After: wait, Token: b.lastTimer})
+	return b.lastTimer
 }
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -2,79 +2,74 @@
 
 import (
 	"cmp"
-	"math"
 	"time"
 )
 
 const (
-	smoothing    = 0.1  // weight of a new sample in a running mean, about the last 20 samples
-	maxWaitShare = 0.75 // of the aim: the most that either asks for, however heavy the request
-	medianFactor = 0.7  // mean latencies within which half of the answers come: an exponential's median
+	smoothing        = 0.1            // weight of a new sample in a moving average: about the last 20 count
+	slowSmoothing    = smoothing / 10 // and in one that is to change slowly
+	arrivalSmoothing = smoothing / 20 // decay of counts with each arrival: the last few hundred count
+	significantGap   = 0.1            // a difference of on-time shares that is no chance
+	medianFactor     = 0.7            // median over mean latency: that of an exponential distribution
+	maxWaitShare     = 0.75           // of the objective: the most that is set aside for a response
 )
 
 type classState struct {
 	Class
-	meanLatency     float64       // running mean of served latency, ns
-	latencyAt       time.Duration // when that last learnt
-	newOnTime       float64       // share answered in time by backends outside the working set ...
-	connectedOnTime float64       // ... and by those within
-	currentPriority float64       // what a unit of work adds to the goal, in this step
-	usualTimeout    time.Duration // the usual patience of a client's try
-	meanWork        float64       // running mean of the expected work told with requests, ns
-	arrived         float64       // decayed count of requests
-	onTime          float64       // decayed count of requests answered within the aim
+	index           int
+	meanLatency     float64       // of served requests, ns
+	latencyAt       time.Duration // when that was last updated
+	meanWork        float64       // of the expected work of requests that tell it, ns
+	usualTimeout    time.Duration // of a client's first try
+	arrived, onTime float64       // decayed counts: requests, and those served within their objective
+	newOnTime       float64       // share served within the objective over new connections ...
+	connectedOnTime float64       // ... and at endpoints already connected
+	currentPriority float64       // what a unit of work adds to the operator's goal, in this step
 }
 
-// share is the share of a class that was lately answered within its aim.
 func (c *classState) onTimeShare() float64 { return (c.onTime + 1) / (c.arrived + 1) }
 
-// value is what a unit of work spent on a class now adds to the operator's goal.
-func (b *Balancer) classPriority(class int) float64 {
-	total, worst, low := 0.0, -1, math.Inf(1)
-	for i := range b.classes {
-		c := &b.classes[i]
-		total += c.arrived * c.Priority * b.workUnit(c)
-		if share := c.onTimeShare(); share < low {
-			worst, low = i, share
-		}
+func compareOnTime(x, y *classState) int { return cmp.Compare(x.onTimeShare(), y.onTimeShare()) }
+
+// observeArrival learns from a new request, and tells a client's retry by its time-out: a client gives its
+// first tries a usual one, and its last one all that is left of its deadline.
+func (b *Balancer) observeArrival(r *request, event Request) {
+	r.class.usualTimeout = cmp.Or(r.class.usualTimeout, event.Timeout)
+	difference, tick := event.Timeout-r.class.usualTimeout, b.settings.Tick
+	if difference > 2*tick || difference < -2*tick {
+		r.clientRetry = true
+		r.objectiveAt -= max(0, r.class.Deadline-event.Timeout)
 	}
-	c := &b.classes[class]
-	v := (b.settings.WeightOverall + b.settings.WeightWorstWindow) * c.Priority * b.workUnit(c) /
-		c.meanLatency / max(total, 1e-9)
-	if class == worst {
-		v += b.settings.WeightWorstClass / (max(c.arrived, 1) * c.meanLatency)
+	if !event.ClientRetry { // small steps lead to the median
+		r.class.usualTimeout += min(max(difference, -tick/4), tick/4)
 	}
-	return v
-}
-
-func (b *Balancer) workUnit(c *classState) float64 {
-	if b.settings.PriorityByWork {
-		return c.meanLatency
+	if r.work > 0 {
+		r.class.meanWork = movingAverage(r.class.meanWork, r.work)
+	}
+	for _, class := range b.classes {
+		class.arrived *= 1 - arrivalSmoothing
+		class.onTime *= 1 - arrivalSmoothing
 	}
-	return 1
+	r.class.arrived++
 }
 
-// expected is the mean latency for a request of this class and told work.
+// expectedLatency is the mean latency, in ns, for a request of this class and expected work.
 func (b *Balancer) expectedLatency(r *request) float64 {
-	c := &b.classes[r.class]
-	if r.work > 0 && c.meanWork > 0 {
-		return c.meanLatency * r.work / c.meanWork
+	if r.work > 0 && r.class.meanWork > 0 {
+		return r.class.meanLatency * r.work / r.class.meanWork
 	}
-	return c.meanLatency
+	return r.class.meanLatency
 }
 
-// need is the time of so many mean latencies of r, within bounds.
-func (b *Balancer) boundedLatency(r *request, means float64) time.Duration {
-	return time.Duration(min(means*b.expectedLatency(r), maxWaitShare*float64(b.classes[r.class].Objective)))
+// responseTime is the time of so many expected latencies of r, bounded by its objective.
+func (b *Balancer) responseTime(r *request, latencies float64) time.Duration {
+	return time.Duration(min(latencies*b.expectedLatency(r), maxWaitShare*float64(r.class.Objective)))
 }
 
-// hopeless reports whether an attempt that goes out then would likelier be in vain than answered before the
-// client leaves.
+// isTooLate reports whether an attempt sent then would likelier miss the deadline than meet it.
 func (b *Balancer) isTooLate(r *request, then time.Duration) bool {
-	c := &b.classes[r.class]
-	// What is known may be long past.
-	known := b.now-c.latencyAt <= time.Duration(trafficWindow*float64(c.Objective))
-	return then >= r.deadline || known && then+b.boundedLatency(r, medianFactor) >= r.deadline
+	known := b.now-r.class.latencyAt <= time.Duration(trafficWindow*float64(r.class.Objective))
+	return then >= r.deadline || known && then+b.responseTime(r, medianFactor) >= r.deadline
 }
 
 func movingAverage(mean, sample float64) float64 {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -2,168 +2,129 @@
 
 import (
 	"cmp"
+	"maps"
 	"math"
 	"slices"
 	"time"
 )
 
-const (
-	// of the time within which all must ask: what one call may take of discovery
-	pollSpreadPerAgent = 1.0 / 128
-	// answers that the mean of all counts for in a backend's slowness at the start
-	priorSamples = 2.0
-	// one sample says at most that a backend is so many times slower than the mean
-	maxSlownessSample = 8.0
-)
+const pollSpreadPerAgent = 1.0 / 128 // of PollWithin: what one call may take of discovery's capacity
 
 type endpoint struct {
 	Endpoint
-	hash                uint64
-	preference          float64    // its place in this balancer's own order, if all were alike: drawn once
-	inFlight            []*attempt // oldest first
-	hasServed           bool       // has answered this balancer since it started
-	slowness            float64    // running mean of its latency over the mean of all
-	slownessSamples     float64    // answers that slow rests on
-	ejectionLevel       float64
-	ejectedUntil        time.Duration // no traffic before this time
-	ejectedAt           time.Duration
-	rejectingUntil      time.Duration
-	classEjections      []classEjection // by class
-	lastServedAt        time.Duration
-	latestAnsweredSend  time.Duration // when the latest of its attempts that were answered was sent
-	unreachable         bool          // connections failed or broke since the last answer
-	consecutiveFailures int           // failures of any kind since the last answer ...
-	firstFailureAt      time.Duration // ... and when the first of them was
-	// in the working set: connected as far as can be told, and not turning work away
-	connected        bool
-	connectionUsedAt time.Duration // when that was last used
-	startedAt        time.Duration // when its latest start became known or seen
-	warmingUp        bool
-	permitAt         time.Duration // when it may get a request while it is cold
+	hash       uint64
+	preference float64    // its place in this agent's own order if all were alike, the least first
+	inFlight   []*attempt // oldest first
+
+	connected                 bool // as far as can be told, and not rejecting requests
+	connectionUsedAt          time.Duration
+	hasServed                 bool // since it started
+	lastServedAt              time.Duration
+	latestAnsweredSend        time.Duration // when the latest of its attempts that were answered was sent
+	slowness, slownessSamples float64       // mean of its latency over the expected one
+
+	consecutiveFailures     int
+	firstFailureAt          time.Duration // of these
+	unreachable             bool          // connections failed or broke since it last served
+	ejectionLevel           float64       // each ejection raises it, each served attempt lowers it
+	ejectedAt, ejectedUntil time.Duration
+	rejectingUntil          time.Duration
+	classEjections          []classEjection // by class
+
+	warmingUp bool
+	startedAt time.Duration // when its latest start became known
+	permitAt  time.Duration // when it may get its next request while it warms up
 }
 
-func (b *Balancer) onEndpointList(e EndpointList) {
-	failed := e.Kind == ListFailed || e.Kind == ListRefused
+type fleetSummary struct {
+	serving  int     // endpoints that the list says are serving
+	warm     int     // of these, not warming up
+	capacity float64 // endpoints that can be used, each counted by its warm-up fraction
+	stalled  int     // attempts in flight that are overdue, or at endpoints that cannot be used
+}
+
+func (b *Balancer) onEndpointList(list EndpointList) {
+	failed := list.Kind == ListFailed || list.Kind == ListRefused
 	if b.listFailures++; !failed {
 		b.listFailures = 0
 	}
-	if b.settings.Subscribe && (failed || e.Kind == ListCached) {
-		b.scheduleSubscribe(e.Kind == ListRefused)
+	if b.settings.Subscribe && (failed || list.Kind == ListCached) {
+		b.scheduleSubscribe(list.Kind == ListRefused)
 	}
 	if failed {
 		return
 	}
-	full := e.Kind != ListDelta
 	listed := map[string]bool{}
-	for _, n := range e.Endpoints {
-		listed[n.ID] = true
-		t := b.endpointByID[n.ID]
-		if t == nil && n.State == Removed {
-			continue
-		}
-		if t == nil {
-			t = &endpoint{Endpoint: n, hash: hash(n.ID), preference: b.rng.ExpFloat64()}
-			t.classEjections = make([]classEjection, len(b.classes))
-			b.endpointByID[n.ID] = t
-			b.endpoints = append(b.endpoints, t)
-			if n.Started > 0 {
-				b.startWarmUp(t, n.Started)
-			}
-			continue
-		}
-		if n.Started > t.Started {
-			b.startWarmUp(t, max(n.Started, t.startedAt))
-			t.ejectionLevel, t.ejectedUntil, t.unreachable = 0, 0, false
-		}
-		t.Endpoint = n
+	for _, entry := range list.Endpoints {
+		listed[entry.ID] = true
+		b.applyEntry(entry)
 	}
-	for _, t := range b.endpoints {
-		if full && !listed[t.ID] {
-			t.State = Removed
+	for _, ep := range b.endpoints {
+		if list.Kind != ListDelta && !listed[ep.ID] {
+			ep.State = Removed
 		}
 	}
 	b.dropRemoved()
 }
 
-// askLater asks for the list after a fully jittered wait, so that agents that start or lose their lists
-// together do not overload discovery. The spread grows with the number of agents and with each failure.
-func (b *Balancer) scheduleSubscribe(refused bool) {
-	spread := min(pollSpreadPerAgent*float64(b.settings.Agents), 0.25) *
-		math.Exp2(float64(min(b.listFailures, 4)))
-	most := b.settings.PollSpread
-	if refused { // by then it could not be reached
-		most = b.settings.RefusedPollSpread
+func (b *Balancer) applyEntry(entry Endpoint) {
+	ep := b.endpointByID[entry.ID]
+	if ep == nil && entry.State == Removed {
+		return
 	}
-	most = min(cmp.Or(most, b.settings.PollWithin), b.settings.PollWithin)
-	b.subscribeToken = b.setTimer(time.Duration(b.rng.Float64() *
-		min(spread*float64(b.settings.PollWithin), float64(most))))
+	if ep == nil {
+		ep = &endpoint{hash: hash(entry.ID), preference: b.rng.ExpFloat64()}
+		ep.classEjections = make([]classEjection, len(b.classes))
+		b.endpointByID[entry.ID] = ep
+		b.endpoints = append(b.endpoints, ep)
+	}
+	if entry.Started > ep.Started {
+		b.startWarmUp(ep, max(entry.Started, ep.startedAt))
+		ep.ejectionLevel, ep.ejectedUntil, ep.unreachable = 0, 0, false
+	}
+	ep.Endpoint = entry
 }
 
-// dropRemoved forgets the endpoints that are gone, once none of their attempts is in flight.
+func (ep *endpoint) isGone() bool { return ep.State == Removed && len(ep.inFlight) == 0 }
+
+// dropRemoved forgets the endpoints that are gone.
 func (b *Balancer) dropRemoved() {
-	b.endpoints = slices.DeleteFunc(b.endpoints, func(t *endpoint) bool {
-		over := t.State == Removed && len(t.inFlight) == 0
-		if over {
-			delete(b.endpointByID, t.ID)
-		}
-		return over
-	})
+	b.endpoints = slices.DeleteFunc(b.endpoints, (*endpoint).isGone)
+	maps.DeleteFunc(b.endpointByID, func(_ string, ep *endpoint) bool { return ep.isGone() })
+}
+
+// scheduleSubscribe asks for the list after a fully jittered wait, which grows with the number of agents.
+func (b *Balancer) scheduleSubscribe(refused bool) {
+	firstSpread := min(pollSpreadPerAgent*float64(b.settings.Agents), 0.25)
+	spread := firstSpread * math.Exp2(float64(min(b.listFailures, 4)))
+	longest := b.settings.PollSpread
+	if refused { // discovery could not be reached any sooner
+		longest = b.settings.RefusedPollSpread
+	}
+	longest = min(cmp.Or(longest, b.settings.PollWithin), b.settings.PollWithin)
+	wait := b.rng.Float64() * min(spread*float64(b.settings.PollWithin), float64(longest))
+	b.subscribeTimer = b.setTimer(time.Duration(wait))
 }
 
-// measure sums up what the backends that are up, and not ejected or down, can do.
 func (b *Balancer) measureFleet() {
-	b.serving, b.warm, b.capacity, b.stalled = 0, 0, 0, 0
-	for _, t := range b.endpoints {
-		if t.State == Serving {
-			b.serving++
-			if !t.warmingUp {
-				b.warm++
+	b.fleet = fleetSummary{}
+	for _, ep := range b.endpoints {
+		if ep.State == Serving {
+			b.fleet.serving++
+			if !ep.warmingUp {
+				b.fleet.warm++
 			}
 		}
-		usable := t.State == Serving && !t.unreachable && b.now >= t.ejectedUntil && !b.isUnresponsive(t)
+		usable := ep.State == Serving && !ep.unreachable && !b.isEjected(ep) && !b.isUnresponsive(ep)
 		if usable {
-			b.capacity += b.warmUpFraction(t)
+			b.fleet.capacity += b.warmUpFraction(ep)
 		}
-		for _, a := range t.inFlight {
-			if !usable || b.now-a.sentAt > a.unresponsiveAfter {
-				b.stalled++
+		for _, a := range ep.inFlight {
+			if !usable || a.isOverdue(b.now) {
+				b.fleet.stalled++
 			}
 		}
 	}
 }
 
-// slowness is how much longer this backend takes than the mean, by its answers or
-// by the wait of its oldest attempt if that is worse (a stall shows before any answer).
-func (b *Balancer) slowness(t *endpoint) float64 {
-	s := cmp.Or(t.slowness, 1)
-	for _, a := range t.inFlight {
-		if a.sentAt > t.latestAnsweredSend || t.warmingUp {
-			return max(s, float64(b.now-a.sentAt)/a.expectedLatency/2)
-		}
-	}
-	return s
-}
-
-// learnSpeed takes one latency, as a multiple of the expected, into a backend's slowness.
-// The first few weigh more, since a quiet agent sees an answer of each only now and then.
-func (b *Balancer) updateSlowness(t *endpoint, sample float64) {
-	t.slownessSamples++
-	t.slowness = cmp.Or(t.slowness, 1)
-	t.slowness += max(smoothing, 1/(t.slownessSamples+priorSamples)) * (min(sample,
-		maxSlownessSample) - t.slowness)
-}
-
-// load is what t has to do for this balancer: its attempts out, less those whose answer seems lost, since it
-// is overdue and what was sent after it has been answered. Not for cold ones: all is overdue there.
-func (b *Balancer) load(t *endpoint) float64 {
-	n := len(t.inFlight)
-	for _, a := range t.inFlight {
-		if a.sentAt > t.latestAnsweredSend || t.warmingUp {
-			break
-		}
-		if b.now-a.sentAt > a.unresponsiveAfter {
-			n--
-		}
-	}
-	return float64(n)
-}
+func (b *Balancer) activeInFlight() float64 { return float64(b.inFlight - b.fleet.stalled) }
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -13,12 +13,12 @@
 }
 
 // mayRepeat is the repeat rule: whether a (further) attempt of r may go to t.
-func (b *Balancer) mayAttempt(r *request, t *endpoint) bool {
+func (b *Balancer) mayAttempt(r *request, ep *endpoint) bool {
 	if r.ended || r.streaming || len(r.attempts) >= b.settings.MaxAttempts || r.inFlight > 0 &&
 		!b.settings.AllowHedging {
 		return false
 	}
-	c := &b.classes[r.class]
+	c := r.class
 	if c.Idempotency == Idempotent || r.mayHaveRun == 0 {
 		return true
 	}
@@ -29,9 +29,9 @@
 	}
 	switch c.DedupScope {
 	case DedupInZone:
-		return t.Zone == r.firstMayHaveRun.endpoint.Zone
+		return ep.Zone == r.firstMayHaveRun.endpoint.Zone
 	case DedupInCell:
-		return t.Cell == r.firstMayHaveRun.endpoint.Cell
+		return ep.Cell == r.firstMayHaveRun.endpoint.Cell
 	}
 	return true
 }
@@ -44,7 +44,7 @@
 
 // lineUp puts a new request behind all others of its key.
 func (b *Balancer) joinKeyQueue(r *request, key string) {
-	if key == "" || !b.classes[r.class].Ordered {
+	if key == "" || !r.class.Ordered {
 		return
 	}
 	if r.keyQueue = b.keyQueues[key]; r.keyQueue == nil {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"cmp"
 	"math"
 	"time"
 )
@@ -13,6 +14,8 @@
 	maxFailureThreshold = 6    // and the longest that is waited for
 	// strikes that a served attempt takes back: one error in five keeps them growing
 	ejectionRecovery  = 0.25
+	slownessPrior     = 2.0 // responses that the mean counts for in a new endpoint's slowness
+	maxSlownessSample = 8.0 // the most that one response can say of an endpoint's slowness
 	classEjectionTime = 8.0 // aims for which a silent backend is first left out for a class
 	maxEjectionLevel  = 5.0 // longest ejection is 2^(cap-1) times the first
 )
@@ -25,7 +28,7 @@
 
 // observe learns from the outcome of an attempt.
 func (b *Balancer) observeOutcome(r *request, a *attempt, e Outcome) {
-	t, c, lat := a.endpoint, &b.classes[r.class], float64(e.Latency)
+	ep, c, lat := a.endpoint, r.class, float64(e.Latency)
 	// The time-outs of a client that waits only a moment say nothing of the endpoint.
 	hasty := r.deadline-a.sentAt < time.Duration(unresponsiveShare*float64(min(c.Objective, c.Deadline)))
 	if hasty && e.Result == TimedOut {
@@ -44,32 +47,32 @@
 		c.newOnTime += smoothing / 10 * (good - c.newOnTime)
 	}
 	if e.Result == Served || e.Result == ServerError {
-		t.latestAnsweredSend = max(t.latestAnsweredSend, a.sentAt)
+		ep.latestAnsweredSend = max(ep.latestAnsweredSend, a.sentAt)
 	}
-	if t.connected, t.connectionUsedAt = e.Result == Served || e.Result == ServerError, b.now; !t.connected {
-		t.preference, t.slowness, t.slownessSamples = t.preference+b.rng.ExpFloat64(), max(t.slowness, 1), 0
+	if ep.connected, ep.connectionUsedAt = e.Result == Served || e.Result == ServerError, b.now; !ep.connected {
+		ep.preference, ep.slowness, ep.slownessSamples = ep.preference+b.rng.ExpFloat64(), max(ep.slowness, 1), 0
 	}
 	switch e.Result {
 	case Served:
 		// It was restarted before the list said so: treat it as just started.
-		if t.unreachable && t.startedAt < a.sentAt && t.firstFailureAt < a.sentAt {
-			b.startWarmUp(t, b.now)
+		if ep.unreachable && ep.startedAt < a.sentAt && ep.firstFailureAt < a.sentAt {
+			b.startWarmUp(ep, b.now)
 		}
-		t.unreachable, t.consecutiveFailures = false, 0
+		ep.unreachable, ep.consecutiveFailures = false, 0
 		b.failureRate -= smoothing / 10 * b.failureRate
 		// each counts for its part of those that are warm now, many of which may be gone soon
-		if !t.warmingUp {
-			b.warmWork = b.recentWarmWork() + a.expectedLatency/float64(max(b.warm, 1))
+		if !ep.warmingUp {
+			b.warmWork = b.decayWarmWork() + a.expectedLatency/float64(max(b.fleet.warm, 1))
 		}
-		t.ejectionLevel = max(0, t.ejectionLevel-ejectionRecovery)
-		t.classEjections[r.class] = classEjection{}
-		t.lastServedAt = b.now
-		t.hasServed = true
+		ep.ejectionLevel = max(0, ep.ejectionLevel-ejectionRecovery)
+		ep.classEjections[r.class.index] = classEjection{}
+		ep.lastServedAt = b.now
+		ep.hasServed = true
 		if hasty {
 			break
 		}
 		c.latencyAt = b.now
-		b.updateSlowness(t, lat/a.expectedLatency)
+		ep.observeSlowness(lat / a.expectedLatency)
 		if r.work > 0 && c.meanWork > 0 {
 			lat *= c.meanWork / r.work
 		}
@@ -77,34 +80,34 @@
 		c.meanLatency = movingAverage(c.meanLatency, max(lat, 1))
 		b.adjustLimit(float64(e.Latency) / float64(c.Objective))
 	case Rejected:
-		t.rejectingUntil = b.now + time.Duration(b.rng.Float64()*c.meanLatency)
+		ep.rejectingUntil = b.now + time.Duration(b.rng.Float64()*c.meanLatency)
 		b.adjustLimit(1)
 	case TimedOut:
-		b.ejectForClass(t, r.class)
-		if t.lastServedAt < a.sentAt { // nothing came back since: more than a slow request, and no queue
-			b.eject(t, a, c)
+		b.ejectForClass(ep, r.class)
+		if ep.lastServedAt < a.sentAt { // nothing came back since: more than a slow request, and no queue
+			b.eject(ep, a, c)
 		} else {
 			b.adjustLimit(max(1, lat/float64(c.Objective)))
-			b.updateSlowness(t, lat/a.expectedLatency) // at least so slow
+			ep.observeSlowness(lat / a.expectedLatency) // at least so slow
 		}
 	case ServerError, Reset, ConnectFailed:
-		if t.consecutiveFailures == 0 {
-			t.firstFailureAt = b.now
+		if ep.consecutiveFailures == 0 {
+			ep.firstFailureAt = b.now
 		}
-		t.consecutiveFailures++
+		ep.consecutiveFailures++
 		n := b.failureThreshold(e.Result)
-		if b.isAlive(t, e) {
+		if b.isAlive(ep, e) {
 			n = maxFailureThreshold
 			if e.Result == ConnectFailed { // it takes no new connection now, which is what Full says
-				t.rejectingUntil = b.now + time.Duration(b.rng.Float64()*c.meanLatency)
+				ep.rejectingUntil = b.now + time.Duration(b.rng.Float64()*c.meanLatency)
 			}
 		}
-		if t.consecutiveFailures >= n && (e.Result == ConnectFailed || b.mayEject()) {
-			t.unreachable = t.unreachable || e.Result != ServerError
-			b.eject(t, a, c)
+		if ep.consecutiveFailures >= n && (e.Result == ConnectFailed || b.mayEject()) {
+			ep.unreachable = ep.unreachable || e.Result != ServerError
+			b.eject(ep, a, c)
 		}
 		// only the first of a run: a backend that is dead says nothing of the others
-		if t.consecutiveFailures == 1 {
+		if ep.consecutiveFailures == 1 {
 			b.failureRate += smoothing / 10 * (1 - b.failureRate)
 		}
 	}
@@ -112,20 +115,20 @@
 
 // isAlive reports whether an endpoint is alive although a connection to it failed: a process that dies takes
 // all its connections along, and attempts sent before the first failure are still open.
-func (b *Balancer) isAlive(t *endpoint, e Outcome) bool {
+func (b *Balancer) isAlive(ep *endpoint, e Outcome) bool {
 	mute := e.Result == ConnectFailed && e.Latency > b.settings.ConnectTimeout/2
-	return e.Result != ServerError && !mute && len(t.inFlight) > 0 && t.inFlight[0].sentAt < t.firstFailureAt
+	return e.Result != ServerError && !mute && len(ep.inFlight) > 0 && ep.inFlight[0].sentAt < ep.firstFailureAt
 }
 
 // mayEject reports whether one more endpoint may be ejected for errors.
 func (b *Balancer) mayEject() bool {
 	out := 0.0
-	for _, t := range b.endpoints {
-		if t.State == Serving && b.now < t.ejectedUntil {
+	for _, ep := range b.endpoints {
+		if ep.State == Serving && b.now < ep.ejectedUntil {
 			out++
 		}
 	}
-	return out+1 <= max(1, maxEjectedShare*float64(b.serving))
+	return out+1 <= max(1, maxEjectedShare*float64(b.fleet.serving))
 }
 
 // inARow is how many consecutive failures say that an endpoint is at fault and not the fleet: so many that
@@ -141,45 +144,54 @@
 
 // eject ejects an endpoint for a time that doubles with each further ejection. Attempts sent before the
 // last ejection count no more.
-func (b *Balancer) eject(t *endpoint, a *attempt, c *classState) {
-	if a.sentAt < t.ejectedAt {
+func (b *Balancer) eject(ep *endpoint, a *attempt, c *classState) {
+	if a.sentAt < ep.ejectedAt {
 		return
 	}
-	t.ejectionLevel = min(t.ejectionLevel+1, maxEjectionLevel)
-	t.ejectedAt = b.now
-	t.ejectedUntil = b.now + time.Duration(math.Exp2(t.ejectionLevel-1)*(0.75+0.5*b.rng.Float64())*float64(
+	ep.ejectionLevel = min(ep.ejectionLevel+1, maxEjectionLevel)
+	ep.ejectedAt = b.now
+	ep.ejectedUntil = b.now + time.Duration(math.Exp2(ep.ejectionLevel-1)*(0.75+0.5*b.rng.Float64())*float64(
 		c.Objective))
 }
 
 // ejectForClass ejects an endpoint for one class, for a time that doubles with each further time-out of it,
 // if that class fares clearly worse than another one.
-func (b *Balancer) ejectForClass(t *endpoint, class int) {
+func (b *Balancer) ejectForClass(ep *endpoint, class *classState) {
 	best := 0.0
 	for i := range b.classes {
 		best = max(best, b.classes[i].onTimeShare())
 	}
-	if b.classes[class].onTimeShare() > best-significantGap {
+	if class.onTimeShare() > best-significantGap {
 		return
 	}
-	s := &t.classEjections[class]
+	s := &ep.classEjections[class.index]
 	s.consecutiveTimeouts = min(s.consecutiveTimeouts+1, maxEjectionLevel)
 	s.until = b.now + time.Duration(classEjectionTime*math.Exp2(s.consecutiveTimeouts-1)*float64(
-		b.classes[class].Objective))
+		class.Objective))
 }
 
 // isUnresponsive reports whether an endpoint has answered nothing since its oldest open attempt was sent, for
 // longer than a queue within the objectives would explain.
-func (b *Balancer) isUnresponsive(t *endpoint) bool {
-	return len(t.inFlight) > 0 && t.lastServedAt < t.inFlight[0].sentAt &&
-		b.now-t.inFlight[0].sentAt > t.inFlight[0].unresponsiveAfter
+func (b *Balancer) isUnresponsive(ep *endpoint) bool {
+	return len(ep.inFlight) > 0 && ep.lastServedAt < ep.inFlight[0].sentAt &&
+		b.now-ep.inFlight[0].sentAt > ep.inFlight[0].unresponsiveAfter
 }
 
 // isHealthy reports whether an endpoint may get r as ordinary traffic. After an ejection it gets one attempt
 // at a time, at first only of requests that may be repeated.
-func (b *Balancer) isHealthy(t *endpoint, r *request) bool {
-	if b.now < t.ejectedUntil || b.isUnresponsive(t) || b.now < t.classEjections[r.class].until {
+func (b *Balancer) isHealthy(ep *endpoint, r *request) bool {
+	if b.now < ep.ejectedUntil || b.isUnresponsive(ep) || b.now < ep.classEjections[r.class.index].until {
 		return false
 	}
-	safe := b.classes[r.class].Idempotency != NotIdempotent || b.now >= 2*t.ejectedUntil-t.ejectedAt
-	return t.ejectionLevel == 0 || safe && len(t.inFlight) == 0
+	safe := r.class.Idempotency != NotIdempotent || b.now >= 2*ep.ejectedUntil-ep.ejectedAt
+	return ep.ejectionLevel == 0 || safe && len(ep.inFlight) == 0
 }
+
+func (ep *endpoint) observeSlowness(sample float64) {
+	ep.slownessSamples++
+	ep.slowness = cmp.Or(ep.slowness, 1)
+	weight := max(smoothing, 1/(ep.slownessSamples+slownessPrior))
+	ep.slowness += weight * (min(sample, maxSlownessSample) - ep.slowness)
+}
+
+func (b *Balancer) isEjected(ep *endpoint) bool { return b.now < ep.ejectedUntil }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -7,120 +7,168 @@
 )
 
 const (
-	newConnectionLoad = 2   // attempts that one gets before a connection to a further one is opened
-	minSubset         = 2.0 // backends an agent keeps to, if its traffic needs no more: a choice ...
-	subsetPerAttempt  = 0.5 // ... and so many more for each attempt of the most that it had out lately
-	connectedFactor   = 0.5 // place of a connected backend in its order, against what it would be else
-	// A difference between two shares of requests answered in time that counts as real.
-	significantGap = 0.1
-	// an idle backend in another zone counts less by so many times the price of crossing
-	crossZoneWeight  = 200.0
-	crowdedRatio     = 1.15 // ... and above so many, zones are crossed freely ...
-	maxEndpointShare = 3.0  // no backend holds more than so many mean shares of the limit
+	minSubset        = 2.0   // endpoints in the subset, if no more are needed ...
+	subsetPerAttempt = 0.5   // ... and so many more for each attempt of the recent peak in flight
+	connectedFactor  = 0.5   // preference of a connected endpoint, against what it would be else
+	crossZoneWeight  = 200.0 // times its price: how much less an endpoint in another zone weighs
+	crowdedRatio     = 1.15  // requests sent for each served on time, above which zones are crossed freely
+	maxEndpointShare = 3.0   // mean shares of the limit that one endpoint may hold
+	fullLoad         = 2     // attempts at a connected endpoint before a new connection is opened
 )
 
-// choice is a backend that may be picked.
 type candidate struct {
 	endpoint       *endpoint
 	load, slowness float64
-	weight         float64 // in a draw
-	preference     float64 // in this balancer's own order, the least first
+	weight         float64 // in a random choice
+	preference     float64 // in this agent's own order, the least first
 }
 
-// pick chooses a backend: one where this balancer has nothing in flight, at random; else the one with the
-// fewest in flight; never the one that just failed unless it is the only one. nil: none may be used now.
+// The tiers of idle candidates: those of the first tier that has any are taken.
+const tierSubset, tierConnected, tierOther, tierCount = 0, 1, 2, 3
+
+// pick chooses an endpoint: an idle one of the subset at random, by weight; else the least loaded one; else,
+// where all are ejected, the least harmful of these. nil: none may be used now.
 func (b *Balancer) pick(r *request) *endpoint {
-	mean, seen := 0.0, 0
-	for _, t := range b.endpoints {
-		if t.State == Serving && t.hasServed {
-			mean += b.load(t)
-			seen++
-		}
+	b.traffic.peakInFlight = max(b.traffic.peakInFlight, b.activeInFlight())
+	ejected := b.collectCandidates(r)
+	slices.SortFunc(b.candidates, func(x, y candidate) int { return cmp.Compare(x.preference, y.preference) })
+	idle, busy := b.chooseIdleAndBusy(r)
+	busyLoad := math.Inf(1)
+	if busy != nil {
+		busyLoad, _ = b.loadAndSlowness(busy)
 	}
-	mean /= float64(max(seen, 1))
-	b.peakInFlight = max(b.peakInFlight, float64(b.inFlight-b.stalled))
-	most := max(newConnectionLoad, maxEndpointShare*b.limitPerEndpoint/float64(b.settings.Agents))
-	crowded := b.now-b.limitCutAt <= b.settings.SlowStart // then crossing is worth its price
-	if b.minLimitBelow(1) {
-		crowded = b.sentRecently > crowdedRatio*b.onTimeRecently+throttleAllowance
+	for tier, ep := range idle {
+		if ep != nil && (tier != tierOther || busyLoad >= fullLoad) {
+			return ep
+		}
 	}
-	trusted := b.settings.CacheAffinity &&
-		b.classes[r.class].newOnTime >= b.classes[r.class].connectedOnTime-significantGap
-	var few, last *endpoint
-	far, least, mild := math.Inf(1), math.Inf(1), math.Inf(1)
+	return cmp.Or(busy, ejected)
+}
+
+// collectCandidates lists the endpoints that may get r. It returns the best of those that are ejected.
+func (b *Balancer) collectCandidates(r *request) (ejected *endpoint) {
+	newcomerLoad, leastHarm := b.meanLoad(), math.Inf(1)
+	maxLoad := max(fullLoad, maxEndpointShare*b.limit.perEndpoint/float64(b.settings.Agents))
 	b.candidates = b.candidates[:0]
-	for _, t := range b.endpoints {
-		load := b.load(t)
-		if t.State != Serving || !b.mayAttempt(r, t) || t == r.lastFailed && b.serving > 1 ||
-			b.now < t.rejectingUntil ||
-			load >= most || !b.hasSlowStartPermit(t, r) {
+	for _, ep := range b.endpoints {
+		load, _ := b.loadAndSlowness(ep)
+		if load >= maxLoad || !b.isEligible(r, ep) {
 			continue
 		}
-		if !b.isHealthy(t, r) {
-			if m := t.ejectionLevel + b.rng.Float64() + load; m < mild {
-				last, mild = t, m
+		if !b.isHealthy(ep, r) {
+			if harm := ep.ejectionLevel + b.rng.Float64() + load; harm < leastHarm {
+				ejected, leastHarm = ep, harm
 			}
 			continue
 		}
-		if !t.hasServed {
-			load = mean // a new one gets no rush
+		if !ep.hasServed {
+			load = newcomerLoad
 		}
-		// Each counts by the inverse cube of its observed slowness.
-		slow := b.slowness(t)
-		// without sizes all are alike
-		w := cmp.Or(max(0, t.Weight), 1) * b.warmUpFraction(t) / (slow * slow * slow)
-		if t.Zone != b.settings.Zone && !crowded {
-			w /= 1 + crossZoneWeight*b.settings.CrossZonePrice
-		}
-		place := t.preference / w
-		if b.isConnected(t) {
-			place *= connectedFactor
+		b.candidates = append(b.candidates, b.newCandidate(ep, load))
+	}
+	return ejected
+}
+
+func (b *Balancer) isEligible(r *request, ep *endpoint) bool {
+	failedLast := ep == r.lastFailed && b.fleet.serving > 1
+	available := ep.State == Serving && !failedLast && b.now >= ep.rejectingUntil
+	return available && b.mayAttempt(r, ep) && b.hasSlowStartPermit(ep, r)
+}
+
+func (b *Balancer) newCandidate(ep *endpoint, load float64) candidate {
+	_, slowness := b.loadAndSlowness(ep)
+	size := cmp.Or(max(0, ep.Weight), 1) // without weights all are alike
+	weight := size * b.warmUpFraction(ep) / (slowness * slowness * slowness)
+	if ep.Zone != b.settings.Zone && !b.crossesFreely() {
+		weight /= 1 + crossZoneWeight*b.settings.CrossZonePrice
+	}
+	preference := ep.preference / weight
+	if b.isConnected(ep) {
+		preference *= connectedFactor
+	}
+	return candidate{ep, load, slowness, weight, preference}
+}
+
+func (b *Balancer) meanLoad() float64 {
+	sum, count := 0.0, 0
+	for _, ep := range b.endpoints {
+		if ep.State == Serving && ep.hasServed {
+			load, _ := b.loadAndSlowness(ep)
+			sum += load
+			count++
 		}
-		b.candidates = append(b.candidates, candidate{t, load, slow, w, place})
 	}
-	// An agent keeps to a subset, so that not every agent opens a connection to every endpoint.
-	slices.SortFunc(b.candidates, func(x, y candidate) int { return cmp.Compare(x.preference, y.preference) })
-	set := b.subsetSize()
-	var idle [3]*endpoint // in the set; connected outside of it; others
-	first := [3]float64{far, far, far}
-	for i, c := range b.candidates {
-		linked := b.isConnected(c.endpoint)
-		if c.load >= 1 && linked {
-			if score := (c.load + 1) * c.slowness / b.warmUpFraction(c.endpoint) * (1 +
-				0.01*b.rng.Float64()); score < least {
-				few, least = c.endpoint, score
+	return sum / float64(max(count, 1))
+}
+
+// crossesFreely reports whether the fleet is so crowded that crossing zones is worth its price.
+func (b *Balancer) crossesFreely() bool {
+	if b.minLimitBelow(1) {
+		return b.traffic.sent > crowdedRatio*b.traffic.onTime+throttleAllowance
+	}
+	return b.now-b.limit.decreasedAt <= b.settings.SlowStart
+}
+
+// chooseIdleAndBusy draws an idle candidate of each tier by weight, and takes the least loaded busy one.
+func (b *Balancer) chooseIdleAndBusy(r *request) (idle [tierCount]*endpoint, busy *endpoint) {
+	leastScore, leastWait := math.Inf(1), [tierCount]float64{math.Inf(1), math.Inf(1), math.Inf(1)}
+	for position, c := range b.candidates {
+		if c.load >= 1 && b.isConnected(c.endpoint) {
+			load := (c.load + 1) * c.slowness / b.warmUpFraction(c.endpoint)
+			if score := load * (1 + 0.01*b.rng.Float64()); score < leastScore { // the draw breaks ties
+				busy, leastScore = c.endpoint, score
 			}
 			continue
 		}
-		// With cache affinity the draw comes from the key: all agents choose alike.
-		u := b.rng.Float64()
-		if b.settings.CacheAffinity && r.keyHash != 0 {
-			u = keyedDraw(c.endpoint.hash, r.keyHash)
-		}
-		kind := 2
-		// not a wide one
-		if float64(i) < set || trusted || c.endpoint.warmingUp && (linked || 2*set < float64(b.serving)) {
-			kind = 0
-		} else if linked {
-			kind = 1
-		}
-		if wait := -math.Log(max(u, 1e-12)) / c.weight; wait < first[kind] { // a choice by weight
-			idle[kind], first[kind] = c.endpoint, wait
+		tier := b.idleTier(r, c, position)
+		if wait := b.drawWait(r, c); wait < leastWait[tier] {
+			idle[tier], leastWait[tier] = c.endpoint, wait
 		}
 	}
-	for kind, t := range idle {
-		if t != nil && (kind < 2 || few == nil || b.load(few) >= newConnectionLoad) {
-			return t
-		}
+	return idle, busy
+}
+
+// drawWait draws a time at the rate of the candidate's weight. With cache affinity all agents draw alike.
+func (b *Balancer) drawWait(r *request, c candidate) float64 {
+	u := b.rng.Float64()
+	if b.settings.CacheAffinity && r.keyHash != 0 {
+		u = keyedDraw(c.endpoint.hash, r.keyHash)
 	}
-	return cmp.Or(few, last) // the latter where all are ejected: a first attempt still goes out
+	return -math.Log(max(u, 1e-12)) / c.weight
 }
 
-// workingSet is how many backends this agent keeps connections to, if they answer well.
-func (b *Balancer) subsetSize() float64 { return minSubset + subsetPerAttempt*b.peakInFlight }
+// idleTier is the tier of an idle candidate, by its position in the order of preference. With cache affinity
+// the subset does not matter while new connections do as well.
+func (b *Balancer) idleTier(r *request, c candidate, position int) int {
+	subset := minSubset + subsetPerAttempt*b.traffic.peakInFlight
+	trustsNew := b.settings.CacheAffinity && r.class.newOnTime >= r.class.connectedOnTime-significantGap
+	connected := b.isConnected(c.endpoint)
+	joins := c.endpoint.warmingUp && (connected || 2*subset < float64(b.fleet.serving))
+	switch {
+	case float64(position) < subset || trustsNew || joins:
+		return tierSubset
+	case connected:
+		return tierConnected
+	}
+	return tierOther
+}
 
-// isLinked reports whether t is in the working set: an attempt needs no new connection there.
-func (b *Balancer) isConnected(t *endpoint) bool {
-	return len(t.inFlight) > 0 || t.connected && (b.settings.IdleClose == 0 ||
-		b.now-t.connectionUsedAt < b.settings.IdleClose)
+func (b *Balancer) isConnected(ep *endpoint) bool {
+	mayBeOpen := b.settings.IdleClose == 0 || b.now-ep.connectionUsedAt < b.settings.IdleClose
+	return len(ep.inFlight) > 0 || ep.connected && mayBeOpen
+}
+
+// loadAndSlowness are the attempts in flight at ep, less those overdue while a later one was answered, and
+// how much longer it takes than expected, by its responses or its oldest attempt in flight.
+func (b *Balancer) loadAndSlowness(ep *endpoint) (load, slowness float64) {
+	load, slowness = float64(len(ep.inFlight)), cmp.Or(ep.slowness, 1)
+	for _, a := range ep.inFlight {
+		if a.sentAt > ep.latestAnsweredSend || ep.warmingUp { // while it warms up nothing seems lost
+			return load, max(slowness, float64(b.now-a.sentAt)/a.expectedLatency/2)
+		}
+		if a.isOverdue(b.now) {
+			load--
+		}
+	}
+	return load, slowness
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -2,67 +2,70 @@
 
 import "time"
 
+// request is a client's request that is open or has attempts in flight.
+type request struct {
+	id          string
+	class       *classState
+	objectiveAt time.Duration // responses after this time earn less
+	deadline    time.Duration
+	clientRetry bool      // a later try of the client: part of its objective has passed
+	work        float64   // expected work, ns; 0: unknown
+	keyHash     uint64    // 0: no key
+	keyQueue    *keyQueue // where the order of the key is kept
+	quietUntil  time.Duration
+
+	attempts        []*attempt
+	inFlight        int      // attempts without an outcome
+	mayHaveRun      int      // attempts that may have run, those in flight included
+	firstMayHaveRun *attempt // the first of these: it sets the scope and window of deduplication
+	retries         int
+	lastFailed      *endpoint
+
+	timer   int64 // the token of its latest timer; earlier ones are void
+	skipped bool  // found no endpoint in this step
+
+	backingOff, queued, streaming, ended bool
+}
+
 type attempt struct {
 	endpoint          *endpoint
 	sentAt            time.Duration
-	expectedLatency   float64
-	unresponsiveAfter time.Duration // without any answer of its backend for so long, that is silent
+	expectedLatency   float64       // ns, at least 1
+	unresponsiveAfter time.Duration // without a response for so long, its endpoint may be unresponsive
 	inFlight          bool
-	newConnection     bool // its backend was not in the working set
+	newConnection     bool // its endpoint was not connected
 }
 
-type request struct {
-	id              string
-	class           int
-	objectiveAt     time.Duration // answers after this time earn less
-	deadline        time.Duration
-	keyHash         uint64        // hash of what it is about; 0: nothing told
-	keyQueue        *keyQueue     // of its key, where order is kept
-	quietUntil      time.Duration // its key rests until then, once it is over
-	work            float64       // expected work as told, ns; 0: unknown
-	attempts        []*attempt
-	inFlight        int      // attempts out
-	mayHaveRun      int      // attempts that may have run, those out included
-	firstMayHaveRun *attempt // the first of these: sets the group and the window
-	retries         int
-	lastFailed      *endpoint // the backend that failed it last
-	timerToken      int64     // the token of its latest timer; earlier ones are void
-	clientRetry     bool      // a later try of the client: part of its aim has passed
-	backingOff      bool      // for its backoff
-	skipped         bool      // found no backend in this step
-	queued          bool
-	streaming       bool
-	ended           bool
-}
+func (a *attempt) isOverdue(now time.Duration) bool { return now-a.sentAt > a.unresponsiveAfter }
 
 // send starts an attempt. Nothing else does; the rules are checked here last.
-func (b *Balancer) send(r *request, t *endpoint) {
-	if t.State != Serving || !b.mayAttempt(r, t) || !b.isNextOfKey(r) || b.now >= r.deadline {
+func (b *Balancer) send(r *request, ep *endpoint) {
+	if ep.State != Serving || !b.mayAttempt(r, ep) || !b.isNextOfKey(r) || b.now >= r.deadline {
 		b.finish(r)
 		return
 	}
-	a := &attempt{endpoint: t, sentAt: b.now, newConnection: !b.isConnected(t), expectedLatency: max(
-		b.expectedLatency(r), 1), inFlight: true,
-		unresponsiveAfter: time.Duration(max(unresponsiveShare*float64(b.classes[r.class].Objective),
-			unresponsiveMeans*b.expectedLatency(r)))}
+	expected := b.expectedLatency(r)
+	patience := max(unresponsiveShare*float64(r.class.Objective), unresponsiveMeans*expected)
+	a := &attempt{endpoint: ep, sentAt: b.now, expectedLatency: max(expected, 1), inFlight: true,
+		unresponsiveAfter: time.Duration(patience), newConnection: !b.isConnected(ep)}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	if r.mayHaveRun++; r.firstMayHaveRun == nil {
 		r.firstMayHaveRun = a
 	}
-	t.inFlight = append(t.inFlight, a)
+	ep.inFlight = append(ep.inFlight, a)
 	b.inFlight++
 	if len(r.attempts) == 1 {
-		b.sentRecently++
+		b.traffic.sent++
 	}
-	if t.warmingUp {
-		t.permitAt = b.now + b.drawPermitDelay(t, a.expectedLatency)
+	if ep.warmingUp {
+		ep.permitAt = b.now + b.drawPermitDelay(ep, a.expectedLatency)
 	}
-	b.actions = append(b.actions, Send{Request: r.id, Endpoint: t.ID})
+	b.actions = append(b.actions, Send{Request: r.id, Endpoint: ep.ID})
 	b.scheduleHedge(r)
 }
 
-// finish gives a request its final answer: a rejection if no attempt may have run, else a failure.
+// finish gives a request its final answer. Nothing else does. A rejection lets any client try again.
 func (b *Balancer) finish(r *request) {
 	if r.ended {
 		return
@@ -75,14 +78,13 @@
 	b.closeRequest(r)
 }
 
-// close forgets a request once it has ended and its attempts are in.
 func (b *Balancer) closeRequest(r *request) {
 	if !r.ended {
 		b.openRequests--
 	}
 	r.ended = true
 	b.dequeue(r)
-	delete(b.timers, r.timerToken)
+	delete(b.timers, r.timer)
 	if r.inFlight == 0 {
 		delete(b.requests, r.id)
 		b.leaveKeyQueue(r)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -24,11 +24,11 @@
 	if res == TimedOut {
 		cost = timeoutTokenCost
 	}
-	c := &b.classes[r.class]
+	c := r.class
 	wait := time.Duration(b.rng.Float64() * min(math.Exp2(float64(r.retries)), maxBackoffUnits) *
 		backoffUnit * float64(c.Objective))
 	at := b.now + wait
-	may := func(t *endpoint) bool { return t.State == Serving && b.mayAttempt(r, t) }
+	may := func(ep *endpoint) bool { return ep.State == Serving && b.mayAttempt(r, ep) }
 	if !slices.ContainsFunc(b.endpoints, may) || b.retryTokens < cost || b.isTooLate(r, at) ||
 		res == NotSent {
 		b.giveUp(r)
@@ -61,8 +61,8 @@
 // scheduleHedge sets the time of a hedged request: when few answers take longer, and another can still come
 // in time. Only where no limit binds, since under one a second attempt takes the capacity of another request.
 func (b *Balancer) scheduleHedge(r *request) {
-	r.timerToken = 0 // voids the one it was held with
-	c := &b.classes[r.class]
+	r.timer = 0 // voids the one it was held with
+	c := r.class
 	l := b.expectedLatency(r)
 	wait := l * (1 + hedgeDeviations*b.latencyDeviation)
 	if b.minLimitBelow(unlimitedBelow) && r.inFlight == 1 && len(r.attempts) < b.settings.MaxAttempts &&
@@ -78,6 +78,6 @@
 	if !b.settings.SendRetryAfter {
 		return 0
 	}
-	unit := maxBackoffUnits * backoffUnit * float64(b.classes[r.class].Objective)
+	unit := maxBackoffUnits * backoffUnit * float64(r.class.Objective)
 	return time.Duration(b.rng.Float64() * min(unit, float64(b.settings.MaxRetryAfter)))
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -15,6 +15,15 @@
 	return fmt.Sprintf("settings: %s: %v makes no sense", e.Field, e.Value)
 }
 
+// withDefaults returns the settings with the values that absent ones stand for.
+func (s Settings) withDefaults() Settings {
+	s.MaxAttempts = max(1, s.MaxAttempts)
+	if s.ColdCapacity == 0 {
+		s.ColdCapacity = 1
+	}
+	return s
+}
+
 // check returns a *SettingError for the first setting that makes no sense.
 func (s *Settings) check() error {
 	bad := func(field string, v any) error { return &SettingError{Field: field, Value: v} }
