--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -5,34 +5,28 @@
 	"time"
 )
 
-const (
-	maxWarmingCost = 2.0 // a cold backend gets no request of more than so many times the mean work
-)
+const maxWarmingCost = 2.0 // mean latencies: no heavier request goes to an endpoint that warms up
 
-// start notes that a backend's process started at a time learned now.
+// startWarmUp notes the start of an endpoint's process, which became known now.
 func (b *Balancer) startWarmUp(ep *endpoint, at time.Duration) {
-	ep.startedAt, ep.warmingUp, ep.hasServed, ep.slowness, ep.slownessSamples, ep.connected = at, true, false, 0,
-		0, false
+	ep.startedAt, ep.warmingUp, ep.hasServed, ep.connected = at, true, false, false
+	ep.slowness, ep.slownessSamples = 0, 0
 	ep.permitAt = b.now + b.drawPermitDelay(ep, b.classes[0].meanLatency)
 }
 
-// warmth is the share of its full capacity that a backend surely has by now.
+// warmUpFraction is the share of its full capacity that an endpoint surely has by now.
 func (b *Balancer) warmUpFraction(ep *endpoint) float64 {
-	if !ep.warmingUp {
-		return 1
-	}
 	age := b.now - ep.startedAt
-	if age >= b.settings.SlowStart {
-		ep.warmingUp = false
+	ep.warmingUp = ep.warmingUp && age < b.settings.SlowStart
+	if !ep.warmingUp {
 		return 1
 	}
-	return b.settings.ColdCapacity + (1-b.settings.ColdCapacity)*max(0,
-		float64(age)/float64(b.settings.SlowStart))
+	least := b.settings.ColdCapacity
+	return least + (1-least)*max(0, float64(age)/float64(b.settings.SlowStart))
 }
 
-// coldRoom reports whether a cold backend may get this request. Its turns come at random times, at the rate
-// of a warm one times warmth times the root of the stated multiple. A turn lapses after half a window: if
-// turns were saved up, agents that each send little could together push the backend over.
+// hasSlowStartPermit reports whether an endpoint that warms up may get this request. A permit lapses after
+// half a window: agents that each send little must not save them up and use them together.
 func (b *Balancer) hasSlowStartPermit(ep *endpoint, r *request) bool {
 	lapse := b.settings.ColdOverloadWindow / 2
 	if b.warmUpFraction(ep) == 1 || lapse == 0 {
@@ -45,22 +39,24 @@
 	return ep.permitAt <= b.now && b.expectedLatency(r) <= maxWarmingCost*mean
 }
 
-// untilTurn draws how long a cold backend is left alone for so much work.
+// drawPermitDelay draws the time until the next permit of an endpoint that gets some work now, at the rate of
+// a warm one, times the warm-up fraction, times the root of the allowed multiple.
 func (b *Balancer) drawPermitDelay(ep *endpoint, work float64) time.Duration {
 	rate := max(b.decayWarmWork()/float64(b.settings.ColdOverloadWindow+1), 1e-9)
-	if b.fleet.warm == 0 { // no warm one to go by: its part of half the least limit, or nothing would ever go out
+	if b.fleet.warm == 0 { // nothing to go by: its part of half the least limit
 		rate = max(rate, minLimitPerEndpoint/2/float64(b.settings.Agents))
 	}
-	most := max(1, b.settings.ColdOverloadMultiple)
-	share := b.warmUpFraction(ep) * min(math.Sqrt(most), most/1.5)
+	multiple := max(1, b.settings.ColdOverloadMultiple)
+	// Permits of one and a half windows may be used within one, since they lapse only after half a window.
+	share := b.warmUpFraction(ep) * min(math.Sqrt(multiple), multiple/1.5)
 	return time.Duration(min(b.rng.ExpFloat64()*work/(share*rate), float64(b.settings.SlowStart)))
 }
 
-// decayed is the work that a warm backend lately did for this balancer, over about one fall window. While
-// none is warm it stays: it is what their like can do.
+// decayWarmWork brings the recent work up to now. It stays while no endpoint is warm.
 func (b *Balancer) decayWarmWork() float64 {
 	if b.fleet.warm > 0 {
-		b.warmWork *= math.Exp(-float64(b.now-b.warmWorkAt) / float64(b.settings.ColdOverloadWindow+1))
+		window := float64(b.settings.ColdOverloadWindow + 1)
+		b.warmWork *= math.Exp(-float64(b.now-b.warmWorkAt) / window)
 	}
 	b.warmWorkAt = b.now
 	return b.warmWork
