--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -26,87 +26,127 @@
 
 // check returns a *SettingError for the first setting that makes no sense.
 func (s *Settings) check() error {
-	bad := func(field string, v any) error { return &SettingError{Field: field, Value: v} }
+	groups := []func() error{s.checkAgents, s.checkCounts, s.checkPrices, s.checkTenants, s.checkTimes}
+	for _, check := range groups {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	for i := range s.Classes {
+		if err := s.Classes[i].check(fmt.Sprintf("Classes[%d].", i)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkAgents checks who the agents are and what they may do.
+func (s *Settings) checkAgents() error {
 	switch {
 	case len(s.Classes) == 0:
-		return bad("Classes", "none")
+		return &SettingError{"Classes", "none"}
 	case s.Agents < 1:
-		return bad("Agents", s.Agents)
+		return &SettingError{"Agents", s.Agents}
 	case s.AgentIndex < 0 || s.AgentIndex >= s.Agents:
-		return bad("AgentIndex", s.AgentIndex)
+		return &SettingError{"AgentIndex", s.AgentIndex}
 	case s.MaxAttempts < 0:
-		return bad("MaxAttempts", s.MaxAttempts)
-	case !(s.ColdCapacity >= 0 && s.ColdCapacity <= 1):
-		return bad("ColdCapacity", s.ColdCapacity)
-	case !(s.ColdOverloadMultiple >= 0):
-		return bad("ColdOverloadMultiple", s.ColdOverloadMultiple)
+		return &SettingError{"MaxAttempts", s.MaxAttempts}
+	case !isFraction(s.ColdCapacity):
+		return &SettingError{"ColdCapacity", s.ColdCapacity}
+	case !isNotNegative(s.ColdOverloadMultiple):
+		return &SettingError{"ColdOverloadMultiple", s.ColdOverloadMultiple}
 	case s.Weights > WeightsLive:
-		return bad("Weights", s.Weights)
+		return &SettingError{"Weights", s.Weights}
 	case s.LoadReports > LoadReportsWithHealthChecks:
-		return bad("LoadReports", s.LoadReports)
-	}
-	for _, f := range []struct {
-		name string
-		n    int
-	}{{"Zones", s.Zones}, {"Kinds", s.Kinds}, {"Tier", s.Tier}, {"Tiers", s.Tiers}, {"Zone", s.Zone},
-		{"MaxOpen", s.MaxOpen}, {"StreamsPerConn", s.StreamsPerConn}} {
-		if f.n < 0 {
-			return bad(f.name, f.n)
-		}
+		return &SettingError{"LoadReports", s.LoadReports}
 	}
-	for _, f := range []struct {
-		name string
-		v    float64
-	}{{"WeightOverall", s.WeightOverall}, {"WeightWorstWindow", s.WeightWorstWindow}, {"WeightWorstClass", s.WeightWorstClass},
-		{"WeightWorstTenant", s.WeightWorstTenant}, {"OverQuotaPriority", s.OverQuotaPriority}, {"CrossZonePrice", s.CrossZonePrice},
-		{"WastePrice", s.WastePrice}, {"LateFailPrice", s.LateFailPrice}, {"HealthCheckPrice", s.HealthCheckPrice},
-		{"GossipPrice", s.GossipPrice}, {"HandshakePrice", s.HandshakePrice}, {"ConnectionPrice", s.ConnectionPrice},
+	return nil
+}
+
+func (s *Settings) checkCounts() error {
+	return checkNotNegative([]namedValue[int]{
+		{"Zones", s.Zones}, {"Kinds", s.Kinds}, {"Tier", s.Tier}, {"Tiers", s.Tiers}, {"Zone", s.Zone},
+		{"MaxOpen", s.MaxOpen}, {"StreamsPerConn", s.StreamsPerConn},
+	})
+}
+
+func (s *Settings) checkPrices() error {
+	return checkNotNegative([]namedValue[float64]{
+		{"WeightOverall", s.WeightOverall}, {"WeightWorstWindow", s.WeightWorstWindow},
+		{"WeightWorstClass", s.WeightWorstClass}, {"WeightWorstTenant", s.WeightWorstTenant},
+		{"OverQuotaPriority", s.OverQuotaPriority}, {"CrossZonePrice", s.CrossZonePrice},
+		{"WastePrice", s.WastePrice}, {"LateFailPrice", s.LateFailPrice},
+		{"HealthCheckPrice", s.HealthCheckPrice}, {"GossipPrice", s.GossipPrice},
+		{"HandshakePrice", s.HandshakePrice}, {"ConnectionPrice", s.ConnectionPrice},
 		{"PollPrice", s.PollPrice}, {"MigrationPrice", s.MigrationPrice}, {"OriginPrice", s.OriginPrice},
-		{"FleetPrice", s.FleetPrice}} {
-		if !(f.v >= 0) {
-			return bad(f.name, f.v)
-		}
-	}
-	for i, t := range s.Tenants {
-		if !(t.Share >= 0) {
-			return bad(fmt.Sprintf("Tenants[%d].Share", i), t.Share)
+		{"FleetPrice", s.FleetPrice},
+	})
+}
+
+func (s *Settings) checkTenants() error {
+	for i, tenant := range s.Tenants {
+		if !isNotNegative(tenant.Share) {
+			return &SettingError{fmt.Sprintf("Tenants[%d].Share", i), tenant.Share}
 		}
-		if !(t.Quota >= 0) {
-			return bad(fmt.Sprintf("Tenants[%d].Quota", i), t.Quota)
+		if !isNotNegative(tenant.Quota) {
+			return &SettingError{fmt.Sprintf("Tenants[%d].Quota", i), tenant.Quota}
 		}
 	}
-	for _, f := range []struct {
-		name string
-		d    time.Duration
-	}{{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout}, {"IdleClose", s.IdleClose},
-		{"DrainGrace", s.DrainGrace}, {"ResponseGrace", s.ResponseGrace}, {"PollWithin", s.PollWithin}, {"PollSpread", s.PollSpread},
+	return nil
+}
+
+func (s *Settings) checkTimes() error {
+	return checkNotNegative([]namedValue[time.Duration]{
+		{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
+		{"IdleClose", s.IdleClose}, {"DrainGrace", s.DrainGrace}, {"ResponseGrace", s.ResponseGrace},
+		{"PollWithin", s.PollWithin}, {"PollSpread", s.PollSpread},
 		{"RefusedPollSpread", s.RefusedPollSpread},
-		{"SlowStart", s.SlowStart}, {"ColdOverloadWindow", s.ColdOverloadWindow}, {"KeyQuietPeriod", s.KeyQuietPeriod},
-		{"CPUPerSecond", s.CPUPerSecond}, {"CPUPerRequest", s.CPUPerRequest}} {
-		if f.d < 0 {
-			return bad(f.name, f.d)
-		}
+		{"SlowStart", s.SlowStart}, {"ColdOverloadWindow", s.ColdOverloadWindow},
+		{"KeyQuietPeriod", s.KeyQuietPeriod}, {"CPUPerSecond", s.CPUPerSecond},
+		{"CPUPerRequest", s.CPUPerRequest},
+	})
+}
+
+// check returns a *SettingError whose field is under the path.
+func (c *Class) check(path string) error {
+	switch {
+	case c.Objective <= 0:
+		return &SettingError{path + "Objective", c.Objective}
+	case c.Deadline <= 0:
+		return &SettingError{path + "Deadline", c.Deadline}
+	case !isNotNegative(c.Priority):
+		return &SettingError{path + "Priority", c.Priority}
+	case !isNotNegative(c.LatePriority):
+		return &SettingError{path + "LatePriority", c.LatePriority}
+	case !isNotNegative(c.ObjectiveStretch):
+		return &SettingError{path + "ObjectiveStretch", c.ObjectiveStretch}
+	case c.Idempotency > NotIdempotent:
+		return &SettingError{path + "Idempotency", c.Idempotency}
+	case c.DedupScope > DedupInCell:
+		return &SettingError{path + "DedupScope", c.DedupScope}
+	case c.DedupWindow < 0:
+		return &SettingError{path + "DedupWindow", c.DedupWindow}
 	}
-	for i, c := range s.Classes {
-		at := func(field string) string { return fmt.Sprintf("Classes[%d].%s", i, field) }
-		switch {
-		case c.Objective <= 0:
-			return bad(at("Objective"), c.Objective)
-		case c.Deadline <= 0:
-			return bad(at("Deadline"), c.Deadline)
-		case !(c.Priority >= 0):
-			return bad(at("Priority"), c.Priority)
-		case !(c.LatePriority >= 0):
-			return bad(at("LatePriority"), c.LatePriority)
-		case !(c.ObjectiveStretch >= 0):
-			return bad(at("ObjectiveStretch"), c.ObjectiveStretch)
-		case c.Idempotency > NotIdempotent:
-			return bad(at("Idempotency"), c.Idempotency)
-		case c.DedupScope > DedupInCell:
-			return bad(at("DedupScope"), c.DedupScope)
-		case c.DedupWindow < 0:
-			return bad(at("DedupWindow"), c.DedupWindow)
+	return nil
+}
+
+// namedValue is the value of a setting.
+type namedValue[T int | float64 | time.Duration] struct {
+	field string
+	value T
+}
+
+// checkNotNegative returns a *SettingError for the first value that is negative or not a number.
+func checkNotNegative[T int | float64 | time.Duration](values []namedValue[T]) error {
+	for _, v := range values {
+		if !isNotNegative(v.value) {
+			return &SettingError{v.field, v.value}
 		}
 	}
 	return nil
 }
+
+// isNotNegative is false of NaN.
+func isNotNegative[T int | float64 | time.Duration](v T) bool { return v >= 0 }
+
+func isFraction(v float64) bool { return v >= 0 && v <= 1 }
