--- a/balancer/fleet_test.go
+++ b/balancer/endpoints_test.go
@@ -1,13 +1,116 @@
 package balancer_test
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
 	"ashshunt/balancer"
 )
 
-// Tests in this file step many balancers together: what one does without harm may do harm where all do it.
+func TestDrainAndGone(t *testing.T) {
+	for _, state := range []balancer.EndpointState{balancer.Draining, balancer.Removed} {
+		r := newRig(t, settings(), 1, backends(3))
+		r.step(balancer.EndpointList{Kind: balancer.ListDelta,
+			Endpoints: []balancer.Endpoint{{ID: "a", State: state}}})
+		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
+			t.Errorf("state %d: %d requests went there", state, n)
+		}
+	}
+	t.Run("missing from a full list", func(t *testing.T) {
+		r := newRig(t, settings(), 1, backends(3))
+		r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(3)[1:]})
+		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
+			t.Errorf("%d requests went there", n)
+		}
+	})
+	t.Run("while waiting out a backoff", func(t *testing.T) {
+		for seed := uint64(0); seed < 20; seed++ {
+			r := newRig(t, settings(), seed, backends(2))
+			r.request("q", safe)
+			other := map[string]string{"a": "b", "b": "a"}[r.sent["q"][0]]
+			r.now += ms
+			r.outcome("q", balancer.ServerError, ms)
+			r.step(balancer.EndpointList{Kind: balancer.ListDelta,
+				Endpoints: []balancer.Endpoint{{ID: other, State: balancer.Draining}}})
+			r.advance(time.Second)
+			for _, b := range r.sent["q"][1:] {
+				if b == other {
+					t.Fatalf("seed %d: a retry went to the draining backend", seed)
+				}
+			}
+		}
+	})
+	t.Run("back with the same id", func(t *testing.T) {
+		r := newRig(t, settings(), 1, backends(2))
+		r.serve(50, safe, 20*ms)
+		r.step(balancer.EndpointList{Kind: balancer.ListDelta,
+			Endpoints: []balancer.Endpoint{{ID: "a", State: balancer.Removed}}})
+		r.step(balancer.EndpointList{Kind: balancer.ListDelta,
+			Endpoints: []balancer.Endpoint{{ID: "a", Started: r.now}}})
+		r.serve(400, safe, 20*ms)
+		r.advance(10 * time.Second)
+		if n := r.serve(200, safe, 20*ms)["a"]; n < 50 {
+			t.Errorf("warm again it got %d of 200", n)
+		}
+	})
+}
+
+func TestSubscribe(t *testing.T) {
+	s := settings()
+	s.Subscribe = true
+	asks := func(acts []balancer.Action) (n int) {
+		for _, a := range acts {
+			if _, ok := a.(balancer.Subscribe); ok {
+				n++
+			}
+		}
+		return n
+	}
+	delays := map[time.Duration]bool{}
+	for seed := uint64(0); seed < 10; seed++ {
+		r := newRig(t, s, seed, backends(2))
+		delays[r.due[0]-r.now] = true
+		if n := asks(r.advance(s.PollWithin / 10)); n != 1 {
+			t.Fatalf("asked %d times at the start, want once", n)
+		}
+		for range 8 { // every failure is followed by one more try, in time
+			r.step(balancer.EndpointList{Kind: balancer.ListFailed})
+			if n := asks(r.advance(s.PollWithin / 2)); n != 1 {
+				t.Fatalf("asked %d times after a failure, want once", n)
+			}
+		}
+		r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(2)})
+		if n := asks(r.advance(time.Minute)); n != 0 {
+			t.Errorf("asked %d times while subscribed", n)
+		}
+	}
+	if len(delays) < 9 {
+		t.Errorf("10 agents ask after only %d different waits", len(delays))
+	}
+	r := newRig(t, settings(), 1, backends(2))
+	if n := asks(append(r.step(balancer.EndpointList{Kind: balancer.ListFailed}), r.advance(time.Minute)...)); n != 0 {
+		t.Error("asked although the list comes unasked")
+	}
+}
+
+// Guards against what only grows: backends that are gone are forgotten, when their last attempt is in.
+func TestGoneBackendsAreForgotten(t *testing.T) {
+	r := newRig(t, settings(), 1, backends(1))
+	for i := range 100 {
+		id := fmt.Sprint("q", i)
+		r.request(id, unsafe)
+		next := balancer.Endpoint{ID: fmt.Sprint("s", i)}
+		r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: []balancer.Endpoint{next}})
+		if len(r.sent[id]) > 0 {
+			r.outcome(id, balancer.Served, 10*ms)
+		}
+		r.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "never seen", State: balancer.Removed}}})
+	}
+	if n := r.b.Known(); n != 1 {
+		t.Errorf("%d backends are kept, want 1", n)
+	}
+}
 
 // listService is a discovery of fixed capacity, as seen on a day with 80 agents: calls wait in turn, each
 // takes its time of the service even when its caller has given up waiting, and a full queue turns calls away.
@@ -112,47 +215,3 @@
 		t.Errorf("%d of 350 have the list after 3.5 s and %d calls", listed, calls)
 	}
 }
-
-// Guards against agents that stay with what they are connected to while backends join, or a zone comes back:
-// on the day of the report eleven of sixteen that had returned got nothing in five seconds, and the others
-// more than they could bear. Newcomers get their part of all agents' traffic, once they are warm.
-func TestNewcomersGetTheirPart(t *testing.T) {
-	s := settings()
-	s.Agents = 80
-	list := make([]balancer.Endpoint, 60)
-	for i := range list {
-		list[i] = balancer.Endpoint{ID: string(rune('A' + i))}
-	}
-	old, all := list[:40], list
-	counts := map[string]int{}
-	widest := 0
-	for i := range s.Agents {
-		s.AgentIndex = i
-		r := newRig(t, s, uint64(i), old)
-		r.serve(40, safe, 50*ms)
-		for i := range all[40:] {
-			all[40+i].Started = r.now
-		}
-		r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: all})
-		r.advance(s.SlowStart)
-		part := r.serve(40, safe, 50*ms)
-		widest = max(widest, len(part))
-		for id, n := range part {
-			counts[id] += n
-		}
-	}
-	late, idle := 0, 0
-	for _, n := range all[40:] {
-		late += counts[n.ID]
-		if counts[n.ID] == 0 {
-			idle++
-		}
-	}
-	// A third of the backends; agents are slow to leave those that they know.
-	if total := 40 * s.Agents; late < total/8 || late > total/2 || idle > 10 {
-		t.Errorf("20 newcomers of 60 got %d of %d requests, and %d of them none", late, total, idle)
-	}
-	if widest > 8 {
-		t.Errorf("a quiet agent used %d backends, want a few: each takes only so many connections", widest)
-	}
-}
--- a/balancer/cold_test.go
+++ b/balancer/fleetsim_test.go
@@ -39,10 +39,14 @@
 
 type dues []due
 
-func (d dues) Len() int           { return len(d) }
+func (d dues) Len() int { return len(d) }
+
 func (d dues) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d dues) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *dues) Push(x any)        { *d = append(*d, x.(due)) }
+
+func (d dues) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+
+func (d *dues) Push(x any) { *d = append(*d, x.(due)) }
+
 func (d *dues) Pop() any {
 	last := (*d)[len(*d)-1]
 	*d = (*d)[:len(*d)-1]
@@ -180,49 +184,3 @@
 	}
 	return worst
 }
-
-// Guards against cold backends that all agents push over together, though none sends much, and against
-// newcomers that hardly get anything while what is left of the others is crowded.
-func TestColdBackendsBearAllAgentsTogether(t *testing.T) {
-	s := settings()
-	s.ColdOverloadMultiple, s.ColdOverloadWindow, s.ColdCapacity, s.SlowStart = 3, 1500*ms, 0.32, 8600*ms
-	for _, tt := range []struct {
-		name          string
-		started, gone float64 // parts of the backends; of started ones at least one
-		restart       bool
-		served        float64 // the least part
-	}{
-		{"one joins", 0, 0, false, 0.95},
-		{"six in ten are replaced", 0.6, 0, false, 0.7},
-		{"one joins while six in ten go", 0, 0.6, false, 0.5},
-		{"one joins and all agents are started again", 0, 0, true, 0.95},
-		{"all are started again", 1, 0, false, 0.3},
-		{"all are started again, and all agents", 1, 0, true, 0.3},
-		{"one is left, which starts", 0, 1, false, 0},
-		{"one is left, which starts, and all agents do", 0, 1, true, 0},
-	} {
-		for _, agents := range []int{20, 30, 350} {
-			t.Run(fmt.Sprintf("%s/%d agents", tt.name, agents), func(t *testing.T) {
-				t.Parallel()
-				f := fleetDay{agents: agents, backends: 30, restart: tt.restart, load: 0.7, work: 60 * ms,
-					turn: 4 * time.Second, length: 10 * time.Second}
-				if agents > 100 {
-					f.backends = 60
-				}
-				f.started = max(1, int(tt.started*float64(f.backends)))
-				f.gone = min(int(tt.gone*float64(f.backends)), f.backends-f.started)
-				all, asked, served := f.play(t, s, uint64(agents))
-				worst := 0.0
-				for _, e := range all[:f.started] {
-					worst = max(worst, f.pressure(s, e))
-				}
-				if worst > 1 {
-					t.Errorf("a cold backend got %.2f times what the settings allow", worst)
-				}
-				if part := float64(served) / float64(asked); part < tt.served {
-					t.Errorf("%.2f of the requests were served, want %.2f", part, tt.served)
-				}
-			})
-		}
-	}
-}
