--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -8,94 +8,94 @@
 	"ashshunt/balancer"
 )
 
-// A list that is empty at the start: requests wait, and are refused in time.
-func TestNoBackend(t *testing.T) {
-	for _, class := range []int{safe, unsafe, keyedZone} {
-		r := newRig(t, settings(), 1, nil)
-		acts := r.request("q", class)
-		acts = append(acts, r.advance(399*ms)...)
-		if final("q", acts) != "refuse" {
-			t.Errorf("class %d: %q, want one refusal within the aim", class, final("q", acts))
+// Requests wait while the list is empty, and are rejected within their objective.
+func TestNoEndpoint(t *testing.T) {
+	for _, class := range []int{idempotent, notIdempotent, keyedInZone} {
+		h := newHarness(t, settings(), 1, nil)
+		acts := h.request("q", class)
+		acts = append(acts, h.advance(399*ms)...)
+		if finalAnswer("q", acts) != "reject" {
+			t.Errorf("class %d: %q, want one rejection within the objective", class, finalAnswer("q", acts))
 		}
 	}
 	t.Run("list comes in time", func(t *testing.T) {
-		r := newRig(t, settings(), 1, nil)
-		r.request("q", safe)
-		r.now += 50 * ms
-		r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(2)})
-		if len(r.sent["q"]) != 1 {
+		h := newHarness(t, settings(), 1, nil)
+		h.request("q", idempotent)
+		h.now += 50 * ms
+		h.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(2)})
+		if len(h.sent["q"]) != 1 {
 			t.Error("the waiting request was not sent")
 		}
 	})
 }
 
-// Incident i621733: the mean latency falls while a request is held, so that its timer
-// comes before its time; it needs a further one, or nothing wakes a quiet agent in time.
-func TestHeldRequestIsNotLost(t *testing.T) {
+// The mean latency falls while a request is queued, so that its timer fires before it expires: it needs
+// another timer, or nothing wakes a quiet agent in time.
+func TestQueuedRequestIsNotLost(t *testing.T) {
 	s := settings()
-	s.Agents = 5 // room for one
-	r := newRig(t, s, 1, backends(1))
-	r.request("out", safe)
-	r.request("old", safe)
-	r.request("new", safe)
-	if len(r.sent["old"]) > 0 || len(r.sent["new"]) > 0 {
-		t.Fatal("they were not held")
-	}
-	r.now += 5 * ms
-	r.outcome("out", balancer.Served, 5*ms) // lowers the mean; its room goes to the newest
-	if len(r.sent["new"]) != 1 {
+	s.Agents = 5 // capacity for one
+	h := newHarness(t, s, 1, endpoints(1))
+	h.request("out", idempotent)
+	h.request("old", idempotent)
+	h.request("new", idempotent)
+	if len(h.sent["old"]) > 0 || len(h.sent["new"]) > 0 {
+		t.Fatal("they were not queued")
+	}
+	h.now += 5 * ms
+	h.outcome("out", balancer.Served, 5*ms) // lowers the mean; its capacity goes to the newest
+	if len(h.sent["new"]) != 1 {
 		t.Fatal("the newest did not follow")
 	}
-	if got := final("old", r.advance(400*ms)); got != "refuse" {
-		t.Errorf("the held request got %q within its aim, want one refusal", got)
+	if got := finalAnswer("old", h.advance(400*ms)); got != "reject" {
+		t.Errorf("the queued request got %q within its objective, want one rejection", got)
 	}
 }
 
-// Latency above the aimed delay cuts what is kept in flight; what does not fit
-// waits and is refused, and a client's repeat is refused first.
+// Latency above the target lowers the limit; what exceeds it is queued and then rejected, a client's retry at
+// once.
 func TestInFlightLimit(t *testing.T) {
 	s := settings()
 	s.Agents = 2
-	r := newRig(t, s, 1, backends(2))
+	h := newHarness(t, s, 1, endpoints(2))
 	for i := range 200 { // slow answers
 		id := fmt.Sprint("s", i)
-		r.request(id, safe)
-		r.now += 350 * ms
-		r.outcome(id, balancer.Served, 350*ms)
+		h.request(id, idempotent)
+		h.now += 350 * ms
+		h.outcome(id, balancer.Served, 350*ms)
 	}
 	out := 0
 	var all []balancer.Action
 	for i := range 20 {
 		id := fmt.Sprint("q", i)
-		all = append(all, r.request(id, safe)...)
-		out += len(r.sent[id])
+		all = append(all, h.request(id, idempotent)...)
+		out += len(h.sent[id])
 	}
 	if want := 4 * 2 / 2; out != want {
-		t.Errorf("%d in flight, want this agent's share of 4 per backend: %d", out, want)
+		t.Errorf("%d in flight, want this agent's share of 4 per endpoint: %d", out, want)
 	}
-	repeat := r.step(balancer.Request{ID: "again", Class: safe, Timeout: 2000 * ms, ClientRetry: true})
-	if final("again", repeat) != "refuse" {
-		t.Errorf("a client's repeat: %v, want a refusal at once", repeat)
+	repeat := h.step(balancer.Request{ID: "again", Class: idempotent, Timeout: 2000 * ms, ClientRetry: true})
+	if finalAnswer("again", repeat) != "reject" {
+		t.Errorf("a client's repeat: %v, want a rejection at once", repeat)
 	}
-	all = append(all, r.advance(400*ms)...)
+	all = append(all, h.advance(400*ms)...)
 	for i := range 20 {
 		id := fmt.Sprint("q", i)
-		if len(r.sent[id]) == 0 && final(id, all) != "refuse" {
-			t.Errorf("%s: %q, want one refusal", id, final(id, all))
+		if len(h.sent[id]) == 0 && finalAnswer(id, all) != "reject" {
+			t.Errorf("%s: %q, want one rejection", id, finalAnswer(id, all))
 		}
 	}
 }
 
-// Incident i6c6372: with many agents each one's share must shrink, also on idle backends.
+// The share of each of many agents is smaller, also while the endpoints are idle.
 func TestLimitIsSharedOut(t *testing.T) {
 	inFlight := func(balancers int) (n int) {
 		s := settings()
 		s.Agents = balancers
-		r := newRig(t, s, 1, backends(10))
+		h := newHarness(t, s, 1, endpoints(10))
 		for i := range 100 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
-			n += len(r.sent[id])
+			h.request(id, idempotent)
+			n += len(h.sent[id])
 		}
 		return n
 	}
@@ -104,89 +104,88 @@
 	}
 }
 
-// Incident ia38185: the limit follows the list down.
+// The limit follows the number of endpoints down.
 func TestLimitFollowsTheList(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(10))
-	r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(2)})
+	h := newHarness(t, settings(), 1, endpoints(10))
+	h.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(2)})
 	n := 0
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
-		n += len(r.sent[id])
+		h.request(id, idempotent)
+		n += len(h.sent[id])
 	}
 	if n > 12 {
-		t.Errorf("%d in flight on two backends", n)
+		t.Errorf("%d in flight on two endpoints", n)
 	}
 }
 
-// Incidents idacc77 and i574e74: what dead backends carried must not land on the
-// living while the list still names the dead.
-func TestLimitLeavesOutTheDead(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(10))
-	r.waves(80, 20, safe, 5*ms)
+// The load of unreachable endpoints must not move to the others while the list still names them.
+func TestLimitLeavesOutUnreachable(t *testing.T) {
+	h := newHarness(t, settings(), 1, endpoints(10))
+	h.waves(80, 20, idempotent, 5*ms)
 	dead := map[string]bool{}
 	for i := 0; len(dead) < 6 && i < 500; i++ {
 		id := fmt.Sprint("d", i)
-		r.request(id, safe)
-		r.now += ms
-		if b := r.sent[id][0]; b < "g" { // a to f
+		h.request(id, idempotent)
+		h.now += ms
+		if b := h.sent[id][0]; b < "g" { // a to f
 			dead[b] = true
-			r.outcome(id, balancer.ConnectFailed, ms)
+			h.outcome(id, balancer.ConnectFailed, ms)
 		} else {
-			r.outcome(id, balancer.Served, ms)
+			h.outcome(id, balancer.Served, ms)
 		}
 	}
-	r.advance(50 * ms)
+	h.advance(50 * ms)
 	n := 0
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
-		n += len(r.sent[id])
+		h.request(id, idempotent)
+		n += len(h.sent[id])
 	}
 	if n > 28 { // six for each of four, and a few for what the outcomes taught
-		t.Errorf("%d in flight on four living backends", n)
+		t.Errorf("%d in flight on four living endpoints", n)
 	}
 }
 
-// Incident ieeee80: chance must not cut the limit of a busy agent whose answers are
-// well within the aim in the mean but vary a lot.
+// Chance must not lower the limit of a busy agent whose latency is well within the objective in the mean, but
+// varies a lot.
 func TestBusyAgentIsNotCutByChance(t *testing.T) {
 	s := settings()
 	s.Agents = 2
-	r := newRig(t, s, 1, backends(30))
-	seq := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; mean 110 of an aim of 400
+	h := newHarness(t, s, 1, endpoints(30))
+	seq := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; mean 110 of an objective of 400
 	refused, queue := 0, []string{}
 	for i := range 4000 {
 		id := fmt.Sprint("q", i)
-		if final(id, r.request(id, safe)) != "" {
+		if finalAnswer(id, h.request(id, idempotent)) != "" {
 			refused++
 		}
 		queue = append(queue, id)
-		r.now += ms
+		h.now += ms
 		if len(queue) > 75 {
-			if len(r.sent[queue[0]]) > 0 {
+			if len(h.sent[queue[0]]) > 0 {
 				// answers in runs, so that twenty in a row can all be slow
-				r.outcome(queue[0], balancer.Served, seq[(i/25)%10]*ms)
+				h.outcome(queue[0], balancer.Served, seq[(i/25)%10]*ms)
 			}
 			queue = queue[1:]
 		}
 	}
 	if refused > 0 {
-		t.Errorf("%d of 4000 refused", refused)
+		t.Errorf("%d of 4000 rejected", refused)
 	}
 }
 
-// Incident i3ae5f1: backends that slow down when crowded make over three times the usual latency
-// long before it nears the aim; the limit must come down then, but not where it was always so.
+// Endpoints that slow down when crowded reach over three times the usual latency long before the objective:
+// the limit must fall then, but not where that latency is usual.
 func TestLimitFallsWithRisingLatency(t *testing.T) {
 	inFlight := func(usual time.Duration) (n int) {
-		r := newRig(t, settings(), 1, backends(2))
-		r.waves(400, 8, safe, usual)  // bound by the limit, which may grow
-		r.waves(400, 8, safe, 130*ms) // about a third of the aim
+		h := newHarness(t, settings(), 1, endpoints(2))
+		h.waves(400, 8, idempotent, usual)  // bound by the limit, which may grow
+		h.waves(400, 8, idempotent, 130*ms) // about a third of the objective
 		for i := range 40 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
-			n += len(r.sent[id])
+			h.request(id, idempotent)
+			n += len(h.sent[id])
 		}
 		return n
 	}
@@ -195,12 +194,12 @@
 	}
 }
 
-// Incident ieb2a7b: many agents that grow their limits at once must not overshoot together.
+// Many agents that raise their limits at once must not overshoot together.
 func TestLimitGrowsPerBackend(t *testing.T) {
 	total := func(balancers int) int {
 		s := settings()
 		s.Agents = balancers
-		r := newRig(t, s, 1, backends(20))
+		h := newHarness(t, s, 1, endpoints(20))
 		var out []string // in flight, oldest first
 		sends := func(actions []balancer.Action) {
 			for _, a := range actions {
@@ -209,13 +208,13 @@
 				}
 			}
 		}
-		for i := range 200 { // what exceeds the limit is held
-			sends(r.request(fmt.Sprint("q", i), safe))
+		for i := range 200 { // what exceeds the limit is queued
+			sends(h.request(fmt.Sprint("q", i), idempotent))
 		}
 		for i := range 4 * len(out) { // four rounds of fast answers
-			sends(r.outcome(out[0], balancer.Served, 20*ms))
+			sends(h.outcome(out[0], balancer.Served, 20*ms))
 			out = out[1:]
-			sends(r.request(fmt.Sprint("more", i), safe))
+			sends(h.request(fmt.Sprint("more", i), idempotent))
 		}
 		return len(out) * balancers
 	}
@@ -224,37 +223,37 @@
 	}
 }
 
-// A try whose patience is cut short by the client's deadline is a late one: it
-// does not wait for room, where a first try does.
-func TestPatienceTellsLateTries(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(1))
+// A time-out shortened by the client's deadline tells a client's retry: it does not wait for capacity, where a
+// first try does.
+func TestTimeoutTellsClientRetries(t *testing.T) {
+	h := newHarness(t, settings(), 1, endpoints(1))
 	submit := func(id string, left time.Duration) []balancer.Action {
-		return r.step(balancer.Request{ID: id, Class: safe, Timeout: left})
+		return h.step(balancer.Request{ID: id, Class: idempotent, Timeout: left})
 	}
 	for i := range 20 { // the usual patience, give or take
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
 	}
-	if got := final("first", submit("first", 899*ms)); got != "" {
-		t.Errorf("a first try without room got %q at once, want it to wait", got)
+	if got := finalAnswer("first", submit("first", 899*ms)); got != "" {
+		t.Errorf("a first try without capacity got %q at once, want it to wait", got)
 	}
-	if got := final("late", submit("late", 700*ms)); got != "refuse" {
-		t.Errorf("a late try without room got %q, want a refusal at once", got)
+	if got := finalAnswer("late", submit("late", 700*ms)); got != "reject" {
+		t.Errorf("a late try without capacity got %q, want a rejection at once", got)
 	}
 }
 
-// Incidents icaaa88 and ic83025: the first answers set the usual latency, so that a rise shows
-// though seven times the usual is far below the aim; and heavy requests now and then are no rise.
-func TestUsualLatencyFromFirstAnswers(t *testing.T) {
+// The first responses set the usual latency, so that a rise to seven times of it shows though it is far below
+// the objective. Heavy requests now and then are no rise.
+func TestUsualLatencyFromFirstResponses(t *testing.T) {
 	inFlight := func(then ...time.Duration) (n int) {
-		r := newRig(t, settings(), 1, backends(2))
-		r.waves(80, 8, safe, 10*ms)
+		h := newHarness(t, settings(), 1, endpoints(2))
+		h.waves(80, 8, idempotent, 10*ms)
 		for _, latency := range then {
-			r.serve(1, safe, latency)
+			h.serve(1, idempotent, latency)
 		}
 		for i := range 60 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
-			n += len(r.sent[id])
+			h.request(id, idempotent)
+			n += len(h.sent[id])
 		}
 		return n
 	}
@@ -275,25 +274,25 @@
 	}
 }
 
-// Incidents i783cc5 and i84e735: with many agents and few backends left, one attempt of each
-// agent is too much; in a crowd a small agent goes on with about as much as is answered in time.
-func TestSmallAgentIsThrottledInACrowd(t *testing.T) {
+// With many agents and few endpoints one attempt of each agent is too much: when crowded, a small agent sends
+// about as much as is served on time.
+func TestSmallAgentIsThrottledWhenCrowded(t *testing.T) {
 	sent := func(latency time.Duration) (n int) {
 		s := settings()
 		s.Agents = 40 // by head count: a fifth of an attempt
-		r := newRig(t, s, 1, backends(2))
+		h := newHarness(t, s, 1, endpoints(2))
 		for i := range 60 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
-			r.advance(latency)
-			if len(r.sent[id]) > 0 {
-				r.outcome(id, balancer.Served, latency)
+			h.request(id, idempotent)
+			h.advance(latency)
+			if len(h.sent[id]) > 0 {
+				h.outcome(id, balancer.Served, latency)
 				if i >= 30 {
 					n++
 				}
 			}
 		}
-		if final("last", append(r.request("last", safe), r.advance(2*time.Second)...)) != "" == (len(r.sent["last"]) > 0) {
+		if finalAnswer("last", append(h.request("last", idempotent), h.advance(2*time.Second)...)) != "" == (len(h.sent["last"]) > 0) {
 			t.Errorf("at %v the last request was neither sent nor answered", latency)
 		}
 		return n
@@ -304,44 +303,43 @@
 	}
 }
 
-// Where an agent's part of the least limit is far under one attempt, one slow attempt holds up nothing.
+// An agent whose part of the least limit is far under one attempt has no limit: a slow attempt delays no other.
 func TestSparseAgentHasNoLimit(t *testing.T) {
 	s := settings()
 	s.Agents = 400
-	r := newRig(t, s, 1, backends(4))
+	h := newHarness(t, s, 1, endpoints(4))
 	for i := range 4 {
-		if r.request(fmt.Sprint("q", i), safe); len(r.sent[fmt.Sprint("q", i)]) != 1 {
+		if h.request(fmt.Sprint("q", i), idempotent); len(h.sent[fmt.Sprint("q", i)]) != 1 {
 			t.Errorf("request %d waited for another", i)
 		}
 	}
 }
 
-// Guards against clients that wait a moment only and come again at once: each of their requests made a backend
-// work, in a fleet that was short of it, for an answer that nobody could still want.
-func TestHopelessRequestIsNotSent(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(4))
-	r.serve(200, safe, 100*ms)
+// Work for a client that gives up before the response is wasted: such requests are not sent.
+func TestTooLateRequestIsNotSent(t *testing.T) {
+	h := newHarness(t, settings(), 1, endpoints(4))
+	h.serve(200, idempotent, 100*ms)
 	for _, left := range []time.Duration{5 * ms, 20 * ms, 40 * ms} {
 		id := fmt.Sprint("short", left)
-		actions := r.step(balancer.Request{ID: id, Class: safe, Timeout: left})
+		actions := h.step(balancer.Request{ID: id, Class: idempotent, Timeout: left})
 		if len(actions) != 1 || actions[0] != (balancer.Reject{Request: id}) {
-			t.Errorf("%v left of a usual 100 ms: %v, want a refusal at once and nothing else", left, actions)
+			t.Errorf("%v left of a usual 100 ms: %v, want a rejection at once and nothing else", left, actions)
 		}
 	}
-	if r.step(balancer.Request{ID: "likely", Class: safe, Timeout: 80 * ms}); len(r.sent["likely"]) != 1 {
+	if h.step(balancer.Request{ID: "likely", Class: idempotent, Timeout: 80 * ms}); len(h.sent["likely"]) != 1 {
 		t.Error("80 ms left of a usual 100 ms: not sent")
 	}
-	// However heavy it seems, a request with all its time goes out.
-	r.step(balancer.Request{ID: "light", Class: safe, Timeout: 2000 * ms, Work: 10 * ms})
-	r.step(balancer.Request{ID: "heavy", Class: safe, Timeout: 2000 * ms, Work: 10 * time.Second})
-	if len(r.sent["heavy"]) != 1 {
+	// A request with all its time goes out, however heavy it seems.
+	h.step(balancer.Request{ID: "light", Class: idempotent, Timeout: 2000 * ms, Work: 10 * ms})
+	h.step(balancer.Request{ID: "heavy", Class: idempotent, Timeout: 2000 * ms, Work: 10 * time.Second})
+	if len(h.sent["heavy"]) != 1 {
 		t.Error("a heavy request with all its time: not sent")
 	}
-	// Nor does a further attempt go out that comes too late.
-	r.step(balancer.Request{ID: "again", Class: safe, Timeout: 400 * ms})
-	r.now += 360 * ms
-	r.outcome("again", balancer.ConnectFailed, 360*ms)
-	if got := r.actions[len(r.actions)-1]; got != (balancer.Reject{Request: "again"}) {
-		t.Errorf("failed with 40 ms left of a usual 100 ms: %v, want a refusal at once", got)
+	// A retry that would come too late is not made.
+	h.step(balancer.Request{ID: "again", Class: idempotent, Timeout: 400 * ms})
+	h.now += 360 * ms
+	h.outcome("again", balancer.ConnectFailed, 360*ms)
+	if got := h.actions[len(h.actions)-1]; got != (balancer.Reject{Request: "again"}) {
+		t.Errorf("failed with 40 ms left of a usual 100 ms: %v, want a rejection at once", got)
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -9,13 +9,13 @@
 	"ashshunt/balancer"
 )
 
-// Events about things unknown, late or repeated do nothing.
+// Events about unknown things, late and repeated ones have no effect.
 func TestStrayEvents(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(2))
-	r.request("done", safe)
-	r.now += 10 * ms
-	r.outcome("done", balancer.Served, 10*ms)
-	r.request("open", unsafe)
+	h := newHarness(t, settings(), 1, endpoints(2))
+	h.request("done", idempotent)
+	h.now += 10 * ms
+	h.outcome("done", balancer.Served, 10*ms)
+	h.request("open", notIdempotent)
 	stray := []balancer.Event{
 		balancer.Outcome{Request: "never", Result: balancer.ServerError},
 		balancer.Outcome{Request: "done", Result: balancer.ServerError},
@@ -28,85 +28,85 @@
 		balancer.GossipMessage{From: 44, Data: []byte{1}},
 		balancer.Request{ID: "bad", Class: 17, Timeout: time.Second},
 		balancer.Request{ID: "bad", Class: -1, Timeout: time.Second},
-		balancer.Request{ID: "open", Class: safe, Timeout: time.Second},
+		balancer.Request{ID: "open", Class: idempotent, Timeout: time.Second},
 	}
 	for _, e := range stray {
-		if acts := r.step(e); len(acts) != 0 {
+		if acts := h.step(e); len(acts) != 0 {
 			t.Errorf("%#v: %v, want no action", e, acts)
 		}
 	}
-	r.now += 10 * ms
-	if acts := r.outcome("open", balancer.ServerError, 10*ms); final("open", acts) != "fail" {
+	h.now += 10 * ms
+	if acts := h.outcome("open", balancer.ServerError, 10*ms); finalAnswer("open", acts) != "fail" {
 		t.Errorf("the open request: %v, want its one failure", acts)
 	}
-	if acts := r.outcome("open", balancer.ServerError, 10*ms); len(acts) != 0 {
+	if acts := h.outcome("open", balancer.ServerError, 10*ms); len(acts) != 0 {
 		t.Errorf("a repeated outcome: %v, want no action", acts)
 	}
 }
 
-// An abandoned request gets nothing more, though its attempt is still counted.
+// An abandoned request gets no further action, though its attempt still counts as in flight.
 func TestAbandoned(t *testing.T) {
 	t.Run("attempt out", func(t *testing.T) {
-		r := newRig(t, settings(), 1, backends(2))
-		r.request("q", safe)
-		r.step(balancer.Abandoned{Request: "q"})
-		r.now += 10 * ms
-		acts := r.outcome("q", balancer.ServerError, 10*ms)
-		acts = append(acts, r.advance(3*time.Second)...)
-		if len(acts) != 0 || r.b.StateSize() != 0 {
-			t.Errorf("after the client left: %v, %d kept", acts, r.b.StateSize())
+		h := newHarness(t, settings(), 1, endpoints(2))
+		h.request("q", idempotent)
+		h.step(balancer.Abandoned{Request: "q"})
+		h.now += 10 * ms
+		acts := h.outcome("q", balancer.ServerError, 10*ms)
+		acts = append(acts, h.advance(3*time.Second)...)
+		if len(acts) != 0 || h.balancer.StateSize() != 0 {
+			t.Errorf("after the client left: %v, %d kept", acts, h.balancer.StateSize())
 		}
 	})
-	// Guards against what is kept for a client that left, until a timer comes that nobody waits for.
-	for name, wait := range map[string]func(r *rig){
-		"backoff": func(r *rig) {
-			r.request("q", safe)
-			r.now += 10 * ms
-			r.outcome("q", balancer.ServerError, 10*ms)
+	// Nothing may be kept for it until a timer fires.
+	for name, wait := range map[string]func(h *harness){
+		"backoff": func(h *harness) {
+			h.request("q", idempotent)
+			h.now += 10 * ms
+			h.outcome("q", balancer.ServerError, 10*ms)
 		},
-		"no place": func(r *rig) {
-			r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}})
-			r.request("q", safe)
+		"no place": func(h *harness) {
+			h.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}})
+			h.request("q", idempotent)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, settings(), 1, backends(1))
-			wait(r)
-			sent := len(r.sent["q"])
-			if final("q", r.actions) != "" || r.b.StateSize() == 0 {
-				t.Fatalf("it does not wait: %v", r.actions)
+			h := newHarness(t, settings(), 1, endpoints(1))
+			wait(h)
+			sent := len(h.sent["q"])
+			if finalAnswer("q", h.actions) != "" || h.balancer.StateSize() == 0 {
+				t.Fatalf("it does not wait: %v", h.actions)
 			}
-			r.step(balancer.Abandoned{Request: "q"})
-			if n := r.b.StateSize(); n != 0 {
+			h.step(balancer.Abandoned{Request: "q"})
+			if n := h.balancer.StateSize(); n != 0 {
 				t.Errorf("%d things are kept of it", n)
 			}
-			r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(1)})
-			if r.advance(3 * time.Second); len(r.sent["q"]) != sent {
+			h.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(1)})
+			if h.advance(3 * time.Second); len(h.sent["q"]) != sent {
 				t.Error("sent on after the client left")
 			}
 		})
 	}
 	t.Run("with its timer in one step", func(t *testing.T) {
-		r := newRig(t, settings(), 1, backends(2))
-		r.request("q", safe)
-		r.now += 10 * ms
-		r.outcome("q", balancer.ServerError, 10*ms)
-		r.now += time.Second
-		if acts := r.step(r.timers[len(r.timers)-1], balancer.Abandoned{Request: "q"}); len(acts) != 0 {
+		h := newHarness(t, settings(), 1, endpoints(2))
+		h.request("q", idempotent)
+		h.now += 10 * ms
+		h.outcome("q", balancer.ServerError, 10*ms)
+		h.now += time.Second
+		if acts := h.step(h.timers[len(h.timers)-1], balancer.Abandoned{Request: "q"}); len(acts) != 0 {
 			t.Errorf("its backoff was over as the client left: %v", acts)
 		}
 	})
 }
 
-// Once an answer has begun to stream the request is the client's.
+// Once a response is being streamed the request is not retried and gets no other answer.
 func TestStream(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(2))
-	r.request("q", safe)
-	r.step(balancer.StreamStarted{Request: "q"})
-	r.now += 10 * ms
-	acts := r.step(balancer.Outcome{Request: "q", Endpoint: r.sent["q"][0], Result: balancer.Reset, Done: true})
-	acts = append(acts, r.advance(3*time.Second)...)
-	if len(acts) != 0 || len(r.sent["q"]) != 1 {
+	h := newHarness(t, settings(), 1, endpoints(2))
+	h.request("q", idempotent)
+	h.step(balancer.StreamStarted{Request: "q"})
+	h.now += 10 * ms
+	acts := h.step(balancer.Outcome{Request: "q", Endpoint: h.sent["q"][0], Result: balancer.Reset, Done: true})
+	acts = append(acts, h.advance(3*time.Second)...)
+	if len(acts) != 0 || len(h.sent["q"]) != 1 {
 		t.Errorf("after a broken stream: %v", acts)
 	}
 }
@@ -114,15 +114,15 @@
 // The same seed and events give the same actions.
 func TestDeterminism(t *testing.T) {
 	play := func(seed uint64) (log []string) {
-		r := newRig(t, settings(), seed, backends(6))
+		h := newHarness(t, settings(), seed, endpoints(6))
 		for i := range 400 {
 			id := fmt.Sprint("q", i)
-			log = append(log, fmt.Sprint(r.request(id, i%5)))
-			r.now += 3 * ms
-			if i%3 != 0 && len(r.sent[id]) > 0 {
-				log = append(log, fmt.Sprint(r.outcome(id, balancer.Result(i%6), 3*ms)))
+			log = append(log, fmt.Sprint(h.request(id, i%5)))
+			h.now += 3 * ms
+			if i%3 != 0 && len(h.sent[id]) > 0 {
+				log = append(log, fmt.Sprint(h.outcome(id, balancer.Result(i%6), 3*ms)))
 			}
-			log = append(log, fmt.Sprint(r.advance(2*ms)))
+			log = append(log, fmt.Sprint(h.advance(2*ms)))
 		}
 		return log
 	}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -9,15 +9,15 @@
 	"ashshunt/balancer"
 )
 
-// BenchmarkStep plays a request, its outcome and now and then an error and a
-// retry. State must not grow with the requests played: see the heap metric.
+// BenchmarkStep plays a request, its outcome, and sometimes an error and a retry. The state must not grow with
+// the requests played: see the heap metric.
 func BenchmarkStep(b *testing.B) {
 	lb, err := balancer.New(settings(), 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []balancer.Event{balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(14)}})
+	lb.Step(now, []balancer.Event{balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(14)}})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -34,7 +34,7 @@
 // playOne plays request i to its end.
 func playOne(lb *balancer.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
-	events := []balancer.Event{balancer.Request{ID: id, Class: safe, Timeout: time.Second, Key: id}}
+	events := []balancer.Event{balancer.Request{ID: id, Class: idempotent, Timeout: time.Second, Key: id}}
 	for n := 0; len(events) > 0; {
 		acts := lb.Step(*now, events)
 		events = nil
@@ -56,17 +56,16 @@
 	}
 }
 
-// What is kept must not grow with the requests played. Counted, not measured: the heap differs
-// from run to run.
+// The state must not grow with the requests played. It is counted, since the size of the heap varies.
 func TestStateIsBounded(t *testing.T) {
 	s := settings()
-	s.Classes[safe].Ordered, s.KeyQuietPeriod = true, time.Nanosecond
+	s.Classes[idempotent].Ordered, s.KeyQuietPeriod = true, time.Nanosecond
 	lb, err := balancer.New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []balancer.Event{balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: backends(14)}})
+	lb.Step(now, []balancer.Event{balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(14)}})
 	for i := range 20000 {
 		playOne(lb, &now, i)
 		if n := lb.StateSize(); n > 4 {
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,8 +7,8 @@
 	"ashshunt/balancer"
 )
 
-// One balancer through a first attempt, a failure, a retry and an answer. The
-// agent owns the clock, the timers and the connections.
+// One balancer through a first attempt, a failure, a retry and a response. The agent owns the clock, the timers
+// and the connections.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Agents:      1,
@@ -34,7 +34,7 @@
 				fmt.Println("set a timer")
 				timer = a.Token
 			case balancer.Reject:
-				fmt.Println("refuse", a.Request)
+				fmt.Println("reject", a.Request)
 			case balancer.Fail:
 				fmt.Println("fail", a.Request)
 			}
@@ -49,7 +49,7 @@
 
 	now += 7 * time.Millisecond
 	step(balancer.TimerFired{Token: timer})
-	fmt.Println("on another backend:", backend != first)
+	fmt.Println("on another endpoint:", backend != first)
 
 	now += 20 * time.Millisecond
 	step(balancer.Outcome{Request: "r1", Attempt: 1, Endpoint: backend, Latency: 20 * time.Millisecond, Done: true})
@@ -57,5 +57,5 @@
 	// send r1
 	// set a timer
 	// send r1
-	// on another backend: true
+	// on another endpoint: true
 }
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// StateSize counts what a Balancer keeps: requests, held ones, timers, keys and attempts out.
+// StateSize counts what a Balancer keeps: requests, queued ones, timers, keys and attempts out.
 func (b *Balancer) StateSize() int {
 	n := len(b.requests) + len(b.queue) + len(b.timers) + len(b.keyQueues) + len(b.quietKeys)
 	for _, t := range b.endpoints {
@@ -9,5 +9,5 @@
 	return n
 }
 
-// Known counts the backends that a Balancer keeps.
-func (b *Balancer) Known() int { return max(len(b.endpoints), len(b.endpointByID)) }
+// EndpointCount counts the endpoints that a Balancer keeps.
+func (b *Balancer) EndpointCount() int { return max(len(b.endpoints), len(b.endpointByID)) }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -9,7 +9,7 @@
 	"ashshunt/balancer"
 )
 
-// What an outcome lets each kind of class do: retry on another backend, or end.
+// What an outcome allows for each kind of class: a retry at another endpoint, or a final answer.
 func TestOutcomes(t *testing.T) {
 	const retry = "retry"
 	tests := []struct {
@@ -17,38 +17,38 @@
 		result balancer.Result
 		want   string
 	}{
-		{safe, balancer.ServerError, retry},
-		{safe, balancer.TimedOut, retry},
-		{safe, balancer.Reset, retry},
-		{safe, balancer.Rejected, retry},
-		{safe, balancer.ConnectFailed, retry},
-		{safe, balancer.NotSent, "refuse"},
-		{unsafe, balancer.ServerError, "fail"},
-		{unsafe, balancer.TimedOut, "fail"},
-		{unsafe, balancer.Reset, "fail"},
-		{unsafe, balancer.Cancelled, "fail"},
-		{unsafe, balancer.Rejected, retry},
-		{unsafe, balancer.ConnectFailed, retry},
-		{unsafe, balancer.NotSent, "refuse"},
-		{keyedAll, balancer.ServerError, retry},
-		{keyedAll, balancer.Rejected, retry},
-		{keyedZone, balancer.ServerError, retry},
-		{keyedZone, balancer.ConnectFailed, retry},
-		{keyedCell, balancer.TimedOut, retry},
-		{keyedCell, balancer.Reset, retry},
+		{idempotent, balancer.ServerError, retry},
+		{idempotent, balancer.TimedOut, retry},
+		{idempotent, balancer.Reset, retry},
+		{idempotent, balancer.Rejected, retry},
+		{idempotent, balancer.ConnectFailed, retry},
+		{idempotent, balancer.NotSent, "reject"},
+		{notIdempotent, balancer.ServerError, "fail"},
+		{notIdempotent, balancer.TimedOut, "fail"},
+		{notIdempotent, balancer.Reset, "fail"},
+		{notIdempotent, balancer.Cancelled, "fail"},
+		{notIdempotent, balancer.Rejected, retry},
+		{notIdempotent, balancer.ConnectFailed, retry},
+		{notIdempotent, balancer.NotSent, "reject"},
+		{keyedEverywhere, balancer.ServerError, retry},
+		{keyedEverywhere, balancer.Rejected, retry},
+		{keyedInZone, balancer.ServerError, retry},
+		{keyedInZone, balancer.ConnectFailed, retry},
+		{keyedInCell, balancer.TimedOut, retry},
+		{keyedInCell, balancer.Reset, retry},
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprintf("class %d result %d", tt.class, tt.result), func(t *testing.T) {
-			r := newRig(t, settings(), 7, backends(6))
-			r.request("q", tt.class)
-			r.now += 10 * ms
-			acts := r.outcome("q", tt.result, 10*ms)
-			acts = append(acts, r.advance(200*ms)...)
-			got := final("q", acts)
-			if len(r.sent["q"]) == 2 {
+			h := newHarness(t, settings(), 7, endpoints(6))
+			h.request("q", tt.class)
+			h.now += 10 * ms
+			acts := h.outcome("q", tt.result, 10*ms)
+			acts = append(acts, h.advance(200*ms)...)
+			got := finalAnswer("q", acts)
+			if len(h.sent["q"]) == 2 {
 				got += retry
-				if r.sent["q"][0] == r.sent["q"][1] {
-					t.Errorf("both attempts went to %s, which had just failed", r.sent["q"][0])
+				if h.sent["q"][0] == h.sent["q"][1] {
+					t.Errorf("both attempts went to %s, which had just failed", h.sent["q"][0])
 				}
 			}
 			if got != tt.want {
@@ -61,45 +61,45 @@
 func TestAttemptLimit(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 3
-	r := newRig(t, s, 3, backends(6))
-	r.request("q", safe)
+	h := newHarness(t, s, 3, endpoints(6))
+	h.request("q", idempotent)
 	var all []balancer.Action
 	for range 6 {
-		if final("q", all) != "" {
+		if finalAnswer("q", all) != "" {
 			break
 		}
-		r.now += ms
-		all = append(all, r.outcome("q", balancer.ServerError, ms)...)
-		all = append(all, r.advance(150*ms)...)
+		h.now += ms
+		all = append(all, h.outcome("q", balancer.ServerError, ms)...)
+		all = append(all, h.advance(150*ms)...)
 	}
-	if len(r.sent["q"]) != 3 || final("q", all) != "fail" {
-		t.Errorf("attempts %v and answer %q, want 3 and one failure", r.sent["q"], final("q", all))
+	if len(h.sent["q"]) != 3 || finalAnswer("q", all) != "fail" {
+		t.Errorf("attempts %v and answer %q, want 3 and one failure", h.sent["q"], finalAnswer("q", all))
 	}
 }
 
-// The bucket holds 100: 20 retries at 5, or 10 after time-outs. First attempts
-// go out when it is empty; served requests bring one token each, up to the cap.
+// The bucket holds 100 tokens: 20 retries at 5, or 10 at 10 after time-outs. First attempts go out when it is
+// empty; served requests bring one token each, up to the capacity.
 func TestRetryBucket(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 2
 	// spend fails n requests and returns how many were retried. The retry is
 	// served, unless it must not refill the bucket.
-	spend := func(r *rig, n int, res balancer.Result) (retried int) {
+	spend := func(h *harness, n int, res balancer.Result) (retried int) {
 		for range n {
-			id := fmt.Sprintf("spend-%d", len(r.sent))
-			r.request(id, safe)
-			if len(r.sent[id]) != 1 {
+			id := fmt.Sprintf("spend-%d", len(h.sent))
+			h.request(id, idempotent)
+			if len(h.sent[id]) != 1 {
 				t.Fatalf("first attempt of %s did not go out", id)
 			}
-			r.now += ms
-			r.outcome(id, res, ms)
-			r.advance(100 * ms)
-			if len(r.sent[id]) == 2 {
+			h.now += ms
+			h.outcome(id, res, ms)
+			h.advance(100 * ms)
+			if len(h.sent[id]) == 2 {
 				retried++
-				r.now += ms
-				r.outcome(id, balancer.ServerError, ms)
+				h.now += ms
+				h.outcome(id, balancer.ServerError, ms)
 			}
-			r.advance(30 * time.Second) // lets ejections pass
+			h.advance(30 * time.Second) // lets ejections pass
 		}
 		return retried
 	}
@@ -118,41 +118,41 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newRig(t, s, 5, backends(6))
-			if got := spend(r, 30, tt.res); got != tt.first {
+			h := newHarness(t, s, 5, endpoints(6))
+			if got := spend(h, 30, tt.res); got != tt.first {
 				t.Errorf("a full bucket funded %d retries, want %d", got, tt.first)
 			}
-			r.serve(tt.serve, safe, 20*ms)
-			r.advance(30 * time.Second)
-			if got := spend(r, 30, tt.res); got != tt.then {
+			h.serve(tt.serve, idempotent, 20*ms)
+			h.advance(30 * time.Second)
+			if got := spend(h, 30, tt.res); got != tt.then {
 				t.Errorf("then funded %d retries, want %d", got, tt.then)
 			}
 		})
 	}
 }
 
-// Waits are full jitter: between 0 and a unit (a share of the aim) that doubles
-// with each retry up to a ceiling.
+// Waits have full jitter: between 0 and a unit (a share of the objective) that doubles with each retry up to a
+// ceiling.
 func TestBackoff(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 7
-	unit := s.Classes[safe].Objective / 32
+	unit := s.Classes[idempotent].Objective / 32
 	longest := make([]time.Duration, 6)
 	shortest := []time.Duration{time.Hour, time.Hour, time.Hour, time.Hour, time.Hour, time.Hour}
 	for seed := uint64(0); seed < 300; seed++ {
-		r := newRig(t, s, seed, backends(8))
-		r.request("q", safe)
+		h := newHarness(t, s, seed, endpoints(8))
+		h.request("q", idempotent)
 		for n := range 6 {
-			r.outcome("q", balancer.Rejected, 0)
-			failed := r.now
-			for len(r.sent["q"]) == n+1 && len(r.due) > 0 {
-				r.advance(ms / 4)
+			h.outcome("q", balancer.Rejected, 0)
+			failed := h.now
+			for len(h.sent["q"]) == n+1 && len(h.timerDue) > 0 {
+				h.advance(ms / 4)
 			}
-			if len(r.sent["q"]) != n+2 {
+			if len(h.sent["q"]) != n+2 {
 				t.Fatalf("seed %d: retry %d was not made", seed, n)
 			}
-			longest[n] = max(longest[n], r.now-failed)
-			shortest[n] = min(shortest[n], r.now-failed)
+			longest[n] = max(longest[n], h.now-failed)
+			shortest[n] = min(shortest[n], h.now-failed)
 		}
 	}
 	for n, got := range longest {
@@ -166,65 +166,65 @@
 	}
 }
 
-// A retry whose wait would outlast the time left is not made.
+// A retry whose backoff would outlast the deadline is not made.
 func TestBackoffWithinTimeLeft(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(4))
-	r.request("q", safe)
-	r.now += 2000 * ms
-	if acts := r.outcome("q", balancer.TimedOut, 2000*ms); final("q", acts) != "fail" {
+	h := newHarness(t, settings(), 1, endpoints(4))
+	h.request("q", idempotent)
+	h.now += 2000 * ms
+	if acts := h.outcome("q", balancer.TimedOut, 2000*ms); finalAnswer("q", acts) != "fail" {
 		t.Errorf("at the deadline: %v, want the final answer at once", acts)
 	}
 }
 
-// Where no limit binds, an attempt that is silent for longer than nearly all answers is followed by
-// another elsewhere, at a time-out's price, while it stays out; the loser is withdrawn.
-func TestSilenceIsTriedAgain(t *testing.T) {
+// Where no limit binds, a request whose attempt has no response for longer than nearly all take is hedged at
+// another endpoint, at the price of a time-out; the slower attempt is cancelled.
+func TestHedging(t *testing.T) {
 	s := settings()
 	s.Agents, s.AllowHedging, s.AllowCancel = 400, true, true
-	for _, class := range []int{safe, keyedAll, unsafe} {
-		r := newRig(t, s, 1, backends(6))
-		r.serve(60, class, 20*ms)
-		r.request("q", class)
-		r.advance(15 * ms)
-		if len(r.sent["q"]) != 1 {
+	for _, class := range []int{idempotent, keyedEverywhere, notIdempotent} {
+		h := newHarness(t, s, 1, endpoints(6))
+		h.serve(60, class, 20*ms)
+		h.request("q", class)
+		h.advance(15 * ms)
+		if len(h.sent["q"]) != 1 {
 			t.Fatalf("class %d: tried again after 15 ms", class)
 		}
-		r.advance(150 * ms)
-		if class == unsafe {
-			if len(r.sent["q"]) != 1 {
+		h.advance(150 * ms)
+		if class == notIdempotent {
+			if len(h.sent["q"]) != 1 {
 				t.Error("an unsafe request was sent twice")
 			}
 			continue
 		}
-		if len(r.sent["q"]) != 2 || r.sent["q"][0] == r.sent["q"][1] {
-			t.Fatalf("class %d: attempts at %v, want two on different backends", class, r.sent["q"])
+		if len(h.sent["q"]) != 2 || h.sent["q"][0] == h.sent["q"][1] {
+			t.Fatalf("class %d: attempts at %v, want two on different endpoints", class, h.sent["q"])
 		}
 		want := balancer.Cancel{Request: "q", Attempt: 0}
-		if acts := r.outcome("q", balancer.Served, 20*ms); !slices.Contains(acts, balancer.Action(want)) {
-			t.Errorf("class %d: the first attempt was not withdrawn: %v", class, acts)
+		if acts := h.outcome("q", balancer.Served, 20*ms); !slices.Contains(acts, balancer.Action(want)) {
+			t.Errorf("class %d: the first attempt was not cancelled: %v", class, acts)
 		}
 	}
 }
 
-// Refused clients are told to come back at spread times, within what they heed, and only where they
-// are shown it: those refused together must not return together.
-func TestRefusalsSpreadTheReturn(t *testing.T) {
+// Clients rejected together must not return together: the retry-after hints are spread, up to what clients heed,
+// where clients are shown them.
+func TestRetryAfterIsSpread(t *testing.T) {
 	advice := func(shown bool, most time.Duration) (waits []time.Duration) {
 		s := settings()
 		s.SendRetryAfter, s.MaxRetryAfter = shown, most
-		r := newRig(t, s, 3, backends(4))
+		h := newHarness(t, s, 3, endpoints(4))
 		for i := range 50 {
 			id := fmt.Sprint(i)
-			r.request(id, safe)
-			for _, a := range r.outcome(id, balancer.NotSent, 0) {
+			h.request(id, idempotent)
+			for _, a := range h.outcome(id, balancer.NotSent, 0) {
 				if a, ok := a.(balancer.Reject); ok {
 					waits = append(waits, a.RetryAfter)
 				}
 			}
-			r.now += 5 * ms
+			h.now += 5 * ms
 		}
 		if len(waits) != 50 {
-			t.Fatalf("%d refusals, want 50", len(waits))
+			t.Fatalf("%d rejections, want 50", len(waits))
 		}
 		return waits
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -12,14 +12,14 @@
 	"ashshunt/balancer"
 )
 
-// lie keeps a fact from the balancer under audit, which then breaks the rule that rests on it.
-type lie struct {
+// distortion keeps a fact from the balancer, which then breaks the rule that rests on it.
+type distortion struct {
 	settings func(*balancer.Settings)
 	event    func(balancer.Event) balancer.Event
 }
 
-// hostile feeds a balancer a legal but unkind order of events and audits it.
-func hostile(t *testing.T, seed uint64, steps int, lies ...lie) *auditor {
+// playHostile feeds a balancer a legal but unkind order of events, and audits it.
+func playHostile(t *testing.T, seed uint64, steps int, distortions ...distortion) *auditor {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := settings()
@@ -45,7 +45,7 @@
 	keys := 1 + rng.IntN(40)
 	told := s
 	told.Classes = slices.Clone(s.Classes)
-	for _, l := range lies {
+	for _, l := range distortions {
 		if l.settings != nil {
 			l.settings(&told)
 		}
@@ -63,7 +63,7 @@
 	var timers []timer
 	var open []balancer.Outcome // attempts that are out
 	due := map[string]time.Duration{}
-	pool := backends(8)
+	pool := endpoints(8)
 	next := 0
 	for range steps {
 		a.now += time.Duration(rng.IntN(30)) * ms / 4
@@ -102,7 +102,7 @@
 			o.Done = o.Result == balancer.Served || a.requests[o.Request].ended
 			events = append(events, o)
 			if rng.IntN(10) == 0 {
-				events = append(events, o) // told twice
+				events = append(events, o) // repeated
 			}
 		}
 		open = rest
@@ -139,7 +139,7 @@
 		for _, e := range events {
 			a.event(e)
 		}
-		for _, l := range lies {
+		for _, l := range distortions {
 			for i := range events {
 				if l.event != nil {
 					events[i] = l.event(events[i])
@@ -153,25 +153,25 @@
 				timers = append(timers, timer{a.now + act.After, act.Token})
 			case balancer.Send:
 				open = append(open, balancer.Outcome{Request: act.Request, Endpoint: act.Endpoint,
-					Attempt: len(a.requests[act.Request].sends) - 1})
+					Attempt: len(a.requests[act.Request].attempts) - 1})
 			}
 		}
-		a.overdue()
+		a.checkOverdue()
 	}
 	return a
 }
 
 func TestRulesUnderAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
-		a := hostile(t, seed, 600)
-		if len(a.faults) > 0 {
-			t.Fatalf("seed %d: %s", seed, strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
+		a := playHostile(t, seed, 600)
+		if len(a.violations) > 0 {
+			t.Fatalf("seed %d: %s", seed, strings.Join(a.violations[:min(3, len(a.violations))], "\n"))
 		}
 	}
 }
 
-// A balancer that does not know of a rule breaks it under the same play, and the auditor says so.
-func TestAuditorSeesEachRuleOff(t *testing.T) {
+// A balancer that does not know of a rule breaks it under the same events, and the auditor finds that.
+func TestAuditorFindsEachDistortion(t *testing.T) {
 	list := func(edit func(*balancer.Endpoint)) func(balancer.Event) balancer.Event {
 		return func(e balancer.Event) balancer.Event {
 			l, ok := e.(balancer.EndpointList)
@@ -193,29 +193,29 @@
 		}
 	}
 	tests := []struct {
-		name string
-		lie  lie
-		want string
+		name       string
+		distortion distortion
+		want       string
 	}{
-		{"no request lost", lie{event: func(e balancer.Event) balancer.Event {
+		{"no request lost", distortion{event: func(e balancer.Event) balancer.Event {
 			if _, ok := e.(balancer.TimerFired); ok {
 				return balancer.TimerFired{Token: -1}
 			}
 			return e
 		}}, "got no answer in time"},
-		{"no effect twice, unsafe", lie{settings: classes(func(c *balancer.Class) { c.Idempotency = balancer.Idempotent })}, "is unsafe"},
-		{"no effect twice, group", lie{settings: classes(func(c *balancer.Class) { c.DedupScope = balancer.DedupEverywhere })}, "outside its group"},
-		{"no effect twice, window", lie{settings: classes(func(c *balancer.Class) { c.DedupWindow = time.Hour })}, "after its window"},
-		{"drains kept", lie{event: list(func(b *balancer.Endpoint) { b.State = balancer.Serving })}, "drain or be gone"},
-		{"cold", lie{event: list(func(b *balancer.Endpoint) { b.Started = 0 })}, "is cold"},
-		{"order", lie{settings: classes(func(c *balancer.Class) { c.Ordered = false })}, "sent out of turn"},
-		{"order, rest", lie{settings: func(s *balancer.Settings) { s.KeyQuietPeriod = 0 }}, "while its key rests"},
-		{"full is no proof", lie{settings: func(s *balancer.Settings) { s.RejectedMayHaveRun = false }}, "is unsafe and may have run"},
+		{"no effect twice, not idempotent", distortion{settings: classes(func(c *balancer.Class) { c.Idempotency = balancer.Idempotent })}, "is not idempotent"},
+		{"no effect twice, scope", distortion{settings: classes(func(c *balancer.Class) { c.DedupScope = balancer.DedupEverywhere })}, "outside its scope"},
+		{"no effect twice, window", distortion{settings: classes(func(c *balancer.Class) { c.DedupWindow = time.Hour })}, "after its window"},
+		{"draining", distortion{event: list(func(b *balancer.Endpoint) { b.State = balancer.Serving })}, "draining or removed"},
+		{"slow start", distortion{event: list(func(b *balancer.Endpoint) { b.Started = 0 })}, "is warming up"},
+		{"order", distortion{settings: classes(func(c *balancer.Class) { c.Ordered = false })}, "sent out of turn"},
+		{"order, quiet period", distortion{settings: func(s *balancer.Settings) { s.KeyQuietPeriod = 0 }}, "in the quiet period of its key"},
+		{"rejected may have run", distortion{settings: func(s *balancer.Settings) { s.RejectedMayHaveRun = false }}, "is not idempotent and may have run"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 60; seed++ {
-				if strings.Contains(strings.Join(hostile(t, seed, 600, tt.lie).faults, "\n"), tt.want) {
+				if strings.Contains(strings.Join(playHostile(t, seed, 600, tt.distortion).violations, "\n"), tt.want) {
 					return
 				}
 			}
@@ -227,8 +227,8 @@
 func FuzzRulesUnderAnyOrder(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if a := hostile(t, seed, 400); len(a.faults) > 0 {
-			t.Fatal(strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
+		if a := playHostile(t, seed, 400); len(a.violations) > 0 {
+			t.Fatal(strings.Join(a.violations[:min(3, len(a.violations))], "\n"))
 		}
 	})
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -23,7 +23,7 @@
 		{"cold share above one", func(s *balancer.Settings) { s.ColdCapacity = 1.5 }, "ColdCapacity: 1.5"},
 		{"unknown effect", func(s *balancer.Settings) { s.Classes[2].Idempotency = 9 }, "Classes[2].Idempotency: 9"},
 		{"unknown group", func(s *balancer.Settings) { s.Classes[1].DedupScope = 7 }, "Classes[1].DedupScope: 7"},
-		{"no aim", func(s *balancer.Settings) { s.Classes[0].Objective = 0 }, "Classes[0].Objective: 0s"},
+		{"no objective", func(s *balancer.Settings) { s.Classes[0].Objective = 0 }, "Classes[0].Objective: 0s"},
 		{"key rest below zero", func(s *balancer.Settings) { s.KeyQuietPeriod = -ms }, "KeyQuietPeriod: -1ms"},
 		{"open limit below zero", func(s *balancer.Settings) { s.MaxOpen = -1 }, "MaxOpen: -1"},
 		{"price not a number", func(s *balancer.Settings) { s.WastePrice = math.NaN() }, "WastePrice: NaN"},
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -8,34 +8,34 @@
 	"ashshunt/balancer"
 )
 
-// A cold backend gets no more than its warmth times what a warm one serves.
-func TestColdShare(t *testing.T) {
-	list := backends(5)
+// An endpoint that warms up gets no more than its warm-up fraction times what a warm one serves.
+func TestSlowStartShare(t *testing.T) {
+	list := endpoints(5)
 	list[0].Started = time.Hour // the rig's clock starts here
-	r := newRig(t, settings(), 9, list)
-	counts := r.waves(1000, 10, safe, 20*ms) // the first 4 s of 10: warmth 0.2 to 0.52
+	h := newHarness(t, settings(), 9, list)
+	counts := h.waves(1000, 10, idempotent, 20*ms) // the first 4 s of 10: warmth 0.2 to 0.52
 	if warm := (1000 - counts["a"]) / 4; float64(counts["a"]) > 0.52*float64(warm)+2 {
-		t.Errorf("the cold backend got %d against %d for a warm one", counts["a"], warm)
+		t.Errorf("the warming endpoint got %d against %d for a warm one", counts["a"], warm)
 	}
 	if counts["a"] == 0 {
-		t.Error("the cold backend got nothing")
+		t.Error("the warming endpoint got nothing")
 	}
-	r.advance(10 * time.Second)
-	if n := r.waves(200, 10, safe, 20*ms)["a"]; n < 25 {
+	h.advance(10 * time.Second)
+	if n := h.waves(200, 10, idempotent, 20*ms)["a"]; n < 25 {
 		t.Errorf("once warm it got %d of 200", n)
 	}
 }
 
-// Incidents i37feae and i28e3f7: under overload a cold backend gets more than its sure share of
-// what a warm one serves, and stays well below the stated multiple of it.
-func TestColdShareUnderOverload(t *testing.T) {
-	list := backends(5)
-	r := newRig(t, settings(), 9, list)
+// Under overload it gets more than its sure share of what a warm one serves, and stays well below the allowed
+// multiple of it.
+func TestSlowStartShareUnderOverload(t *testing.T) {
+	list := endpoints(5)
+	h := newHarness(t, settings(), 9, list)
 	var out []string
 	counts := map[string]float64{}
 	answer := func(id string, latency time.Duration) {
-		counts[r.sent[id][0]]++
-		for _, a := range r.outcome(id, balancer.Served, latency) {
+		counts[h.sent[id][0]]++
+		for _, a := range h.outcome(id, balancer.Served, latency) {
 			if a, ok := a.(balancer.Send); ok {
 				out = append(out, a.Request)
 			}
@@ -43,11 +43,11 @@
 	}
 	drive := func(n int) { // each 5 ms: all answers of the cold one, one of the others, two requests
 		for range n {
-			r.advance(5 * ms)
+			h.advance(5 * ms)
 			was := out
 			out = nil
 			for i, id := range was {
-				if r.sent[id][0] == "a" && list[0].Started > 0 {
+				if h.sent[id][0] == "a" && list[0].Started > 0 {
 					answer(id, 5*ms)
 				} else if i == 0 {
 					answer(id, 50*ms)
@@ -56,8 +56,8 @@
 				}
 			}
 			for range 2 {
-				id := fmt.Sprint("q", len(r.sent), "-", r.now)
-				if r.request(id, safe); len(r.sent[id]) > 0 {
+				id := fmt.Sprint("q", len(h.sent), "-", h.now)
+				if h.request(id, idempotent); len(h.sent[id]) > 0 {
 					out = append(out, id)
 				}
 			}
@@ -65,91 +65,91 @@
 	}
 	for i := range 20 {
 		id := fmt.Sprint("first", i)
-		r.request(id, safe)
+		h.request(id, idempotent)
 		out = append(out, id)
 	}
 	drive(400)
-	list[0].Started = r.now
-	r.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: list[:1]})
+	list[0].Started = h.now
+	h.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: list[:1]})
 	clear(counts)
 	drive(400) // two seconds: warmth 0.2 to 0.36, 0.28 in the mean
 	warm := (counts["b"] + counts["c"] + counts["d"] + counts["e"]) / 4
 	share := counts["a"] / warm
 	if share < 0.28 || share > 0.28*2.5 {
-		t.Errorf("the cold backend served %.2f of a warm one's work", share)
+		t.Errorf("the warming endpoint served %.2f of a warm one's work", share)
 	}
 }
 
-// A heavy request alone could push a cold backend over.
-func TestColdGetsNoHeavyRequest(t *testing.T) {
-	list := backends(3)
-	r := newRig(t, settings(), 9, list)
+// A heavy request alone could overload an endpoint that warms up.
+func TestSlowStartGetsNoHeavyRequest(t *testing.T) {
+	list := endpoints(3)
+	h := newHarness(t, settings(), 9, list)
 	send := func(id string, work time.Duration) {
-		r.step(balancer.Request{ID: id, Class: safe, Timeout: 2000 * ms, Work: work})
-		r.now += 20 * ms
-		r.outcome(id, balancer.Served, 20*ms)
+		h.step(balancer.Request{ID: id, Class: idempotent, Timeout: 2000 * ms, Work: work})
+		h.now += 20 * ms
+		h.outcome(id, balancer.Served, 20*ms)
 	}
 	for i := range 100 {
 		send(fmt.Sprint("w", i), 20*ms)
 	}
-	r.step(balancer.EndpointList{Kind: balancer.ListDelta,
-		Endpoints: []balancer.Endpoint{{ID: "cold", Started: r.now}}})
+	h.step(balancer.EndpointList{Kind: balancer.ListDelta,
+		Endpoints: []balancer.Endpoint{{ID: "cold", Started: h.now}}})
 	for i := range 6 {
-		r.request(fmt.Sprint("busy", i), safe) // the warm ones are not idle
+		h.request(fmt.Sprint("busy", i), idempotent) // the warm ones are not idle
 	}
 	got := 0
 	for i := range 100 {
 		send(fmt.Sprint("l", i), 20*ms)
-		if h := fmt.Sprint("h", i); i%10 == 0 {
-			if send(h, 300*ms); r.sent[h][0] == "cold" {
-				t.Fatalf("heavy request %d went to the cold backend", i)
+		if heavy := fmt.Sprint("h", i); i%10 == 0 {
+			if send(heavy, 300*ms); h.sent[heavy][0] == "cold" {
+				t.Fatalf("heavy request %d went to the warming endpoint", i)
 			}
 		}
-		if r.sent[fmt.Sprint("l", i)][0] == "cold" {
+		if h.sent[fmt.Sprint("l", i)][0] == "cold" {
 			got++
 		}
 	}
 	if got == 0 {
-		t.Error("the cold backend got no light request either")
+		t.Error("the warming endpoint got no light request either")
 	}
 }
 
-// A backend that comes back before the list tells counts as cold.
-func TestRevivalIsCold(t *testing.T) {
-	r := newRig(t, settings(), 3, backends(3))
-	r.serve(60, safe, 20*ms)
+// An endpoint that restarts before the list says so warms up.
+func TestRestartedEndpointWarmsUp(t *testing.T) {
+	h := newHarness(t, settings(), 3, endpoints(3))
+	h.serve(60, idempotent, 20*ms)
 	for i := 0; ; i++ {
 		id := fmt.Sprint("d", i)
-		r.request(id, safe)
-		r.now += 20 * ms
-		if r.sent[id][0] == "a" {
-			r.outcome(id, balancer.ConnectFailed, 20*ms)
+		h.request(id, idempotent)
+		h.now += 20 * ms
+		if h.sent[id][0] == "a" {
+			h.outcome(id, balancer.ConnectFailed, 20*ms)
 			break
 		}
-		r.outcome(id, balancer.Served, 20*ms)
+		h.outcome(id, balancer.Served, 20*ms)
 	}
-	r.advance(2 * time.Second)
-	seen := r.waves(300, 6, safe, 20*ms)["a"]
+	h.advance(2 * time.Second)
+	seen := h.waves(300, 6, idempotent, 20*ms)["a"]
 	if seen == 0 || seen > 52 {
-		t.Errorf("after its return it got %d of 300, want a cold backend's share", seen)
+		t.Errorf("after its return it got %d of 300, want a warming endpoint's share", seen)
 	}
 }
 
-// Incident i37feae: a fleet that grows fivefold is cold; what it cannot take yet must
-// not land on the warm ones, nor all on one.
-func TestGrowthDoesNotLoadWarmOnes(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(4))
-	r.serve(100, safe, 50*ms)
-	grown := backends(20)
+// A fleet that grows fivefold warms up: what it cannot take yet must not go to the warm endpoints, nor all to
+// one.
+func TestGrowthDoesNotOverloadWarmEndpoints(t *testing.T) {
+	h := newHarness(t, settings(), 1, endpoints(4))
+	h.serve(100, idempotent, 50*ms)
+	grown := endpoints(20)
 	for i := 4; i < 20; i++ {
-		grown[i].Started = r.now
+		grown[i].Started = h.now
 	}
-	r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: grown})
+	h.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: grown})
 	warm := map[string]int{}
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
-		for _, b := range r.sent[id] {
+		h.request(id, idempotent)
+		for _, b := range h.sent[id] {
 			if b < "e" {
 				warm[b]++
 			}
@@ -161,26 +161,25 @@
 		}
 	}
 	if sum := warm["a"] + warm["b"] + warm["c"] + warm["d"]; sum > 60 {
-		t.Errorf("the four warm backends hold %d in flight", sum)
+		t.Errorf("the four warm endpoints hold %d in flight", sum)
 	}
 }
 
-// A newcomer does not get a request from every quiet agent at once: each first earns a random part of
-// its cost.
-func TestNewcomerIsNotRushed(t *testing.T) {
+// A new endpoint does not get a request from every quiet agent at once.
+func TestNewEndpointIsNotRushed(t *testing.T) {
 	sent := 0
 	for seed := uint64(1); seed <= 100; seed++ {
 		s := settings()
 		s.Agents = 100
-		r := newRig(t, s, seed, backends(2))
-		r.serve(20, safe, 20*ms)
-		r.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "z", Started: r.now}}})
-		r.now += 20 * ms
+		h := newHarness(t, s, seed, endpoints(2))
+		h.serve(20, idempotent, 20*ms)
+		h.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "z", Started: h.now}}})
+		h.now += 20 * ms
 		for i := range 7 {
-			r.request(fmt.Sprint("q", i), safe)
+			h.request(fmt.Sprint("q", i), idempotent)
 		}
 		for i := range 7 {
-			if len(r.sent[fmt.Sprint("q", i)]) > 0 && r.sent[fmt.Sprint("q", i)][0] == "z" {
+			if len(h.sent[fmt.Sprint("q", i)]) > 0 && h.sent[fmt.Sprint("q", i)][0] == "z" {
 				sent++
 				break
 			}
@@ -191,25 +190,24 @@
 	}
 }
 
-// Guards against a fleet that is all cold: with no warm backend to go by there was no rate for the others,
-// and nothing went out until the ramp was over.
-func TestAllColdStillServes(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(4))
-	r.serve(100, unsafe, 10*ms)
-	list := backends(4)
+// With no warm endpoint to go by, requests still go out.
+func TestAllWarmingUpStillServes(t *testing.T) {
+	h := newHarness(t, settings(), 1, endpoints(4))
+	h.serve(100, notIdempotent, 10*ms)
+	list := endpoints(4)
 	for i := range list {
-		list[i].Started = r.now
+		list[i].Started = h.now
 	}
-	r.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: list})
-	r.advance(3 * time.Second) // what was served before counts no longer
+	h.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: list})
+	h.advance(3 * time.Second) // what was served before counts no longer
 	sent := 0
 	for i := range 50 {
 		id := fmt.Sprint("q", i)
-		r.request(id, unsafe)
-		r.advance(20 * ms)
-		if len(r.sent[id]) > 0 {
+		h.request(id, notIdempotent)
+		h.advance(20 * ms)
+		if len(h.sent[id]) > 0 {
 			sent++
-			r.outcome(id, balancer.Served, 10*ms)
+			h.outcome(id, balancer.Served, 10*ms)
 		}
 	}
 	if sent < 25 {
@@ -217,14 +215,14 @@
 	}
 }
 
-// Guards against cold backends that all agents push over together, though none sends much, and against
-// newcomers that hardly get anything while what is left of the others is crowded.
-func TestColdBackendsBearAllAgentsTogether(t *testing.T) {
+// All agents together must not overload endpoints that warm up, though none sends much, nor leave them idle while
+// the others are crowded.
+func TestSlowStartByAllAgentsTogether(t *testing.T) {
 	s := settings()
 	s.ColdOverloadMultiple, s.ColdOverloadWindow, s.ColdCapacity, s.SlowStart = 3, 1500*ms, 0.32, 8600*ms
 	for _, tt := range []struct {
 		name          string
-		started, gone float64 // parts of the backends; of started ones at least one
+		started, gone float64 // parts of the endpoints; of started ones at least one
 		restart       bool
 		served        float64 // the least part
 	}{
@@ -240,20 +238,20 @@
 		for _, agents := range []int{20, 30, 350} {
 			t.Run(fmt.Sprintf("%s/%d agents", tt.name, agents), func(t *testing.T) {
 				t.Parallel()
-				f := fleetDay{agents: agents, backends: 30, restart: tt.restart, load: 0.7, work: 60 * ms,
-					turn: 4 * time.Second, length: 10 * time.Second}
+				f := fleetSimulation{agents: agents, endpoints: 30, restartAgents: tt.restart, load: 0.7, work: 60 * ms,
+					changeAt: 4 * time.Second, length: 10 * time.Second}
 				if agents > 100 {
-					f.backends = 60
+					f.endpoints = 60
 				}
-				f.started = max(1, int(tt.started*float64(f.backends)))
-				f.gone = min(int(tt.gone*float64(f.backends)), f.backends-f.started)
-				all, asked, served := f.play(t, s, uint64(agents))
+				f.started = max(1, int(tt.started*float64(f.endpoints)))
+				f.removed = min(int(tt.gone*float64(f.endpoints)), f.endpoints-f.started)
+				all, asked, served := f.run(t, s, uint64(agents))
 				worst := 0.0
 				for _, e := range all[:f.started] {
-					worst = max(worst, f.pressure(s, e))
+					worst = max(worst, f.overload(s, e))
 				}
 				if worst > 1 {
-					t.Errorf("a cold backend got %.2f times what the settings allow", worst)
+					t.Errorf("a warming endpoint got %.2f times what the settings allow", worst)
 				}
 				if part := float64(served) / float64(asked); part < tt.served {
 					t.Errorf("%.2f of the requests were served, want %.2f", part, tt.served)
