--- /dev/null
+++ b/balancer/outlier_test.go
@@ -0,0 +1,302 @@
+package balancer_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"ashshunt/balancer"
+)
+
+// An endpoint that fails fast is always idle; it must not draw the traffic.
+func TestFastFailureIsEjected(t *testing.T) {
+	h := newHarness(t, settings(), 4, endpoints(6))
+	bad := 0
+	for i := range 300 {
+		id := fmt.Sprint("q", i)
+		h.request(id, notIdempotent)
+		res, lat := balancer.Served, 30*ms
+		if h.sent[id][0] == "a" {
+			res, lat = balancer.ServerError, ms
+			bad++
+		}
+		h.now += lat
+		h.outcome(id, res, lat)
+	}
+	if bad > 6 {
+		t.Errorf("the failing endpoint got %d of 300", bad)
+	}
+	// Once it has recovered it gets traffic again, at first idempotent requests.
+	h.advance(20 * time.Second)
+	if counts := h.waves(408, 12, idempotent, 30*ms); counts["a"] < 20 {
+		t.Errorf("after healing it got %d of 400", counts["a"])
+	}
+}
+
+// An ejected endpoint must recover also where no class is idempotent.
+func TestEjectionEndsWithoutRepeatableClass(t *testing.T) {
+	s := settings()
+	s.Classes = s.Classes[notIdempotent : notIdempotent+1]
+	h := newHarness(t, s, 4, endpoints(3))
+	for i := 0; ; i++ {
+		id := fmt.Sprint("q", i)
+		h.request(id, 0)
+		h.now += 20 * ms
+		if h.sent[id][0] == "a" {
+			h.outcome(id, balancer.ServerError, 20*ms)
+			break
+		}
+		h.outcome(id, balancer.Served, 20*ms)
+	}
+	h.advance(5 * time.Second)
+	if counts := h.serve(200, 0, 30*ms); counts["a"] == 0 {
+		t.Error("an ejected endpoint never got traffic again")
+	}
+}
+
+// When all endpoints are ejected, first attempts still go out.
+func TestAllEjected(t *testing.T) {
+	s := settings()
+	s.MaxAttempts = 1
+	h := newHarness(t, s, 4, endpoints(2))
+	for i := range 10 {
+		id := fmt.Sprint("q", i)
+		h.request(id, idempotent)
+		if len(h.sent[id]) != 1 {
+			t.Fatalf("request %d was not sent", i)
+		}
+		h.now += ms
+		h.outcome(id, balancer.ServerError, ms)
+	}
+}
+
+// Attempts that hang at an unresponsive endpoint must not use up the capacity of the others once it is ejected.
+func TestHangingAttemptsUseNoCapacity(t *testing.T) {
+	s := settings()
+	s.MaxAttempts = 1
+	h := newHarness(t, s, 1, endpoints(3))
+	h.serve(60, idempotent, 20*ms)
+	h.now += ms
+	var hung []string
+	bad := ""
+	for i := range 18 {
+		id := fmt.Sprint("h", i)
+		h.request(id, idempotent)
+		if i == 0 {
+			bad = h.sent[id][0]
+		}
+		if len(h.sent[id]) == 1 && h.sent[id][0] == bad {
+			hung = append(hung, id)
+		}
+	}
+	if len(hung) < 3 {
+		t.Fatalf("only %v hang", hung)
+	}
+	h.now += 20 * ms
+	for i := range 18 {
+		if id := fmt.Sprint("h", i); len(h.sent[id]) == 1 && h.sent[id][0] != bad {
+			h.outcome(id, balancer.Served, 20*ms)
+		}
+	}
+	h.now += 100 * ms
+	h.outcome(hung[0], balancer.TimedOut, 120*ms)
+	n := 0
+	for i := range 40 {
+		id := fmt.Sprint("q", i)
+		h.request(id, idempotent)
+		for _, b := range h.sent[id] {
+			if n++; b == bad {
+				t.Errorf("%s went to the endpoint that answers nothing", id)
+			}
+		}
+	}
+	if n < 8 {
+		t.Errorf("%d in flight on the two that answer, want all of their capacity of 8", n)
+	}
+}
+
+// An attempt at an unresponsive endpoint must not use up the whole limit of a quiet agent until its client
+// leaves.
+func TestUnresponsiveEndpointTakesNoCapacity(t *testing.T) {
+	s := settings()
+	s.Agents = 5 // capacity for one
+	h := newHarness(t, s, 1, endpoints(6))
+	h.serve(60, notIdempotent, 10*ms)
+	h.request("hung", notIdempotent)
+	h.advance(150 * ms) // 0.35 of the objective, more than six mean latencies
+	h.request("next", idempotent)
+	if s := h.sent["next"]; len(s) != 1 || s[0] == h.sent["hung"][0] {
+		t.Errorf("the next request was sent to %v, want another endpoint than the silent %v", s, h.sent["hung"])
+	}
+}
+
+// An endpoint that leaves one class without response gets no more of it for a while, and keeps the others:
+// their responses show that the endpoint as a whole is healthy.
+func TestUnresponsiveForOneClass(t *testing.T) {
+	s := settings()
+	s.Agents, s.MaxAttempts = 400, 1
+	h := newHarness(t, s, 1, endpoints(2))
+	lost, kept := 0, 0
+	for i := range 200 {
+		u := fmt.Sprint("u", i)
+		h.request(u, notIdempotent)
+		for j := range 3 {
+			q := fmt.Sprint("q", i, "-", j)
+			h.request(q, idempotent)
+			h.now += 10 * ms
+			h.outcome(q, balancer.Served, 10*ms)
+			if h.sent[q][0] == "a" {
+				kept++
+			}
+		}
+		if h.sent[u][0] == "a" {
+			h.outcome(u, balancer.TimedOut, 30*ms)
+			lost++
+		} else {
+			h.outcome(u, balancer.Served, 10*ms)
+		}
+		h.now += 50 * ms
+	}
+	if lost > 21 || kept < 100 {
+		t.Errorf("%d of 200 of the class went unanswered, %d of 600 others were served there", lost, kept)
+	}
+}
+
+// The time-outs of clients that wait only a moment must not eject healthy endpoints, and the fast responses
+// alone that they get must not pass for the usual latency.
+func TestImpatientClientsTeachNothing(t *testing.T) {
+	h := newHarness(t, settings(), 1, endpoints(4))
+	h.serve(200, idempotent, 100*ms)
+	for i := 0; ; i++ {
+		id := fmt.Sprint("late", i)
+		h.step(balancer.Request{ID: id, Class: idempotent, Timeout: 100 * ms})
+		h.now += 100 * ms
+		if h.sent[id][0] == "a" {
+			h.outcome(id, balancer.TimedOut, 100*ms)
+			break
+		}
+		h.outcome(id, balancer.Served, 100*ms)
+	}
+	if n := h.waves(4, 4, idempotent, 100*ms)["a"]; n != 1 {
+		t.Errorf("after the time-out of a hasty client there, a got %d of 4 at once, want one", n)
+	}
+	for i := range 100 {
+		id := fmt.Sprint("fast", i)
+		h.step(balancer.Request{ID: id, Class: idempotent, Timeout: 100 * ms})
+		h.now += 10 * ms
+		h.outcome(id, balancer.Served, 10*ms)
+	}
+	// The usual latency is still known.
+	if h.step(balancer.Request{ID: "short", Class: idempotent, Timeout: 50 * ms}); len(h.sent["short"]) > 0 {
+		t.Error("50 ms left of a usual 100 ms: sent, as if fast answers to the hasty were the rule")
+	}
+	// But not for ever: it may be out of date, and requests that are not sent teach nothing.
+	h.now += time.Minute
+	if h.step(balancer.Request{ID: "later", Class: idempotent, Timeout: 50 * ms}); len(h.sent["later"]) != 1 {
+		t.Error("a minute after the last answer: not sent")
+	}
+}
+
+// Where all deadlines are far below the objectives the usual clients are not impatient: their time-outs find an
+// endpoint that hangs.
+func TestShortDeadlinesAreNotImpatience(t *testing.T) {
+	s := settings()
+	for i := range s.Classes {
+		s.Classes[i].Deadline = 100 * ms
+	}
+	h := newHarness(t, s, 1, endpoints(4))
+	hung := 0
+	for i := range 60 {
+		id := fmt.Sprint("q", i)
+		h.step(balancer.Request{ID: id, Class: notIdempotent, Timeout: 100 * ms})
+		if h.sent[id][0] == "a" {
+			hung++
+			h.now += 100 * ms
+			h.step(balancer.Outcome{Request: id, Endpoint: "a", Result: balancer.TimedOut, Latency: 100 * ms, Done: true})
+			continue
+		}
+		h.now += 10 * ms
+		h.outcome(id, balancer.Served, 10*ms)
+	}
+	if hung > 10 {
+		t.Errorf("%d of 60 went to an endpoint that hangs", hung)
+	}
+}
+
+// Errors that come from all endpoints alike must not eject any, nor lower the limit.
+func TestErrorsFromAllEndpointsAlike(t *testing.T) {
+	h := newHarness(t, settings(), 1, endpoints(4))
+	h.serve(200, notIdempotent, 10*ms)
+	for i := range 200 {
+		id := fmt.Sprint("q", i)
+		h.request(id, notIdempotent)
+		if len(h.sent[id]) != 1 {
+			t.Fatalf("request %d was not sent at once", i)
+		}
+		h.now += 10 * ms
+		if i%20 == 0 {
+			h.outcome(id, balancer.ServerError, 10*ms)
+		} else {
+			h.outcome(id, balancer.Served, 10*ms)
+		}
+	}
+	for i := range 16 { // as many as the limit lets out when all four count
+		id := fmt.Sprint("all", i)
+		if h.request(id, notIdempotent); len(h.sent[id]) != 1 {
+			t.Errorf("%d at once, want 16: endpoints are left out", i)
+			break
+		}
+	}
+}
+
+// One broken connection is no restart: the endpoint must not be taken for one that warms up.
+func TestOneResetIsNoRestart(t *testing.T) {
+	got := func(fails int) int {
+		h := newHarness(t, settings(), 1, endpoints(2))
+		h.waves(400, 2, notIdempotent, 10*ms)
+		for hit := 0; hit < fails; {
+			id := fmt.Sprint("q", len(h.sent))
+			h.request(id, notIdempotent)
+			h.now += 10 * ms
+			if h.sent[id][0] == "a" {
+				hit++
+				h.outcome(id, balancer.Reset, 10*ms)
+			} else {
+				h.outcome(id, balancer.Served, 10*ms)
+			}
+		}
+		h.advance(2 * time.Second)
+		return h.waves(400, 4, notIdempotent, 10*ms)["a"]
+	}
+	if one, more := got(1), got(3); one < 150 || more > one/2 {
+		t.Errorf("a got %d of 400 after one reset, %d after three in a row; want about half, and far less", one, more)
+	}
+}
+
+// Of eight endpoints, four of which answer every request with an error, one is ejected at a time, and the others
+// stay in use.
+func TestEjectionForErrorsIsBounded(t *testing.T) {
+	h := newHarness(t, settings(), 1, endpoints(8))
+	h.waves(400, 8, notIdempotent, 10*ms)
+	for i := range 300 {
+		id := fmt.Sprint("q", i)
+		h.request(id, notIdempotent)
+		h.now += ms
+		if h.sent[id][0] < "e" {
+			h.outcome(id, balancer.ServerError, ms)
+		} else {
+			h.outcome(id, balancer.Served, ms)
+		}
+	}
+	used := map[string]bool{}
+	for i := range 30 {
+		id := fmt.Sprint("all", i)
+		h.request(id, notIdempotent)
+		for _, b := range h.sent[id] {
+			used[b] = true
+		}
+	}
+	if len(used) < 7 {
+		t.Errorf("%d of 8 endpoints in use, want all but one", len(used))
+	}
+}
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -8,4 +8,6 @@
 const loadReportHeader = "X-Load-Report"
 
 // LoadReport reads the load report that the response carries, if any.
-func (r Response) LoadReport() balancer.LoadReport { return loadreport.Parse(r.Header.Get(loadReportHeader)) }
+func (r Response) LoadReport() balancer.LoadReport {
+	return loadreport.Parse(r.Header.Get(loadReportHeader))
+}
