--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -12,10 +12,11 @@
 
 	"ashshunt/balancer"
 	"ashshunt/internal/clock"
+	"ashshunt/internal/frontend"
 	"ashshunt/internal/testutil"
 )
 
-const id = "00000000000000a1"
+const id = testutil.RequestID
 
 func TestServed(t *testing.T) {
 	t.Parallel()
@@ -62,11 +63,11 @@
 			t.Fatalf("agent %d: healthz %d with backends known", i, resp.StatusCode)
 		}
 	}
-	a, _ := startWith(t, testutil.Config(t, down), func(a *Agent) { a.front.listed = time.Now() })
+	a, _ := startWith(t, testutil.Config(t, down), func(a *Agent) { a.frontend.Timeouts.EndpointList = 0 })
 	if resp, _ := ask(t, a, "GET", "/healthz", ""); resp.StatusCode != 200 {
 		t.Errorf("healthz %d with no backend known after the wait for a list", resp.StatusCode)
 	}
-	if wait := time.Until(newFront(testutil.Config(t, down), a.loop).listed); wait > 8*time.Second {
+	if wait := frontend.DefaultTimeouts().EndpointList; wait > 8*time.Second {
 		t.Errorf("that wait is %v", wait)
 	}
 }
@@ -101,41 +102,11 @@
 	}
 }
 
-// Guards against input that is no request: each is answered, none reaches a backend.
-func TestBadInput(t *testing.T) {
+// Guards against a bound on bodies, either way, that a request or its answer meets too early.
+func TestLargestBody(t *testing.T) {
 	t.Parallel()
 	p := testutil.NewServer(t, testutil.Echo)
-	a, _ := startWith(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
-		func(a *Agent) { a.front.linger = testutil.Timeout }) // a body that is turned away may take its time here
-	tests := []struct {
-		name, method, path, body string
-		head                     []string
-		want                     int
-	}{
-		{"unknown class", "GET", "/nothing", "", []string{"X-Call-Id", id, "X-Budget-Ms", "700"}, 404},
-		{"no class", "GET", "/", "", []string{"X-Call-Id", id, "X-Budget-Ms", "700"}, 404},
-		{"a class behind an empty part", "GET", "//look", "", []string{"X-Call-Id", id, "X-Budget-Ms", "700"}, 404},
-		{"no id", "GET", "/look", "", []string{"X-Budget-Ms", "700"}, 400},
-		{"a malformed id", "GET", "/look", "", []string{"X-Call-Id", "00000000000000g1", "X-Budget-Ms", "700"}, 400},
-		{"a long id", "GET", "/look", "", []string{"X-Call-Id", id + "0", "X-Budget-Ms", "700"}, 400},
-		{"no budget", "GET", "/look", "", []string{"X-Call-Id", id}, 400},
-		{"a budget with a unit", "GET", "/look", "", []string{"X-Call-Id", id, "X-Budget-Ms", "700ms"}, 400},
-		{"a negative budget", "GET", "/look", "", []string{"X-Call-Id", id, "X-Budget-Ms", "-1"}, 400},
-		{"no time", "GET", "/look", "", []string{"X-Call-Id", id, "X-Budget-Ms", "0"}, 400},
-		{"a huge budget", "GET", "/look", "", []string{"X-Call-Id", id, "X-Budget-Ms", "18446744073709551616"}, 400},
-		{"keyed without a key", "POST", "/hold", "x", []string{"X-Call-Id", id, "X-Budget-Ms", "700"}, 400},
-		{"a wrong method", "GET", "/settle", "", []string{"X-Call-Id", id, "X-Budget-Ms", "700"}, 405},
-		{"a body where there is none", "GET", "/look", "x", []string{"X-Call-Id", id, "X-Budget-Ms", "700"}, 400},
-		{"a large body", "POST", "/settle", strings.Repeat("x", maxBody+1), []string{"X-Call-Id", id, "X-Budget-Ms", "700"}, 413},
-	}
-	for _, tt := range tests {
-		if resp, _ := ask(t, a, tt.method, tt.path, tt.body, tt.head...); resp.StatusCode != tt.want {
-			t.Errorf("%s: status %d, want %d", tt.name, resp.StatusCode, tt.want)
-		}
-	}
-	if len(p.Received) != 0 {
-		t.Errorf("the backend got %d requests", len(p.Received))
-	}
+	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), nil)
 	most := strings.Repeat("x", maxBody-len("did ")) // its answer just fits as well
 	if resp, _ := ask(t, a, "POST", "/settle", most, "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 200 {
 		t.Errorf("the largest body: status %d", resp.StatusCode)
@@ -332,8 +303,10 @@
 		return nil
 	})
 	now = l.clock.Now()
-	r = &request{q: &call{id: id}, arrived: now, deadline: now + 6*time.Second, answer: make(chan answer, 1)}
-	l.take(arrival{r: r, event: balancer.Request{ID: id}})
+	client := frontend.NewRequest()
+	client.Event, client.Arrived, client.Deadline = balancer.Request{ID: id}, now, now+6*time.Second
+	l.take(arrival{r: client})
+	r = l.open[id]
 	now += late
 	l.step(now)
 	return r, now, left
@@ -347,7 +320,7 @@
 		if late <= time.Millisecond && r.cut != now+left {
 			t.Errorf("a step %v late: attempts end %v before the deadline that the module knows", late, now+left-r.cut)
 		}
-		if r.cut >= r.deadline-netMargin {
+		if r.cut >= r.client.Deadline-netMargin {
 			t.Errorf("a step %v late: attempts end after the safety net", late)
 		}
 	}
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"log/slog"
 	"math"
@@ -198,15 +197,3 @@
 	}
 	return simwire.LoadReport(usage)
 }
-
-// targetOf is the path and query as the client sent them, unchanged.
-func targetOf(r *http.Request) (*url.URL, error) {
-	if !strings.HasPrefix(r.RequestURI, "/") {
-		return r.URL, nil
-	}
-	path, query, _ := strings.Cut(r.RequestURI, "?")
-	if strings.HasPrefix(path, "//") {
-		return nil, fmt.Errorf("path %q", path)
-	}
-	return &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.RequestURI, "?")}, nil
-}
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -11,6 +11,7 @@
 
 	"ashshunt/balancer"
 	"ashshunt/internal/clock"
+	"ashshunt/internal/frontend"
 	"ashshunt/internal/testutil"
 )
 
@@ -182,7 +183,7 @@
 		second := dial(a, get(id))
 		leave(second) // which its system passes on at once, to a connection that the agent has not accepted yet
 		close(gate)
-		if status(t, first) != 200 {
+		if testutil.ReadStatus(t, first) != 200 {
 			t.Error("the first one was not served")
 		}
 		first.Close()
@@ -276,17 +277,19 @@
 		t.Fatal(err)
 	}
 	now := l.clock.Now()
-	arrive := func(id string) *request {
-		r := &request{q: &call{id: id}, arrived: now, deadline: now + time.Minute, answer: make(chan answer, 1)}
-		l.take(arrival{r: r, event: balancer.Request{ID: id}})
+	arrive := func(id string) *frontend.Request {
+		r := frontend.NewRequest()
+		r.Event, r.Arrived, r.Deadline = balancer.Request{ID: id}, now, now+time.Minute
+		l.take(arrival{r: r})
 		return r
 	}
-	first, twin := arrive(id), arrive(id)
+	client := arrive(id)
+	first, twin := l.open[id], arrive(id)
 	l.s.MaxOpen = 1
 	late := arrive(id[:15] + "2")
 	known := len(l.pending)
-	for _, r := range []*request{twin, late} {
-		if len(r.answer) != 1 {
+	for _, r := range []*frontend.Request{twin, late} {
+		if len(r.Response()) != 1 {
 			t.Error("not turned away at once")
 		}
 		l.take(departure{r: r})
@@ -294,7 +297,7 @@
 	if first.ended || l.taken != 1 || len(l.open) != 1 || len(l.pending) != known {
 		t.Errorf("the open request ended %v, %d taken, %d open, %d events more", first.ended, l.taken, len(l.open), len(l.pending)-known)
 	}
-	l.take(departure{r: first})
+	l.take(departure{r: client})
 	if !first.ended || l.taken != 0 || len(l.open) != 0 || len(l.timers) != 0 || len(l.pending) != known+1 {
 		t.Errorf("after its own leave: ended %v, %d taken, %d open, %d timers", first.ended, l.taken, len(l.open), len(l.timers))
 	}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -15,6 +15,7 @@
 	"ashshunt/internal/clock"
 	"ashshunt/internal/config"
 	"ashshunt/internal/endpoint"
+	"ashshunt/internal/frontend"
 )
 
 const (
@@ -70,12 +71,9 @@
 
 // request is one in the table: from its arrival until it is answered and its attempts are in.
 type request struct {
+	client   *frontend.Request
 	q        *call
-	class    int
-	arrived  time.Duration
-	deadline time.Duration
 	cut      time.Duration // as told to the module: attempts end then
-	answer   chan answer   // holds one
 	ended    bool
 	stop     context.CancelFunc   // tells attempts that it has ended
 	attempts []context.CancelFunc // by number; nil once its outcome is in
@@ -84,20 +82,10 @@
 	net      *timer // the safety net, until it has ended
 }
 
-// answer is the final answer to a client.
-type answer struct {
-	status     int
-	body       []byte
-	retryAfter time.Duration
-}
-
 // What reaches the loop besides the module's own events:
 type (
-	arrival struct {
-		r     *request
-		event balancer.Request
-	}
-	departure struct{ r *request } // its client has left
+	arrival   struct{ r *frontend.Request }
+	departure struct{ r *frontend.Request } // its client has left
 	outcome   struct {
 		r      *request
 		event  balancer.Outcome
@@ -144,6 +132,21 @@
 	}
 }
 
+// Submit implements frontend.EventLoop.
+func (l *Loop) Submit(r *frontend.Request) { l.post(arrival{r: r}) }
+
+// Abandon implements frontend.EventLoop.
+func (l *Loop) Abandon(r *frontend.Request) { l.post(departure{r: r}) }
+
+// Ready implements frontend.EventLoop.
+func (l *Loop) Ready() <-chan struct{} { return l.ready }
+
+// Done implements frontend.EventLoop.
+func (l *Loop) Done() <-chan struct{} { return l.done }
+
+// HasServingEndpoint implements frontend.EventLoop.
+func (l *Loop) HasServingEndpoint() bool { return l.back.table.AnyServing() }
+
 // Run steps the module until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
@@ -192,10 +195,7 @@
 	case arrival:
 		l.arrive(m)
 	case departure:
-		if !m.r.ended {
-			l.end(m.r)
-			l.pending = append(l.pending, balancer.Abandoned{Request: m.r.q.id})
-		}
+		l.abandon(m.r)
 	case outcome:
 		l.finish(m)
 	case drain:
@@ -211,23 +211,32 @@
 }
 
 func (l *Loop) arrive(m arrival) {
-	r := m.r
 	// What is not taken is over: should its client leave before it reads that, another one of this id is not meant.
-	if l.open[r.q.id] != nil {
-		r.ended = true
-		r.answer <- answer{status: http.StatusBadRequest, body: []byte("this id is open already\n")}
+	id := m.r.Event.ID
+	if l.open[id] != nil {
+		m.r.Respond(frontend.Response{Status: http.StatusBadRequest, Body: []byte("this id is open already\n")})
 		return
 	}
 	if l.s.MaxOpen > 0 && l.taken >= l.s.MaxOpen {
-		r.ended = true
-		r.answer <- answer{status: http.StatusServiceUnavailable}
+		m.r.Respond(frontend.Response{Status: http.StatusServiceUnavailable})
 		return
 	}
+	r := &request{client: m.r, q: &call{id: id, key: m.r.IdempotencyKey, method: m.r.Method, host: m.r.Host,
+		target: m.r.Target, body: m.r.Body, left: m.r.ClientGone}}
 	r.q.over, r.stop = context.WithCancel(context.Background())
-	l.open[r.q.id] = r
+	l.open[id] = r
 	l.taken++
 	l.guard(r)
-	l.pending = append(l.pending, m.event)
+	l.pending = append(l.pending, m.r.Event)
+}
+
+func (l *Loop) abandon(client *frontend.Request) {
+	r := l.open[client.Event.ID]
+	if r == nil || r.client != client || r.ended {
+		return
+	}
+	l.end(r)
+	l.pending = append(l.pending, balancer.Abandoned{Request: r.q.id})
 }
 
 // guard sets the safety net of a request, or sets it anew.
@@ -235,7 +244,7 @@
 	if r.ended {
 		return
 	}
-	at := r.deadline - netMargin
+	at := r.client.Deadline - netMargin
 	if l.until > 0 {
 		at = min(at, l.until)
 	}
@@ -267,8 +276,8 @@
 	}
 }
 
-func (l *Loop) reply(r *request, a answer) {
-	r.answer <- a
+func (l *Loop) reply(r *request, a frontend.Response) {
+	r.client.Respond(a)
 	l.end(r)
 }
 
@@ -280,7 +289,7 @@
 	r.out--
 	r.risky = r.risky || !m.event.Result.NeverRan() || l.s.RejectedMayHaveRun && m.event.Result == balancer.Rejected
 	if m.event.Result == balancer.Served && !r.ended {
-		l.reply(r, answer{status: http.StatusOK, body: m.answer.body})
+		l.reply(r, frontend.Response{Status: http.StatusOK, Body: m.answer.body})
 	}
 	m.event.Done = r.ended
 	l.forget(r)
@@ -302,7 +311,7 @@
 		if l.until == 0 {
 			l.log.Error("bug: no final answer by the deadline", "id", r.q.id, "attempts", len(r.attempts), "out", r.out)
 		}
-		l.reply(r, answer{status: http.StatusBadGateway})
+		l.reply(r, frontend.Response{Status: http.StatusBadGateway})
 		for _, cancel := range r.attempts {
 			if cancel != nil {
 				cancel()
@@ -321,10 +330,10 @@
 			r := l.open[q.ID]
 			// A step comes within a tick of an arrival. When the machine is late with it, the module must
 			// not take the delay for a client with less patience, which it reads as one that tries again.
-			q.Timeout = r.deadline - cutMargin - r.arrived - min(now-r.arrived, l.s.Tick)
+			q.Timeout = r.client.Deadline - cutMargin - r.client.Arrived - min(now-r.client.Arrived, l.s.Tick)
 			// An attempt that times out with the request must not do so before the module's deadline for
 			// that: the module would wait for another try that can't come, until the safety net answers.
-			r.cut = min(now+q.Timeout, r.deadline-2*netMargin)
+			r.cut = min(now+q.Timeout, r.client.Deadline-2*netMargin)
 			events[i] = q
 		}
 	}
@@ -363,7 +372,7 @@
 		l.refuse(a)
 	case balancer.Fail:
 		if r := l.open[a.Request]; r != nil && !r.ended {
-			l.reply(r, answer{status: http.StatusBadGateway})
+			l.reply(r, frontend.Response{Status: http.StatusBadGateway})
 		}
 	case balancer.SetTimer:
 		l.push(&timer{at: now + max(0, a.After), token: a.Token})
@@ -390,13 +399,13 @@
 		return
 	}
 	// Once an attempt may have run, a refusal would invite a repeat of its effect.
-	if c := l.s.Classes[r.class]; (r.risky || r.out > 0) && c.Idempotency != balancer.Idempotent &&
+	if c := l.s.Classes[r.client.Event.Class]; (r.risky || r.out > 0) && c.Idempotency != balancer.Idempotent &&
 		!(c.Idempotency == balancer.IdempotentWithKey && c.DedupScope == balancer.DedupEverywhere) {
 		l.log.Error("bug: refusal of a request that may have run", "id", a.Request)
-		l.reply(r, answer{status: http.StatusBadGateway})
+		l.reply(r, frontend.Response{Status: http.StatusBadGateway})
 		return
 	}
-	l.reply(r, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
+	l.reply(r, frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter})
 }
 
 // send starts an attempt. Every Send takes a number and gets exactly one outcome.
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -2,9 +2,8 @@
 
 import (
 	"context"
-	"io"
+	"net"
 	"net/http"
-	"strings"
 	"testing"
 	"time"
 
@@ -58,26 +57,19 @@
 // ask sends a request to an agent and returns the answer and its body.
 func ask(t *testing.T, a *Agent, method, path, body string, head ...string) (*http.Response, string) {
 	t.Helper()
-	r, err := http.NewRequest(method, "http://"+a.Addr().String()+path, strings.NewReader(body))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for i := 0; i < len(head); i += 2 {
-		r.Header.Set(head[i], head[i+1])
-	}
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testutil.Timeout}
-	resp, err := client.Do(r)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return resp, string(text)
+	return testutil.Do(t, a.Addr(), method, path, body, head...)
 }
 
+// dialRaw opens a connection to an agent and writes text to it.
+func dialRaw(t *testing.T, a *Agent, text string) net.Conn {
+	t.Helper()
+	return testutil.Dial(t, a.Addr(), text)
+}
+
+func get(id string) string { return testutil.Get(id) }
+
+func post(id, more string) string { return testutil.Post(id, more) }
+
 // count is the number of connections that are open.
 func (p *pool) count() int {
 	p.mu.Lock()
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -11,27 +11,9 @@
 
 	"ashshunt/balancer"
 	"ashshunt/internal/config"
-	"ashshunt/internal/socket"
 	"ashshunt/internal/testutil"
 )
 
-func get(id string) string {
-	return "GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 7000\r\n\r\n"
-}
-
-// answered reads one answer off a connection that may bring more.
-func answered(t *testing.T, in *bufio.Reader) *http.Response {
-	t.Helper()
-	resp, err := http.ReadResponse(in, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		t.Fatal(err)
-	}
-	return resp
-}
-
 // stoppable runs an agent until stop is called.
 func stoppable(t *testing.T, c *config.Config, prepare func(*Agent)) (a *Agent, logged *testutil.Log, stop func(), ended chan error) {
 	t.Helper()
@@ -64,7 +46,7 @@
 		func(a *Agent) { a.acceptFor = 3 * time.Second })
 	kept := dialRaw(t, a, get(id[:15]+"2"))
 	in := bufio.NewReader(kept)
-	if resp := answered(t, in); resp.StatusCode != 200 || resp.Close {
+	if resp := testutil.ReadResponse(t, in); resp.StatusCode != 200 || resp.Close {
 		t.Fatalf("before the stop: status %d, close %v", resp.StatusCode, resp.Close)
 	}
 	busy := dialRaw(t, a, get(id))
@@ -73,9 +55,8 @@
 		testutil.Receive(t, p.Received)
 	}
 	testutil.Eventually(t, "the connections to be taken", func() bool {
-		a.clients.mu.Lock()
-		defer a.clients.mu.Unlock()
-		return a.clients.open == 3 && a.clients.idle.Len() == 2
+		open, idle := a.frontend.Connections()
+		return open == 3 && idle == 2
 	})
 	stop()
 	if _, err := in.ReadByte(); err != io.EOF {
@@ -83,11 +64,11 @@
 	}
 	testutil.Eventually(t, "the drain", func() bool { return logged.Contains("draining") })
 	close(gate)
-	if resp := answered(t, bufio.NewReader(busy)); resp.StatusCode != 200 || !resp.Close {
+	if resp := testutil.ReadResponse(t, bufio.NewReader(busy)); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("under way as the stop came: status %d, close %v", resp.StatusCode, resp.Close)
 	}
 	io.WriteString(mute, get(id[:15]+"3")) // connected before the stop, and still on its way
-	if resp := answered(t, bufio.NewReader(mute)); resp.StatusCode != 200 || !resp.Close {
+	if resp := testutil.ReadResponse(t, bufio.NewReader(mute)); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a connection that had said nothing: status %d, close %v", resp.StatusCode, resp.Close)
 	}
 	if err := testutil.Receive(t, ended); err != nil {
@@ -95,70 +76,6 @@
 	}
 }
 
-// Guards against a stop, or a lack of room, that closes a connection under a request which has come but is not read
-// yet, or is being read: whichever of the two is first has the connection.
-func TestNoCloseUnderARequest(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	clients := newClients(l, 1)
-	clients.rest, clients.mute = 0, 0
-	defer clients.Close()
-	connect := func() (client net.Conn, c *clientConn) {
-		if client, err = net.Dial("tcp", l.Addr().String()); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { client.Close() })
-		nc, err := clients.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		c = nc.(*clientConn)
-		clients.note(c, http.StateNew)
-		return client, c
-	}
-	buf := make([]byte, 10)
-
-	client, c := connect()
-	io.WriteString(client, "request")
-	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(c.Conn) })
-	clients.drainAll()
-	if n, err := c.Read(buf); n != 7 || err != nil {
-		t.Fatalf("a request that waits to be read: %d bytes, %v", n, err)
-	}
-	clients.drainAll() // read, but net/http has not made a request of it yet
-	if _, ok := clients.room(time.Now()); ok {
-		t.Error("room was made of a connection whose request is being read")
-	}
-	io.WriteString(client, "more")
-	if n, err := c.Read(buf); n != 4 || err != nil {
-		t.Errorf("the rest of a request: %d bytes, %v", n, err)
-	}
-	c.Close()
-
-	client, c = connect()
-	clients.mu.Lock()
-	first := c.leave() // it was about to be closed as the request came
-	clients.mu.Unlock()
-	io.WriteString(client, "request")
-	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(c.Conn) })
-	if n, err := c.Read(buf); n != 0 || err == nil {
-		t.Errorf("read %d bytes of a connection that is out of use, %v", n, err)
-	}
-	if !first || c.leave() {
-		t.Error("a connection is to be shut once")
-	}
-	c.shut()
-
-	_, c = connect()
-	clients.note(c, http.StateActive)
-	clients.note(c, http.StateIdle) // its answer was on its way out as the drain began
-	if !c.gone || clients.open != 0 {
-		t.Errorf("at rest in a drain: gone %v, %d open", c.gone, clients.open)
-	}
-}
-
 // Guards against losing a request that waits for its backoff as the stop comes.
 func TestStopAtBackoff(t *testing.T) {
 	t.Parallel()
@@ -199,7 +116,7 @@
 	c := dialRaw(t, a, get(id))
 	testutil.Receive(t, failed)
 	stop()
-	if resp := answered(t, bufio.NewReader(c)); resp.StatusCode != 200 || !resp.Close {
+	if resp := testutil.ReadResponse(t, bufio.NewReader(c)); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("at backoff as the stop came: status %d, close %v", resp.StatusCode, resp.Close)
 	}
 	if err := testutil.Receive(t, ended); err != nil {
--- a/internal/agent/front.go
+++ b/internal/frontend/handler.go
@@ -1,8 +1,10 @@
-package agent
+package frontend
 
 import (
+	"fmt"
 	"io"
 	"net/http"
+	"net/url"
 	"os"
 	"slices"
 	"strconv"
@@ -11,40 +13,38 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/clock"
 	"ashshunt/internal/config"
 	"ashshunt/internal/socket"
 )
 
 const (
-	// bodyTime is how long a request's body may take to come, once its head is there.
-	bodyTime = 2 * time.Second
-	// lingerTime is how long the rest of a request is read that was turned away, and lingerMost so much of it.
-	lingerTime = 100 * time.Millisecond
+	// lingerMost is how much of the rest of a request is read that was turned away.
 	lingerMost = 256 << 10
 	// lookEvery is how often a client is looked after that net/http may not see leave.
 	lookEvery = 100 * time.Millisecond
-	// listWithin is how long an agent that knows no backend waits for discovery before it says that it is ready all
-	// the same: while discovery is down, its refusals are a better answer to the application than silence.
-	listWithin = 5 * time.Second
 	// maxBudget is the longest that a client may be willing to wait.
 	maxBudget = time.Hour
+	// maxBody bounds a request's body, in bytes.
+	maxBody = 64 << 10
 )
 
 // front answers the application.
 type front struct {
-	loop     *Loop
+	loop     EventLoop
+	clock    clock.Clock
 	classes  map[string]int
 	tenants  []string
 	settings balancer.Settings
 	draining atomic.Bool
-	linger   time.Duration // see lingerTime
-	crowded  func() bool   // whether clients' connections run short
-	listed   time.Time     // ready from then on, with a list or without
+	timeouts *Timeouts
+	crowded  func() bool // whether clients' connections run short
+	created  time.Time
 }
 
-func newFront(c *config.Config, loop *Loop) *front {
-	f := &front{loop: loop, classes: map[string]int{}, tenants: c.Names.Tenants, settings: c.Settings, linger: lingerTime,
-		listed: time.Now().Add(listWithin)}
+func newFront(c *config.Config, clock clock.Clock, loop EventLoop, timeouts *Timeouts) *front {
+	f := &front{loop: loop, clock: clock, classes: map[string]int{}, tenants: c.Names.Tenants, settings: c.Settings,
+		timeouts: timeouts, created: time.Now()}
 	for i, name := range c.Names.Classes {
 		f.classes[name] = i
 	}
@@ -68,48 +68,49 @@
 		f.turnAway(w, r, status, why)
 		return
 	}
-	q := &call{id: event.ID, key: r.Header.Get("Idempotency-Key"), method: r.Method, host: r.Host}
+	q := NewRequest()
+	q.IdempotencyKey, q.Method, q.Host = r.Header.Get("Idempotency-Key"), r.Method, r.Host
 	var err error
-	if q.target, err = targetOf(r); err != nil {
+	if q.Target, err = targetOf(r); err != nil {
 		f.turnAway(w, r, http.StatusBadRequest, err.Error())
 		return
 	}
 	client := clientOf(r)
 	if r.ContentLength != 0 {
-		if q.body, err = readBody(client, r); err != nil {
+		if q.Body, err = readBody(client, r, f.timeouts.ReadBody); err != nil {
 			f.turnAway(w, r, http.StatusBadRequest, "bad body")
 			return
 		}
 		arrived = time.Now() // a request's time counts from its last byte
 	}
-	q.left = func() bool { left, flooded := socket.PeerClosed(client.Conn); return left || flooded }
+	q.ClientGone = func() bool { left, flooded := socket.PeerClosed(client.Conn); return left || flooded }
 	if left, flooded := socket.PeerClosed(client.Conn); left {
 		panic(http.ErrAbortHandler) // while it waited to be read
 	} else if flooded {
 		f.turnAway(w, r, http.StatusBadRequest, "too much behind a request")
 		return
 	}
-	at := f.loop.clock.At(arrived)
-	req := &request{q: q, class: event.Class, arrived: at, deadline: at + event.Timeout, answer: make(chan answer, 1)}
-	f.loop.post(arrival{r: req, event: event})
-	f.await(w, r, client, req)
+	q.Event, q.Arrived = event, f.clock.At(arrived)
+	q.Deadline = q.Arrived + event.Timeout
+	f.loop.Submit(q)
+	f.await(w, r, client, q)
 }
 
 // await answers a request that the loop has been handed. net/http looks for a client that leaves until it has
 // read a byte behind the request; beyond that, its connection is looked at now and then.
-func (f *front) await(w http.ResponseWriter, r *http.Request, client *clientConn, req *request) {
+func (f *front) await(w http.ResponseWriter, r *http.Request, client *clientConn, req *Request) {
 	look := time.NewTicker(lookEvery)
 	defer look.Stop()
 	left, flooded := false, false
 	for !left && !flooded {
 		select {
-		case a := <-req.answer:
+		case a := <-req.response:
 			if f.draining.Load() || f.crowded() { // it stops soon: the client's next goes to a new process
 				w.Header().Set("Connection", "close")
 			}
 			write(w, a)
 			return
-		case <-f.loop.done:
+		case <-f.loop.Done():
 			w.WriteHeader(http.StatusBadGateway)
 			return
 		case <-r.Context().Done():
@@ -118,7 +119,7 @@
 			left, flooded = socket.PeerClosed(client.Conn)
 		}
 	}
-	f.loop.post(departure{r: req})
+	f.loop.Abandon(req)
 	if flooded && !left {
 		f.turnAway(w, r, http.StatusBadRequest, "too much behind a request")
 		return
@@ -128,8 +129,8 @@
 
 func (f *front) health(w http.ResponseWriter) {
 	select {
-	case <-f.loop.ready:
-		if !f.draining.Load() && (f.loop.back.table.AnyServing() || !time.Now().Before(f.listed)) {
+	case <-f.loop.Ready():
+		if !f.draining.Load() && (f.loop.HasServingEndpoint() || time.Since(f.created) >= f.timeouts.EndpointList) {
 			io.WriteString(w, "ok\n")
 			return
 		}
@@ -157,7 +158,7 @@
 // is read all the same, since a close on unread bytes resets the connection and takes the answer along.
 func (f *front) turnAway(w http.ResponseWriter, r *http.Request, status int, why string) {
 	c := http.NewResponseController(w)
-	c.SetReadDeadline(time.Now().Add(f.linger))
+	c.SetReadDeadline(time.Now().Add(f.timeouts.Linger))
 	w.Header().Set("Connection", "close")
 	http.Error(w, why, status)
 	c.Flush()
@@ -236,8 +237,8 @@
 
 // readBody reads a body whose length is known to fit. One that takes too long costs the connection. No read deadline
 // bounds it, which might pass just as the body is whole and be held for the client's leave.
-func readBody(client *clientConn, r *http.Request) ([]byte, error) {
-	late := time.AfterFunc(bodyTime, func() { client.Close() })
+func readBody(client *clientConn, r *http.Request, timeout time.Duration) ([]byte, error) {
+	late := time.AfterFunc(timeout, func() { client.Close() })
 	body := make([]byte, r.ContentLength)
 	_, err := io.ReadFull(r.Body, body)
 	if !late.Stop() {
@@ -246,13 +247,25 @@
 	return body, err
 }
 
-func write(w http.ResponseWriter, a answer) {
+func write(w http.ResponseWriter, a Response) {
 	h := w.Header()
 	h["Content-Type"] = []string{"application/octet-stream"}
-	h["Content-Length"] = []string{strconv.Itoa(len(a.body))}
-	if a.retryAfter > 0 {
-		h["Retry-After"] = []string{strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64)}
+	h["Content-Length"] = []string{strconv.Itoa(len(a.Body))}
+	if a.RetryAfter > 0 {
+		h["Retry-After"] = []string{strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64)}
 	}
-	w.WriteHeader(a.status)
-	w.Write(a.body) // an error here means that the client has gone
+	w.WriteHeader(a.Status)
+	w.Write(a.Body) // an error here means that the client has gone
+}
+
+// targetOf is the path and query as the client sent them, unchanged.
+func targetOf(r *http.Request) (*url.URL, error) {
+	if !strings.HasPrefix(r.RequestURI, "/") {
+		return r.URL, nil
+	}
+	path, query, _ := strings.Cut(r.RequestURI, "?")
+	if strings.HasPrefix(path, "//") {
+		return nil, fmt.Errorf("path %q", path)
+	}
+	return &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.RequestURI, "?")}, nil
 }
--- a/internal/agent/clients.go
+++ b/internal/frontend/listener.go
@@ -1,4 +1,4 @@
-package agent
+package frontend
 
 import (
 	"container/list"
@@ -11,21 +11,13 @@
 	"ashshunt/internal/socket"
 )
 
-// restTime is how long a connection must have been without an open request before it may be closed to
-// make room. One that has never said a word is no usual client's after mutePause: those connect to ask.
-const (
-	restTime  = 2 * time.Second
-	mutePause = 250 * time.Millisecond
-)
-
 // clients is a listener that bounds the connections it has given out, since every one holds a
 // descriptor: clients that say nothing, or ask once and stay, would take them all. When short, it closes
 // the one that has been without an open request for longest.
 type clients struct {
 	net.Listener
-	limit int // 0: no limit
-	rest  time.Duration
-	mute  time.Duration
+	limit    int // 0: no limit
+	timeouts *Timeouts
 
 	mu    sync.Mutex
 	open  int
@@ -56,8 +48,8 @@
 // clientOf is the connection on which a request came.
 func clientOf(r *http.Request) *clientConn { return r.Context().Value(clientKey{}).(*clientConn) }
 
-func newClients(l net.Listener, limit int) *clients {
-	return &clients{Listener: l, limit: limit, rest: restTime, mute: mutePause, idle: list.New(),
+func newClients(l net.Listener, limit int, timeouts *Timeouts) *clients {
+	return &clients{Listener: l, limit: limit, timeouts: timeouts, idle: list.New(),
 		left: make(chan struct{}, 1), ended: make(chan struct{})}
 }
 
@@ -110,14 +102,14 @@
 		l.mu.Unlock()
 		return 0, true
 	}
-	wait = l.rest
+	wait = l.timeouts.ReclaimIdle
 	var victim *clientConn
 	for e, next := l.idle.Front(), (*list.Element)(nil); e != nil && victim == nil; e = next {
 		next = e.Next()
 		c := e.Value.(*clientConn)
-		need := l.rest
+		need := l.timeouts.ReclaimIdle
 		if !c.spoke {
-			need = l.mute
+			need = l.timeouts.ReclaimUnused
 		}
 		if idle := now.Sub(c.since); idle < need {
 			wait = min(wait, need-idle)
--- /dev/null
+++ b/internal/frontend/request.go
@@ -0,0 +1,54 @@
+package frontend
+
+import (
+	"net/url"
+	"time"
+
+	"ashshunt/balancer"
+)
+
+// Request is a client's request that was read whole and found well-formed.
+type Request struct {
+	Event          balancer.Request // what the decision module is told of it
+	IdempotencyKey string
+	Method         string
+	Host           string
+	Target         *url.URL
+	Body           []byte
+	Arrived        time.Duration // on the agent's clock: when its last byte had come
+	Deadline       time.Duration // on the agent's clock
+	// ClientGone reports whether the client has closed its connection, which the event loop may not know yet.
+	ClientGone func() bool
+
+	response chan Response
+}
+
+// NewRequest returns an empty request that can be responded to.
+func NewRequest() *Request { return &Request{response: make(chan Response, 1)} }
+
+// Respond sets the response to the client. It never blocks; it must be called once at most.
+func (r *Request) Respond(response Response) { r.response <- response }
+
+// Response is where the response arrives.
+func (r *Request) Response() <-chan Response { return r.response }
+
+// Response is the final answer to a client.
+type Response struct {
+	Status     int
+	Body       []byte
+	RetryAfter time.Duration // 0: none
+}
+
+// EventLoop is what the frontend needs of the agent's event loop.
+type EventLoop interface {
+	// Submit hands over a request, which gets one response.
+	Submit(*Request)
+	// Abandon reports that a request's client has gone: nobody waits for the response.
+	Abandon(*Request)
+	// Ready is closed once the loop has taken its first step.
+	Ready() <-chan struct{}
+	// Done is closed when the loop has ended: no response comes any more.
+	Done() <-chan struct{}
+	// HasServingEndpoint reports whether some endpoint may get requests.
+	HasServingEndpoint() bool
+}
--- /dev/null
+++ b/internal/frontend/server.go
@@ -0,0 +1,113 @@
+// Package frontend is the application's side of the agent: it accepts connections, reads and checks requests, hands
+// them to the event loop and writes the responses.
+package frontend
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"net/http"
+	"time"
+
+	"ashshunt/internal/clock"
+	"ashshunt/internal/config"
+)
+
+const maxHeaderBytes = 8 << 10
+
+// Timeouts bound how long clients may take, and how long their connections are kept.
+type Timeouts struct {
+	// ReadHeader is how long a request's head may take to come, and the first one on a new connection.
+	ReadHeader time.Duration
+	// ReadBody is how long a request's body may take to come, once its head is there.
+	ReadBody time.Duration
+	// Idle ends a connection that has had no request for so long. Clients hold a third of the descriptors at most:
+	// those that ask once and stay would leave the others none.
+	Idle time.Duration
+	// ReclaimIdle is how long a connection must have been without an open request before it may be closed to free
+	// its descriptor for another one.
+	ReclaimIdle time.Duration
+	// ReclaimUnused is the same for a connection that has never had a request: clients connect to send one.
+	ReclaimUnused time.Duration
+	// Linger is how long the rest of a rejected request is read before its connection is closed.
+	Linger time.Duration
+	// EndpointList is how long an agent that knows no endpoint waits for discovery before it says that it is ready
+	// all the same: while discovery is down, its rejections are a better answer to the application than silence.
+	EndpointList time.Duration
+}
+
+// DefaultTimeouts returns the timeouts used in service.
+func DefaultTimeouts() Timeouts {
+	const reclaimIdle = 2 * time.Second
+	return Timeouts{
+		ReadHeader:    2500 * time.Millisecond,
+		ReadBody:      2 * time.Second,
+		Idle:          reclaimIdle + 100*time.Millisecond,
+		ReclaimIdle:   reclaimIdle,
+		ReclaimUnused: 250 * time.Millisecond,
+		Linger:        100 * time.Millisecond,
+		EndpointList:  5 * time.Second,
+	}
+}
+
+// Server accepts the application's connections and answers its requests.
+type Server struct {
+	Timeouts Timeouts // may be changed until Serve is called
+
+	listener *clients
+	handler  *front
+	http     *http.Server
+}
+
+// NewServer returns a server for the connections of a listener. It answers once Serve is called.
+func NewServer(listener net.Listener, c *config.Config, clock clock.Clock, loop EventLoop, log *slog.Logger) *Server {
+	s := &Server{Timeouts: DefaultTimeouts()}
+	s.listener = newClients(listener, c.ClientConnections(), &s.Timeouts)
+	s.handler = newFront(c, clock, loop, &s.Timeouts)
+	s.handler.crowded = s.listener.crowded
+	s.http = &http.Server{
+		Handler:        s.handler,
+		ConnState:      s.listener.note,
+		ConnContext:    withClient,
+		MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
+	}
+	return s
+}
+
+// Addr is the address that the server listens on.
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
+
+// Serve answers requests until StopAccepting or Close is called.
+func (s *Server) Serve() error {
+	s.http.ReadHeaderTimeout = s.Timeouts.ReadHeader
+	s.http.IdleTimeout = s.Timeouts.Idle
+	return s.http.Serve(s.listener)
+}
+
+// StartShutdown has each response close its connection from now on, and the health endpoint answer that the agent
+// is not ready.
+func (s *Server) StartShutdown() { s.handler.draining.Store(true) }
+
+// CloseUsedIdle closes the connections that have had a request and are without an open one, and from now on each as
+// its response is out. Those that have not had one yet stay: who connects now is about to send one.
+func (s *Server) CloseUsedIdle() { s.listener.drain() }
+
+// CloseAllIdle closes all connections that are without an open request.
+func (s *Server) CloseAllIdle() { s.listener.drainAll() }
+
+// StopAccepting closes the listener. Open connections are not touched.
+func (s *Server) StopAccepting() error { return s.listener.Close() }
+
+// WaitUntilEmpty waits until no connection is open, or ctx ends.
+func (s *Server) WaitUntilEmpty(ctx context.Context) { s.listener.empty(ctx) }
+
+// Close closes the listener and all connections.
+func (s *Server) Close() error { return s.http.Close() }
+
+// Connections returns how many connections are open, and how many of these are without an open request.
+func (s *Server) Connections() (open, idle int) {
+	s.listener.mu.Lock()
+	defer s.listener.mu.Unlock()
+	return s.listener.open, s.listener.idle.Len()
+}
--- /dev/null
+++ b/internal/frontend/server_test.go
@@ -0,0 +1,58 @@
+package frontend
+
+import (
+	"net"
+	"net/http"
+	"sync/atomic"
+	"testing"
+
+	"ashshunt/internal/clock"
+	"ashshunt/internal/config"
+	"ashshunt/internal/testutil"
+)
+
+// fakeLoop is an event loop that answers each request by itself.
+type fakeLoop struct {
+	answer    func(*Request)
+	submitted atomic.Int32
+	ready     chan struct{}
+	done      chan struct{}
+}
+
+func (l *fakeLoop) Submit(r *Request) {
+	l.submitted.Add(1)
+	go l.answer(r)
+}
+func (l *fakeLoop) Abandon(*Request)         {}
+func (l *fakeLoop) Ready() <-chan struct{}   { return l.ready }
+func (l *fakeLoop) Done() <-chan struct{}    { return l.done }
+func (l *fakeLoop) HasServingEndpoint() bool { return true }
+
+// echo answers with the body of the request.
+func echo(r *Request) {
+	r.Respond(Response{Status: http.StatusOK, Body: append([]byte("did "), r.Body...)})
+}
+
+// startServer runs a server until the test ends. prepare, if there is one, may change it first.
+func startServer(t *testing.T, c *config.Config, answer func(*Request), prepare func(*Server)) (*Server, *fakeLoop) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	loop := &fakeLoop{answer: answer, ready: make(chan struct{}), done: make(chan struct{})}
+	close(loop.ready)
+	server := NewServer(listener, c, clock.New(), loop, testutil.NewLogger(&testutil.Log{}))
+	if prepare != nil {
+		prepare(server)
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- server.Serve() }()
+	t.Cleanup(func() {
+		if err := server.Close(); err != nil {
+			t.Error("Close:", err)
+		}
+		<-ended
+	})
+	return server, loop
+}
