--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -90,11 +90,11 @@
 	}
 	testutil.Receive(t, d.Watches)
 	d.Say <- `{"version":2,"full":true,"servers":[` + strings.Join(list, ",") + `]}`
-	testutil.Eventually(t, "the list", func() bool { _, ok := a.loop.back.table.Serving(fmt.Sprint("s", 2*size-1)); return ok })
+	testutil.Eventually(t, "the list", func() bool { _, ok := a.loop.table.Serving(fmt.Sprint("s", 2*size-1)); return ok })
 	if resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	if n := a.loop.back.pool.count(); n > 1 {
+	if n := a.loop.upstream.OpenConnections(); n > 1 {
 		t.Errorf("%d connections for one request", n)
 	}
 	if n := runtime.NumGoroutine() - before; n > size/2 { // other tests run beside this one
@@ -107,6 +107,7 @@
 	t.Parallel()
 	p := testutil.NewServer(t, testutil.Echo)
 	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), nil)
+	const maxBody = 64 << 10
 	most := strings.Repeat("x", maxBody-len("did ")) // its answer just fits as well
 	if resp, _ := ask(t, a, "POST", "/settle", most, "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 200 {
 		t.Errorf("the largest body: status %d", resp.StatusCode)
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -13,6 +13,7 @@
 	"ashshunt/internal/clock"
 	"ashshunt/internal/frontend"
 	"ashshunt/internal/testutil"
+	"ashshunt/internal/upstream"
 )
 
 // leaves are the ways in which a client leaves. net/http sees no end behind bytes that follow the request.
@@ -117,7 +118,7 @@
 		c := dial(a, get(id))
 		testutil.Receive(t, busy)
 		leave(c)
-		testutil.Eventually(t, "the leave", a.loop.open[id].q.left) // the loop is held, nothing else is in the table
+		testutil.Eventually(t, "the leave", a.loop.open[id].q.ClientGone) // the loop is held, nothing else is in the table
 		close(gate)
 		if res := testutil.Receive(t, ended); res != balancer.NotSent {
 			t.Errorf("result %d of a send after its client had left", res)
@@ -134,12 +135,15 @@
 		p := testutil.NewServer(t, testutil.Echo)
 		dialling, gate := make(chan struct{}, 10), make(chan struct{})
 		told, ended := make(chan struct{}, 10), make(chan balancer.Outcome, 10)
-		a, _ := startWith(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), func(a *Agent) {
-			a.loop.back.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
+		c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING"))
+		a, _ := startWith(t, c, func(a *Agent) {
+			options := upstreamOptions(c, a.loop.table, a.log)
+			options.DialControl = func(_, _ string, _ syscall.RawConn) error {
 				dialling <- struct{}{}
 				<-gate
 				return nil
 			}
+			a.loop.upstream = upstream.New(options)
 			a.loop.bal = script(func(_ time.Duration, e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
 				case balancer.Request:
@@ -156,9 +160,9 @@
 				return nil
 			})
 		})
-		c := dial(a, get(id))
+		conn := dial(a, get(id))
 		testutil.Receive(t, dialling)
-		leave(c)
+		leave(conn)
 		testutil.Receive(t, told)
 		close(gate)
 		if e := testutil.Receive(t, ended); e.Result != balancer.NotSent || !e.Done {
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -9,6 +9,7 @@
 
 	"ashshunt/balancer"
 	"ashshunt/internal/config"
+	"ashshunt/internal/discovery"
 	"ashshunt/internal/testutil"
 )
 
@@ -70,9 +71,9 @@
 
 func post(id, more string) string { return testutil.Post(id, more) }
 
-// count is the number of connections that are open.
-func (p *pool) count() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.open
+// changeDiscovery has an agent use discovery with changed options.
+func changeDiscovery(a *Agent, c *config.Config, change func(*discovery.Options)) {
+	options := a.loop.discoveryOptions(c)
+	change(&options)
+	a.loop.discovery = discovery.New(options)
 }
