--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -31,7 +31,7 @@
 		{"keyed without a key", "POST", "/hold", "x", []string{"X-Call-Id", id, "X-Budget-Ms", "700"}, 400},
 		{"a wrong method", "GET", "/settle", "", []string{"X-Call-Id", id, "X-Budget-Ms", "700"}, 405},
 		{"a body where there is none", "GET", "/look", "x", []string{"X-Call-Id", id, "X-Budget-Ms", "700"}, 400},
-		{"a large body", "POST", "/settle", strings.Repeat("x", maxBody+1), []string{"X-Call-Id", id, "X-Budget-Ms", "700"}, 413},
+		{"a large body", "POST", "/settle", strings.Repeat("x", maxBodyBytes+1), []string{"X-Call-Id", id, "X-Budget-Ms", "700"}, 413},
 	}
 	for _, tt := range tests {
 		if resp, _ := testutil.Do(t, s.Addr(), tt.method, tt.path, tt.body, tt.head...); resp.StatusCode != tt.want {
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -14,50 +14,50 @@
 // clients is a listener that bounds the connections it has given out, since every one holds a
 // descriptor: clients that say nothing, or ask once and stay, would take them all. When short, it closes
 // the one that has been without an open request for longest.
-type clients struct {
+type connectionListener struct {
 	net.Listener
 	limit    int // 0: no limit
 	timeouts *Timeouts
 
 	mu    sync.Mutex
 	open  int
-	over  bool          // draining: none stays without an open request
+	closing  bool          // draining: none stays without an open request
 	idle  *list.List    // of *clientConn without an open request, the longest idle first
-	left  chan struct{} // holds one when a connection has ended
-	ended chan struct{} // closed by Close
-	once  sync.Once
+	released  chan struct{} // holds one when a connection has ended
+	stopped chan struct{} // closed by Close
+	stopOnce  sync.Once
 }
 
 // clientConn is one connection. Bytes end its idleness at once, before net/http makes a request of them.
-type clientConn struct {
+type connection struct {
 	net.Conn
-	of    *clients
-	place *list.Element // in of.idle; nil while a request is open
-	since time.Time     // idle from then on
-	spoke bool
-	gone  bool
+	listener    *connectionListener
+	idleElement *list.Element // in of.idle; nil while a request is open
+	idleSince time.Time     // idle from then on
+	used bool
+	retired  bool
 }
 
 // clientKey is the key of a request's connection in its context.
-type clientKey struct{}
+type connectionKey struct{}
 
-func withClient(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, clientKey{}, c)
+func withConnection(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, connectionKey{}, c)
 }
 
 // clientOf is the connection on which a request came.
-func clientOf(r *http.Request) *clientConn { return r.Context().Value(clientKey{}).(*clientConn) }
+func connectionOf(r *http.Request) *connection { return r.Context().Value(connectionKey{}).(*connection) }
 
-func newClients(l net.Listener, limit int, timeouts *Timeouts) *clients {
-	return &clients{Listener: l, limit: limit, timeouts: timeouts, idle: list.New(),
-		left: make(chan struct{}, 1), ended: make(chan struct{})}
+func newListener(l net.Listener, limit int, timeouts *Timeouts) *connectionListener {
+	return &connectionListener{Listener: l, limit: limit, timeouts: timeouts, idle: list.New(),
+		released: make(chan struct{}, 1), stopped: make(chan struct{})}
 }
 
 // crowded reports whether connections begin to run short. Then each closes with its answer: clients that ask
 // once and stay took all that there were, for the two seconds that a connection must have been idle before it
 // may be closed, and the agents stood idle meanwhile. Guards against any client that keeps what it does not use.
 // Harm: clients that would have asked again connect anew for each request.
-func (l *clients) crowded() bool {
+func (l *connectionListener) nearLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limit > 0 && l.open > l.limit/2
@@ -65,21 +65,21 @@
 
 // Accept takes the next connection once there is room for it. Those that come meanwhile wait in the
 // system's queue, where they cost nothing.
-func (l *clients) Accept() (net.Conn, error) {
+func (l *connectionListener) Accept() (net.Conn, error) {
 	for {
-		wait, ok := l.room(time.Now())
+		wait, ok := l.freeSlot(time.Now())
 		if ok {
 			break
 		}
 		t := time.NewTimer(wait)
 		select {
 		case <-t.C:
-		case <-l.left:
-		case <-l.ended:
+		case <-l.released:
+		case <-l.stopped:
 		}
 		t.Stop()
 		select {
-		case <-l.ended:
+		case <-l.stopped:
 			return nil, net.ErrClosed
 		default:
 		}
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &clientConn{Conn: nc, of: l}
+	c := &connection{Conn: nc, listener: l}
 	l.mu.Lock()
 	l.open++
 	l.mu.Unlock()
@@ -96,65 +96,65 @@
 }
 
 // room makes room for one more connection, or says when to look again.
-func (l *clients) room(now time.Time) (wait time.Duration, ok bool) {
+func (l *connectionListener) freeSlot(now time.Time) (wait time.Duration, ok bool) {
 	l.mu.Lock()
 	if l.limit == 0 || l.open < l.limit {
 		l.mu.Unlock()
 		return 0, true
 	}
 	wait = l.timeouts.ReclaimIdle
-	var victim *clientConn
+	var victim *connection
 	for e, next := l.idle.Front(), (*list.Element)(nil); e != nil && victim == nil; e = next {
 		next = e.Next()
-		c := e.Value.(*clientConn)
+		c := e.Value.(*connection)
 		need := l.timeouts.ReclaimIdle
-		if !c.spoke {
+		if !c.used {
 			need = l.timeouts.ReclaimUnused
 		}
-		if idle := now.Sub(c.since); idle < need {
+		if idle := now.Sub(c.idleSince); idle < need {
 			wait = min(wait, need-idle)
 		} else if socket.HasUnread(c.Conn) {
-			c.place = nil
+			c.idleElement = nil
 			l.idle.Remove(e) // a request has come that is not read yet
 		} else {
 			victim = c
-			c.leave()
+			c.retire()
 		}
 	}
 	l.mu.Unlock()
 	if victim == nil {
 		return max(wait, time.Millisecond), false
 	}
-	victim.shut()
+	victim.closeRetired()
 	return 0, true
 }
 
 // drain closes the connections that are without an open request, and from now on each as its answer is out. Those
 // that have not said a word yet stay: who connects now is about to ask.
-func (l *clients) drain() { l.rid(func(c *clientConn) bool { return c.spoke }) }
+func (l *connectionListener) closeUsedIdle() { l.closeIdle(func(c *connection) bool { return c.used }) }
 
 // drainAll closes them all.
-func (l *clients) drainAll() { l.rid(func(*clientConn) bool { return true }) }
+func (l *connectionListener) closeAllIdle() { l.closeIdle(func(*connection) bool { return true }) }
 
-func (l *clients) rid(of func(*clientConn) bool) {
+func (l *connectionListener) closeIdle(of func(*connection) bool) {
 	l.mu.Lock()
-	l.over = true
-	var gone []*clientConn
+	l.closing = true
+	var gone []*connection
 	for e, next := l.idle.Front(), (*list.Element)(nil); e != nil; e = next {
 		next = e.Next()
-		if c := e.Value.(*clientConn); of(c) && !socket.HasUnread(c.Conn) {
-			c.leave()
+		if c := e.Value.(*connection); of(c) && !socket.HasUnread(c.Conn) {
+			c.retire()
 			gone = append(gone, c)
 		}
 	}
 	l.mu.Unlock()
 	for _, c := range gone {
-		c.shut()
+		c.closeRetired()
 	}
 }
 
 // empty waits until no connection is open.
-func (l *clients) empty(ctx context.Context) {
+func (l *connectionListener) waitUntilEmpty(ctx context.Context) {
 	for {
 		l.mu.Lock()
 		open := l.open
@@ -163,7 +163,7 @@
 			return
 		}
 		select {
-		case <-l.left:
+		case <-l.released:
 		case <-ctx.Done():
 			return
 		}
@@ -171,71 +171,71 @@
 }
 
 // Close ends the listener, and a wait for room. net/http closes it as well, as soon as that wait is over.
-func (l *clients) Close() (err error) {
-	l.once.Do(func() {
-		close(l.ended)
+func (l *connectionListener) Close() (err error) {
+	l.stopOnce.Do(func() {
+		close(l.stopped)
 		err = l.Listener.Close()
 	})
 	return err
 }
 
 // note follows the states that net/http sees.
-func (l *clients) note(nc net.Conn, s http.ConnState) {
-	c, ok := nc.(*clientConn)
+func (l *connectionListener) trackState(nc net.Conn, s http.ConnState) {
+	c, ok := nc.(*connection)
 	if !ok {
 		return
 	}
 	l.mu.Lock()
 	switch s {
 	case http.StateNew, http.StateIdle:
-		c.rest()
+		c.markIdle()
 	case http.StateActive:
-		c.work()
+		c.markActive()
 	}
-	end := l.over && s == http.StateIdle && !c.gone && !socket.HasUnread(c.Conn) // answered as the drain began
+	end := l.closing && s == http.StateIdle && !c.retired && !socket.HasUnread(c.Conn) // answered as the drain began
 	if end {
-		c.leave()
+		c.retire()
 	}
 	l.mu.Unlock()
 	if end {
-		c.shut()
+		c.closeRetired()
 	}
 }
 
 // rest and work keep the list. The caller holds of.mu.
-func (c *clientConn) rest() {
-	if c.place == nil && !c.gone {
-		c.since = time.Now()
-		c.place = c.of.idle.PushBack(c)
+func (c *connection) markIdle() {
+	if c.idleElement == nil && !c.retired {
+		c.idleSince = time.Now()
+		c.idleElement = c.listener.idle.PushBack(c)
 	}
 }
 
-func (c *clientConn) work() {
-	c.spoke = true
-	if c.place != nil {
-		c.of.idle.Remove(c.place)
-		c.place = nil
+func (c *connection) markActive() {
+	c.used = true
+	if c.idleElement != nil {
+		c.listener.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
 // leave takes the connection out of use: nothing more is read of it. The caller holds of.mu and calls shut next,
 // if it was the first.
-func (c *clientConn) leave() (first bool) {
-	first = !c.gone
-	c.work()
-	c.gone = true
+func (c *connection) retire() (first bool) {
+	first = !c.retired
+	c.markActive()
+	c.retired = true
 	return first
 }
 
 // shut closes a connection that is out of use.
-func (c *clientConn) shut() error {
+func (c *connection) closeRetired() error {
 	err := c.Conn.Close()
-	l := c.of
+	l := c.listener
 	l.mu.Lock()
 	l.open-- // not before: the descriptor is free only now
 	l.mu.Unlock()
 	select {
-	case l.left <- struct{}{}:
+	case l.released <- struct{}{}:
 	default:
 	}
 	return err
@@ -243,17 +243,17 @@
 
 // Read takes an idle connection off the list before it reads any of its bytes. Guards against closing one to make
 // room, or to drain, whose request has been read and is no longer to be seen waiting.
-func (c *clientConn) Read(p []byte) (int, error) {
-	if err := c.begin(); err != nil {
+func (c *connection) Read(p []byte) (int, error) {
+	if err := c.awaitFirstByte(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
 }
 
-func (c *clientConn) begin() error {
-	l := c.of
+func (c *connection) awaitFirstByte() error {
+	l := c.listener
 	l.mu.Lock()
-	idle := c.place != nil
+	idle := c.idleElement != nil
 	l.mu.Unlock()
 	if idle {
 		if err := socket.WaitReadable(c.Conn); err != nil {
@@ -262,21 +262,21 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.gone {
+	if c.retired {
 		return net.ErrClosed
 	}
 	if idle {
-		c.work()
+		c.markActive()
 	}
 	return nil
 }
 
-func (c *clientConn) Close() error {
-	c.of.mu.Lock()
-	first := c.leave()
-	c.of.mu.Unlock()
+func (c *connection) Close() error {
+	c.listener.mu.Lock()
+	first := c.retire()
+	c.listener.mu.Unlock()
 	if !first {
 		return c.Conn.Close()
 	}
-	return c.shut()
+	return c.closeRetired()
 }
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -19,7 +19,7 @@
 
 // impatient has an agent make room at once of connections whose request is over, but not of those whose first has
 // yet to come: on a slow machine that takes a while.
-func impatient(s *Server) {
+func reclaimAtOnce(s *Server) {
 	s.Timeouts.ReclaimIdle, s.Timeouts.ReclaimUnused = time.Millisecond, testutil.Timeout
 }
 
@@ -32,7 +32,7 @@
 			c := testutil.Config(t, "127.0.0.1:1")
 			c.Sockets = 8 // 4 for clients
 			s, _ := startServer(t, c, echo, func(s *Server) {
-				if impatient(s); tt.say == "" {
+				if reclaimAtOnce(s); tt.say == "" {
 					s.Timeouts.ReclaimUnused = time.Millisecond
 				}
 			})
@@ -60,11 +60,11 @@
 		submitted <- r
 		<-gate
 		echo(r)
-	}, impatient)
+	}, reclaimAtOnce)
 	first := testutil.Dial(t, s.Addr(), testutil.Post(id, ""))
 	testutil.Receive(t, submitted)
 	second := testutil.Dial(t, s.Addr(), testutil.Post(id[:15]+"2", "")) // waits in the system's queue
-	if wait, ok := s.listener.room(time.Now().Add(time.Hour)); ok {
+	if wait, ok := s.listener.freeSlot(time.Now().Add(time.Hour)); ok {
 		t.Errorf("room was made of an open request (%v)", wait)
 	}
 	close(gate)
@@ -164,9 +164,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clients := newClients(l, 1, &Timeouts{})
+	clients := newListener(l, 1, &Timeouts{})
 	defer clients.Close()
-	connect := func() (client net.Conn, c *clientConn) {
+	connect := func() (client net.Conn, c *connection) {
 		if client, err = net.Dial("tcp", l.Addr().String()); err != nil {
 			t.Fatal(err)
 		}
@@ -175,8 +175,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c = nc.(*clientConn)
-		clients.note(c, http.StateNew)
+		c = nc.(*connection)
+		clients.trackState(c, http.StateNew)
 		return client, c
 	}
 	buf := make([]byte, 10)
@@ -184,12 +184,12 @@
 	client, c := connect()
 	io.WriteString(client, "request")
 	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(c.Conn) })
-	clients.drainAll()
+	clients.closeAllIdle()
 	if n, err := c.Read(buf); n != 7 || err != nil {
 		t.Fatalf("a request that waits to be read: %d bytes, %v", n, err)
 	}
-	clients.drainAll() // read, but net/http has not made a request of it yet
-	if _, ok := clients.room(time.Now()); ok {
+	clients.closeAllIdle() // read, but net/http has not made a request of it yet
+	if _, ok := clients.freeSlot(time.Now()); ok {
 		t.Error("room was made of a connection whose request is being read")
 	}
 	io.WriteString(client, "more")
@@ -200,23 +200,23 @@
 
 	client, c = connect()
 	clients.mu.Lock()
-	first := c.leave() // it was about to be closed as the request came
+	first := c.retire() // it was about to be closed as the request came
 	clients.mu.Unlock()
 	io.WriteString(client, "request")
 	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(c.Conn) })
 	if n, err := c.Read(buf); n != 0 || err == nil {
 		t.Errorf("read %d bytes of a connection that is out of use, %v", n, err)
 	}
-	if !first || c.leave() {
+	if !first || c.retire() {
 		t.Error("a connection is to be shut once")
 	}
-	c.shut()
+	c.closeRetired()
 
 	_, c = connect()
-	clients.note(c, http.StateActive)
-	clients.note(c, http.StateIdle) // its answer was on its way out as the drain began
-	if !c.gone || clients.open != 0 {
-		t.Errorf("at rest in a drain: gone %v, %d open", c.gone, clients.open)
+	clients.trackState(c, http.StateActive)
+	clients.trackState(c, http.StateIdle) // its answer was on its way out as the drain began
+	if !c.retired || clients.open != 0 {
+		t.Errorf("at rest in a drain: gone %v, %d open", c.retired, clients.open)
 	}
 }
 
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -54,21 +54,21 @@
 type Server struct {
 	Timeouts Timeouts // may be changed until Serve is called
 
-	listener *clients
-	handler  *front
+	listener *connectionListener
+	handler  *handler
 	http     *http.Server
 }
 
 // NewServer returns a server for the connections of a listener. It answers once Serve is called.
 func NewServer(listener net.Listener, c *config.Config, clock clock.Clock, loop EventLoop, log *slog.Logger) *Server {
 	s := &Server{Timeouts: DefaultTimeouts()}
-	s.listener = newClients(listener, c.ClientConnections(), &s.Timeouts)
-	s.handler = newFront(c, clock, loop, &s.Timeouts)
-	s.handler.crowded = s.listener.crowded
+	s.listener = newListener(listener, c.ClientConnections(), &s.Timeouts)
+	s.handler = newHandler(c, clock, loop, &s.Timeouts)
+	s.handler.nearLimit = s.listener.nearLimit
 	s.http = &http.Server{
 		Handler:        s.handler,
-		ConnState:      s.listener.note,
-		ConnContext:    withClient,
+		ConnState:      s.listener.trackState,
+		ConnContext:    withConnection,
 		MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 	}
@@ -87,20 +87,20 @@
 
 // StartShutdown has each response close its connection from now on, and the health endpoint answer that the agent
 // is not ready.
-func (s *Server) StartShutdown() { s.handler.draining.Store(true) }
+func (s *Server) StartShutdown() { s.handler.shuttingDown.Store(true) }
 
 // CloseUsedIdle closes the connections that have had a request and are without an open one, and from now on each as
 // its response is out. Those that have not had one yet stay: who connects now is about to send one.
-func (s *Server) CloseUsedIdle() { s.listener.drain() }
+func (s *Server) CloseUsedIdle() { s.listener.closeUsedIdle() }
 
 // CloseAllIdle closes all connections that are without an open request.
-func (s *Server) CloseAllIdle() { s.listener.drainAll() }
+func (s *Server) CloseAllIdle() { s.listener.closeAllIdle() }
 
 // StopAccepting closes the listener. Open connections are not touched.
 func (s *Server) StopAccepting() error { return s.listener.Close() }
 
 // WaitUntilEmpty waits until no connection is open, or ctx ends.
-func (s *Server) WaitUntilEmpty(ctx context.Context) { s.listener.empty(ctx) }
+func (s *Server) WaitUntilEmpty(ctx context.Context) { s.listener.waitUntilEmpty(ctx) }
 
 // Close closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
