--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -1,14 +1,8 @@
 package frontend
 
 import (
-	"fmt"
-	"io"
+	"errors"
 	"net/http"
-	"net/url"
-	"os"
-	"slices"
-	"strconv"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -18,254 +12,147 @@
 	"ashshunt/internal/socket"
 )
 
-const (
-	// lingerMost is how much of the rest of a request is read that was turned away.
-	lingerBytes = 256 << 10
-	// lookEvery is how often a client is looked after that net/http may not see leave.
-	disconnectCheckInterval = 100 * time.Millisecond
-	// maxBudget is the longest that a client may be willing to wait.
-	maxTimeout = time.Hour
-	// maxBody bounds a request's body, in bytes.
-	maxBodyBytes = 64 << 10
-)
+// disconnectCheckInterval is how often an open request's connection is examined, for clients whose disconnect
+// net/http may not see.
+const disconnectCheckInterval = 100 * time.Millisecond
+
+// errDisconnected reports that a request's client has closed its connection.
+var errDisconnected = errors.New("client disconnected")
+
+// errLoopEnded reports that the event loop has ended: no response comes any more.
+var errLoopEnded = errors.New("event loop has ended")
+
+// errTooMuchUnread rejects a request behind which so much has come that a disconnect would not be seen.
+var errTooMuchUnread = &RequestError{Status: http.StatusBadRequest, Reason: "too much behind a request"}
 
-// front answers the application.
+// handler answers the application's requests.
 type handler struct {
-	loop     EventLoop
-	clock    clock.Clock
-	classes  map[string]int
-	tenants  []string
-	settings balancer.Settings
+	loop         EventLoop
+	clock        clock.Clock
+	classes      map[string]int // index in settings.Classes, by name
+	tenants      []string
+	settings     balancer.Settings
+	timeouts     *Timeouts
+	nearLimit    func() bool // whether connections begin to run short
+	created      time.Time
 	shuttingDown atomic.Bool
-	timeouts *Timeouts
-	nearLimit  func() bool // whether clients' connections run short
-	created  time.Time
 }
 
-func newHandler(c *config.Config, clock clock.Clock, loop EventLoop, timeouts *Timeouts) *handler {
-	f := &handler{loop: loop, clock: clock, classes: map[string]int{}, tenants: c.Names.Tenants, settings: c.Settings,
-		timeouts: timeouts, created: time.Now()}
+func newHandler(c *config.Config, clock clock.Clock, loop EventLoop, timeouts *Timeouts, nearLimit func() bool) *handler {
+	h := &handler{
+		loop:      loop,
+		clock:     clock,
+		classes:   map[string]int{},
+		tenants:   c.Names.Tenants,
+		settings:  c.Settings,
+		timeouts:  timeouts,
+		nearLimit: nearLimit,
+		created:   time.Now(),
+	}
 	for i, name := range c.Names.Classes {
-		f.classes[name] = i
+		h.classes[name] = i
 	}
-	return f
+	return h
 }
 
-func (f *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	arrived := time.Now()
-	if r.URL.Path == "/healthz" {
-		// Whoever asks for this asks once; seen in hundreds, each keeping its connection for good.
-		w.Header().Set("Connection", "close")
-		f.serveHealth(w)
-		return
-	}
-	if status, why := checkFraming(r); status != 0 {
-		f.reject(w, r, status, why)
+// ServeHTTP implements http.Handler.
+func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path == healthPath {
+		h.serveHealth(w)
 		return
 	}
-	event, status, why := f.parse(r)
-	if status != 0 {
-		f.reject(w, r, status, why)
+	request, err := h.readRequest(r)
+	if err != nil {
+		h.answerError(w, r, err)
 		return
 	}
-	q := NewRequest()
-	q.IdempotencyKey, q.Method, q.Host = r.Header.Get("Idempotency-Key"), r.Method, r.Host
-	var err error
-	if q.Target, err = requestTarget(r); err != nil {
-		f.reject(w, r, http.StatusBadRequest, err.Error())
+	h.loop.Submit(request)
+	response, err := h.awaitResponse(r, request)
+	if err != nil {
+		h.answerError(w, r, err)
 		return
 	}
-	client := connectionOf(r)
-	if r.ContentLength != 0 {
-		if q.Body, err = readBody(client, r, f.timeouts.ReadBody); err != nil {
-			f.reject(w, r, http.StatusBadRequest, "bad body")
-			return
-		}
-		arrived = time.Now() // a request's time counts from its last byte
-	}
-	q.ClientGone = func() bool { left, flooded := socket.PeerClosed(client.Conn); return left || flooded }
-	if left, flooded := socket.PeerClosed(client.Conn); left {
-		panic(http.ErrAbortHandler) // while it waited to be read
-	} else if flooded {
-		f.reject(w, r, http.StatusBadRequest, "too much behind a request")
-		return
-	}
-	q.Event, q.Arrived = event, f.clock.At(arrived)
-	q.Deadline = q.Arrived + event.Timeout
-	f.loop.Submit(q)
-	f.awaitResponse(w, r, client, q)
-}
-
-// await answers a request that the loop has been handed. net/http looks for a client that leaves until it has
-// read a byte behind the request; beyond that, its connection is looked at now and then.
-func (f *handler) awaitResponse(w http.ResponseWriter, r *http.Request, client *connection, req *Request) {
-	look := time.NewTicker(disconnectCheckInterval)
-	defer look.Stop()
-	left, flooded := false, false
-	for !left && !flooded {
-		select {
-		case a := <-req.response:
-			if f.shuttingDown.Load() || f.nearLimit() { // it stops soon: the client's next goes to a new process
-				w.Header().Set("Connection", "close")
-			}
-			writeResponse(w, a)
-			return
-		case <-f.loop.Done():
-			w.WriteHeader(http.StatusBadGateway)
-			return
-		case <-r.Context().Done():
-			left = true
-		case <-look.C:
-			left, flooded = socket.PeerClosed(client.Conn)
-		}
-	}
-	f.loop.Abandon(req)
-	if flooded && !left {
-		f.reject(w, r, http.StatusBadRequest, "too much behind a request")
-		return
-	}
-	panic(http.ErrAbortHandler) // no answer: to return would send an empty one, as if served
-}
-
-func (f *handler) serveHealth(w http.ResponseWriter) {
-	select {
-	case <-f.loop.Ready():
-		if !f.shuttingDown.Load() && (f.loop.HasServingEndpoint() || time.Since(f.created) >= f.timeouts.EndpointList) {
-			io.WriteString(w, "ok\n")
-			return
-		}
-	default:
+	if h.shuttingDown.Load() || h.nearLimit() {
+		// While shutting down, the client's next request belongs to a new process.
+		w.Header().Set("Connection", "close")
 	}
-	w.WriteHeader(http.StatusServiceUnavailable)
+	writeResponse(w, response)
 }
 
-// framing checks what tells where a request ends, before a byte of its body is read. net/http drops the
-// length of a request that is also chunked, and the encoding of one in HTTP/1.0, and goes on: whoever reads
-// it the other way finds a second request in the body. So neither is taken.
-func checkFraming(r *http.Request) (status int, why string) {
+// answerError answers what led to no response of the event loop: a request that was not submitted, a client that has
+// gone, or a loop that has ended.
+func (h *handler) answerError(w http.ResponseWriter, r *http.Request, err error) {
+	var invalid *RequestError
 	switch {
-	case r.ProtoMajor != 1 || r.ProtoMinor != 1:
-		return http.StatusHTTPVersionNotSupported, "HTTP/1.1 wanted"
-	case len(r.TransferEncoding) > 0 || r.ContentLength < 0:
-		return http.StatusLengthRequired, "Content-Length wanted, and no Transfer-Encoding"
-	case r.ContentLength > maxBodyBytes:
-		return http.StatusRequestEntityTooLarge, "too large a body"
+	case errors.As(err, &invalid):
+		h.reject(w, r, invalid)
+	case errors.Is(err, errLoopEnded):
+		w.WriteHeader(http.StatusBadGateway)
+	default:
+		panic(http.ErrAbortHandler) // no answer: to return would send an empty one, as if served
 	}
-	return 0, ""
 }
 
-// turnAway answers what is no request and closes its connection: what follows on it can't be trusted. Some of its body
-// is read all the same, since a close on unread bytes resets the connection and takes the answer along.
-func (f *handler) reject(w http.ResponseWriter, r *http.Request, status int, why string) {
-	c := http.NewResponseController(w)
-	c.SetReadDeadline(time.Now().Add(f.timeouts.Linger))
-	w.Header().Set("Connection", "close")
-	http.Error(w, why, status)
-	c.Flush()
-	io.CopyN(io.Discard, r.Body, lingerBytes)
-}
-
-// once are the headers that a request carries once at the most: which of two counts is anyone's guess.
-var singleHeaders = []string{"X-Call-Id", "X-Budget-Ms", "Idempotency-Key", "X-Caller", "X-Route-Hash"}
-
-// maxKey bounds an Idempotency-Key.
-const maxIdempotencyKey = 255
-
-// parse reads a request's head. A status other than 0 says what is wrong with it.
-func (f *handler) parse(r *http.Request) (e balancer.Request, status int, why string) {
-	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	class, ok := f.classes[name]
-	if !ok {
-		return e, http.StatusNotFound, "unknown class"
-	}
-	effect := f.settings.Classes[class].Idempotency
-	if want := methodFor(effect); r.Method != want {
-		return e, http.StatusMethodNotAllowed, want + " wanted"
-	}
-	for _, name := range singleHeaders {
-		if len(r.Header[name]) > 1 {
-			return e, http.StatusBadRequest, name + " twice"
-		}
-	}
-	if effect == balancer.Idempotent && r.ContentLength != 0 {
-		return e, http.StatusBadRequest, "a body with GET"
-	}
-	e = balancer.Request{ID: r.Header.Get("X-Call-Id"), Class: class, Key: r.Header.Get("X-Route-Hash"),
-		ClientRetry: r.Header.Get("X-Again") == "1"}
-	if !validID(e.ID) {
-		return e, http.StatusBadRequest, "X-Call-Id: 16 hex digits wanted"
-	}
-	budget, err := strconv.ParseUint(r.Header.Get("X-Budget-Ms"), 10, 32)
-	if e.Timeout = time.Duration(budget) * time.Millisecond; err != nil || e.Timeout <= 0 || e.Timeout > maxTimeout {
-		return e, http.StatusBadRequest, "X-Budget-Ms: whole milliseconds wanted"
+// readRequest reads a request to its last byte.
+func (h *handler) readRequest(r *http.Request) (*Request, error) {
+	arrived := time.Now()
+	if err := checkFraming(r); err != nil {
+		return nil, err
 	}
-	e.Timeout = min(e.Timeout, f.settings.Classes[class].Deadline) // no client of the class waits longer
-	// Backends know a repeat by its key alone: without one, a second attempt might run again.
-	if key := r.Header.Get("Idempotency-Key"); (effect == balancer.IdempotentWithKey) != (key != "") || len(key) > maxIdempotencyKey {
-		return e, http.StatusBadRequest, "Idempotency-Key: wanted for a keyed class alone"
+	request, err := h.parseHead(r)
+	if err != nil {
+		return nil, err
 	}
-	if text := r.Header.Get("X-Call-Cost"); text != "" {
-		if us, err := strconv.ParseFloat(text, 64); err == nil && us > 0 && us < 1e12 {
-			e.Work = time.Duration(us * 1e3)
+	client := connectionOf(r)
+	if r.ContentLength != 0 {
+		if request.Body, err = readBody(client, r, h.timeouts.ReadBody); err != nil {
+			return nil, &RequestError{Status: http.StatusBadRequest, Reason: "bad body", Err: err}
 		}
+		arrived = time.Now() // a request's time counts from its last byte
 	}
-	if i := slices.Index(f.tenants, r.Header.Get("X-Caller")); i > 0 {
-		e.Tenant = i
-	}
-	return e, 0, ""
-}
-
-// method is what requests of a kind come by.
-func methodFor(e balancer.Idempotency) string {
-	if e == balancer.Idempotent {
-		return http.MethodGet
+	// The client may have gone while its request waited to be read.
+	if err := checkDisconnect(client); err != nil {
+		return nil, err
 	}
-	return http.MethodPost
+	request.ClientGone = func() bool { return checkDisconnect(client) != nil }
+	request.Arrived = h.clock.At(arrived)
+	request.Deadline = request.Arrived + request.Event.Timeout
+	return request, nil
 }
 
-func validID(id string) bool {
-	if len(id) != 16 {
-		return false
-	}
-	for _, c := range []byte(id) {
-		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
-			return false
+// awaitResponse waits for the response to a submitted request, and abandons the request if its client goes first.
+// net/http looks for a disconnect until it has read a byte behind the request; beyond that, the connection is
+// examined now and then.
+func (h *handler) awaitResponse(r *http.Request, request *Request) (Response, error) {
+	client := connectionOf(r)
+	ticker := time.NewTicker(disconnectCheckInterval)
+	defer ticker.Stop()
+	var err error
+	for err == nil {
+		select {
+		case response := <-request.response:
+			return response, nil
+		case <-h.loop.Done():
+			return Response{}, errLoopEnded
+		case <-r.Context().Done():
+			err = errDisconnected
+		case <-ticker.C:
+			err = checkDisconnect(client)
 		}
 	}
-	return true
+	h.loop.Abandon(request)
+	return Response{}, err
 }
 
-// readBody reads a body whose length is known to fit. One that takes too long costs the connection. No read deadline
-// bounds it, which might pass just as the body is whole and be held for the client's leave.
-func readBody(client *connection, r *http.Request, timeout time.Duration) ([]byte, error) {
-	late := time.AfterFunc(timeout, func() { client.Close() })
-	body := make([]byte, r.ContentLength)
-	_, err := io.ReadFull(r.Body, body)
-	if !late.Stop() {
-		return nil, os.ErrDeadlineExceeded
-	}
-	return body, err
-}
-
-func writeResponse(w http.ResponseWriter, a Response) {
-	h := w.Header()
-	h["Content-Type"] = []string{"application/octet-stream"}
-	h["Content-Length"] = []string{strconv.Itoa(len(a.Body))}
-	if a.RetryAfter > 0 {
-		h["Retry-After"] = []string{strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64)}
-	}
-	w.WriteHeader(a.Status)
-	w.Write(a.Body) // an error here means that the client has gone
-}
-
-// targetOf is the path and query as the client sent them, unchanged.
-func requestTarget(r *http.Request) (*url.URL, error) {
-	if !strings.HasPrefix(r.RequestURI, "/") {
-		return r.URL, nil
-	}
-	path, query, _ := strings.Cut(r.RequestURI, "?")
-	if strings.HasPrefix(path, "//") {
-		return nil, fmt.Errorf("path %q", path)
+// checkDisconnect returns an error if a client has gone, or if so much waits behind its request that a disconnect
+// would not be seen.
+func checkDisconnect(client *connection) error {
+	gone, flooded := socket.PeerClosed(client.Conn)
+	switch {
+	case gone:
+		return errDisconnected
+	case flooded:
+		return errTooMuchUnread
 	}
-	return &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.RequestURI, "?")}, nil
+	return nil
 }
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -11,155 +11,168 @@
 	"ashshunt/internal/socket"
 )
 
-// clients is a listener that bounds the connections it has given out, since every one holds a
-// descriptor: clients that say nothing, or ask once and stay, would take them all. When short, it closes
-// the one that has been without an open request for longest.
+// minSlotWait keeps a wait for a free slot from spinning.
+const minSlotWait = time.Millisecond
+
+// connectionListener is a listener that bounds the connections it has given out, since each holds a descriptor:
+// clients that stay silent, or send one request and stay, would take them all. At the limit it closes the connection
+// that has been without an open request for longest.
 type connectionListener struct {
 	net.Listener
 	limit    int // 0: no limit
 	timeouts *Timeouts
 
-	mu    sync.Mutex
-	open  int
-	closing  bool          // draining: none stays without an open request
-	idle  *list.List    // of *clientConn without an open request, the longest idle first
-	released  chan struct{} // holds one when a connection has ended
-	stopped chan struct{} // closed by Close
-	stopOnce  sync.Once
-}
-
-// clientConn is one connection. Bytes end its idleness at once, before net/http makes a request of them.
-type connection struct {
-	net.Conn
-	listener    *connectionListener
-	idleElement *list.Element // in of.idle; nil while a request is open
-	idleSince time.Time     // idle from then on
-	used bool
-	retired  bool
-}
-
-// clientKey is the key of a request's connection in its context.
-type connectionKey struct{}
-
-func withConnection(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connectionKey{}, c)
+	mu       sync.Mutex
+	open     int           // connections that hold a descriptor
+	closing  bool          // shutting down: no connection stays open without a request
+	idle     *list.List    // of *connection without an open request, the longest idle first
+	released chan struct{} // holds one value once a connection has ended
+	stopped  chan struct{} // closed by Close
+	stopOnce sync.Once
 }
 
-// clientOf is the connection on which a request came.
-func connectionOf(r *http.Request) *connection { return r.Context().Value(connectionKey{}).(*connection) }
-
 func newListener(l net.Listener, limit int, timeouts *Timeouts) *connectionListener {
-	return &connectionListener{Listener: l, limit: limit, timeouts: timeouts, idle: list.New(),
-		released: make(chan struct{}, 1), stopped: make(chan struct{})}
+	return &connectionListener{
+		Listener: l,
+		limit:    limit,
+		timeouts: timeouts,
+		idle:     list.New(),
+		released: make(chan struct{}, 1),
+		stopped:  make(chan struct{}),
+	}
 }
 
-// crowded reports whether connections begin to run short. Then each closes with its answer: clients that ask
-// once and stay took all that there were, for the two seconds that a connection must have been idle before it
-// may be closed, and the agents stood idle meanwhile. Guards against any client that keeps what it does not use.
-// Harm: clients that would have asked again connect anew for each request.
+// nearLimit reports whether connections begin to run short. Then each is closed with its response: clients that send
+// one request and stay would otherwise take all that there are, until each has been idle for long enough to be
+// reclaimed. The price is that clients which would have sent another request connect anew.
 func (l *connectionListener) nearLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limit > 0 && l.open > l.limit/2
 }
 
-// Accept takes the next connection once there is room for it. Those that come meanwhile wait in the
-// system's queue, where they cost nothing.
+// counts returns how many connections are open, and how many of these are without an open request.
+func (l *connectionListener) counts() (open, idle int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.open, l.idle.Len()
+}
+
+// Accept takes the next connection once the limit allows it. Those that come meanwhile wait in the system's queue,
+// where they cost nothing.
 func (l *connectionListener) Accept() (net.Conn, error) {
+	if err := l.awaitSlot(); err != nil {
+		return nil, err
+	}
+	accepted, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	l.mu.Lock()
+	l.open++
+	l.mu.Unlock()
+	return &connection{Conn: accepted, listener: l}, nil
+}
+
+// awaitSlot waits until the limit allows one more connection.
+func (l *connectionListener) awaitSlot() error {
 	for {
 		wait, ok := l.freeSlot(time.Now())
 		if ok {
-			break
+			return nil
 		}
-		t := time.NewTimer(wait)
+		timer := time.NewTimer(wait)
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-l.released:
 		case <-l.stopped:
 		}
-		t.Stop()
+		timer.Stop()
 		select {
 		case <-l.stopped:
-			return nil, net.ErrClosed
+			return net.ErrClosed
 		default:
 		}
 	}
-	nc, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	c := &connection{Conn: nc, listener: l}
-	l.mu.Lock()
-	l.open++
-	l.mu.Unlock()
-	return c, nil
 }
 
-// room makes room for one more connection, or says when to look again.
+// freeSlot sees to it that the limit allows one more connection, if need be by closing an idle one, or says how long
+// to wait before it is called again.
 func (l *connectionListener) freeSlot(now time.Time) (wait time.Duration, ok bool) {
 	l.mu.Lock()
 	if l.limit == 0 || l.open < l.limit {
 		l.mu.Unlock()
 		return 0, true
 	}
+	victim, wait := l.reclaimIdle(now)
+	l.mu.Unlock()
+	if victim == nil {
+		return max(wait, minSlotWait), false
+	}
+	_ = victim.closeRetired() // the descriptor is free in any case
+	return 0, true
+}
+
+// reclaimIdle retires the connection that has been idle for longest, if it has been so for long enough; else it says
+// when the next one will have been. The caller holds l.mu, and closes what is returned.
+func (l *connectionListener) reclaimIdle(now time.Time) (victim *connection, wait time.Duration) {
 	wait = l.timeouts.ReclaimIdle
-	var victim *connection
-	for e, next := l.idle.Front(), (*list.Element)(nil); e != nil && victim == nil; e = next {
-		next = e.Next()
-		c := e.Value.(*connection)
-		need := l.timeouts.ReclaimIdle
+	for element, next := l.idle.Front(), (*list.Element)(nil); element != nil; element = next {
+		next = element.Next()
+		c := element.Value.(*connection)
+		minIdle := l.timeouts.ReclaimIdle
 		if !c.used {
-			need = l.timeouts.ReclaimUnused
+			minIdle = l.timeouts.ReclaimUnused
 		}
-		if idle := now.Sub(c.idleSince); idle < need {
-			wait = min(wait, need-idle)
-		} else if socket.HasUnread(c.Conn) {
+		if idle := now.Sub(c.idleSince); idle < minIdle {
+			wait = min(wait, minIdle-idle)
+			continue
+		}
+		if socket.HasUnread(c.Conn) { // a request has come that is not read yet
 			c.idleElement = nil
-			l.idle.Remove(e) // a request has come that is not read yet
-		} else {
-			victim = c
-			c.retire()
+			l.idle.Remove(element)
+			continue
 		}
+		c.retire()
+		return c, 0
 	}
-	l.mu.Unlock()
-	if victim == nil {
-		return max(wait, time.Millisecond), false
-	}
-	victim.closeRetired()
-	return 0, true
+	return nil, wait
 }
 
-// drain closes the connections that are without an open request, and from now on each as its answer is out. Those
-// that have not said a word yet stay: who connects now is about to ask.
-func (l *connectionListener) closeUsedIdle() { l.closeIdle(func(c *connection) bool { return c.used }) }
+// closeUsedIdle closes the connections that have had a request and are without an open one, and from now on each as
+// its response is out. Those that have not had a request yet stay: who connects now is about to send one.
+func (l *connectionListener) closeUsedIdle() {
+	l.closeIdle(func(c *connection) bool { return c.used })
+}
 
-// drainAll closes them all.
-func (l *connectionListener) closeAllIdle() { l.closeIdle(func(*connection) bool { return true }) }
+// closeAllIdle closes all connections without an open request.
+func (l *connectionListener) closeAllIdle() {
+	l.closeIdle(func(*connection) bool { return true })
+}
 
-func (l *connectionListener) closeIdle(of func(*connection) bool) {
+// closeIdle closes the idle connections that match. One whose next request has come, though it is not read yet, is
+// not idle.
+func (l *connectionListener) closeIdle(match func(*connection) bool) {
 	l.mu.Lock()
 	l.closing = true
-	var gone []*connection
-	for e, next := l.idle.Front(), (*list.Element)(nil); e != nil; e = next {
-		next = e.Next()
-		if c := e.Value.(*connection); of(c) && !socket.HasUnread(c.Conn) {
+	var retired []*connection
+	for element, next := l.idle.Front(), (*list.Element)(nil); element != nil; element = next {
+		next = element.Next()
+		if c := element.Value.(*connection); match(c) && !socket.HasUnread(c.Conn) {
 			c.retire()
-			gone = append(gone, c)
+			retired = append(retired, c)
 		}
 	}
 	l.mu.Unlock()
-	for _, c := range gone {
-		c.closeRetired()
+	for _, c := range retired {
+		_ = c.closeRetired() // nothing was under way on it
 	}
 }
 
-// empty waits until no connection is open.
+// waitUntilEmpty waits until no connection is open, or ctx ends.
 func (l *connectionListener) waitUntilEmpty(ctx context.Context) {
 	for {
-		l.mu.Lock()
-		open := l.open
-		l.mu.Unlock()
-		if open == 0 {
+		if open, _ := l.counts(); open == 0 {
 			return
 		}
 		select {
@@ -170,7 +183,7 @@
 	}
 }
 
-// Close ends the listener, and a wait for room. net/http closes it as well, as soon as that wait is over.
+// Close closes the listener and ends a wait for a slot. net/http closes it as well, once that wait is over.
 func (l *connectionListener) Close() (err error) {
 	l.stopOnce.Do(func() {
 		close(l.stopped)
@@ -179,104 +192,26 @@
 	return err
 }
 
-// note follows the states that net/http sees.
-func (l *connectionListener) trackState(nc net.Conn, s http.ConnState) {
-	c, ok := nc.(*connection)
+// trackState follows the states that net/http reports for a connection.
+func (l *connectionListener) trackState(conn net.Conn, state http.ConnState) {
+	c, ok := conn.(*connection)
 	if !ok {
 		return
 	}
 	l.mu.Lock()
-	switch s {
+	switch state {
 	case http.StateNew, http.StateIdle:
 		c.markIdle()
 	case http.StateActive:
 		c.markActive()
 	}
-	end := l.closing && s == http.StateIdle && !c.retired && !socket.HasUnread(c.Conn) // answered as the drain began
+	// Its request may have been answered just as the shutdown began, when its response did not close it.
+	end := l.closing && state == http.StateIdle && !c.retired && !socket.HasUnread(c.Conn)
 	if end {
 		c.retire()
 	}
 	l.mu.Unlock()
 	if end {
-		c.closeRetired()
-	}
-}
-
-// rest and work keep the list. The caller holds of.mu.
-func (c *connection) markIdle() {
-	if c.idleElement == nil && !c.retired {
-		c.idleSince = time.Now()
-		c.idleElement = c.listener.idle.PushBack(c)
-	}
-}
-
-func (c *connection) markActive() {
-	c.used = true
-	if c.idleElement != nil {
-		c.listener.idle.Remove(c.idleElement)
-		c.idleElement = nil
-	}
-}
-
-// leave takes the connection out of use: nothing more is read of it. The caller holds of.mu and calls shut next,
-// if it was the first.
-func (c *connection) retire() (first bool) {
-	first = !c.retired
-	c.markActive()
-	c.retired = true
-	return first
-}
-
-// shut closes a connection that is out of use.
-func (c *connection) closeRetired() error {
-	err := c.Conn.Close()
-	l := c.listener
-	l.mu.Lock()
-	l.open-- // not before: the descriptor is free only now
-	l.mu.Unlock()
-	select {
-	case l.released <- struct{}{}:
-	default:
-	}
-	return err
-}
-
-// Read takes an idle connection off the list before it reads any of its bytes. Guards against closing one to make
-// room, or to drain, whose request has been read and is no longer to be seen waiting.
-func (c *connection) Read(p []byte) (int, error) {
-	if err := c.awaitFirstByte(); err != nil {
-		return 0, err
-	}
-	return c.Conn.Read(p)
-}
-
-func (c *connection) awaitFirstByte() error {
-	l := c.listener
-	l.mu.Lock()
-	idle := c.idleElement != nil
-	l.mu.Unlock()
-	if idle {
-		if err := socket.WaitReadable(c.Conn); err != nil {
-			return err
-		}
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if c.retired {
-		return net.ErrClosed
-	}
-	if idle {
-		c.markActive()
-	}
-	return nil
-}
-
-func (c *connection) Close() error {
-	c.listener.mu.Lock()
-	first := c.retire()
-	c.listener.mu.Unlock()
-	if !first {
-		return c.Conn.Close()
+		_ = c.closeRetired() // nothing was under way on it
 	}
-	return c.closeRetired()
 }
--- /dev/null
+++ b/internal/frontend/response.go
@@ -0,0 +1,35 @@
+package frontend
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// lingerBytes is how much of the rest of a rejected request is read before its connection is closed.
+const lingerBytes = 256 << 10
+
+// writeResponse writes the final answer to a request.
+func writeResponse(w http.ResponseWriter, response Response) {
+	header := w.Header()
+	header["Content-Type"] = []string{"application/octet-stream"}
+	header["Content-Length"] = []string{strconv.Itoa(len(response.Body))}
+	if response.RetryAfter > 0 {
+		header["Retry-After"] = []string{strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', -1, 64)}
+	}
+	w.WriteHeader(response.Status)
+	_, _ = w.Write(response.Body) // an error here means that the client has gone
+}
+
+// reject answers a malformed request and closes its connection: what follows on it can't be trusted. Some of the body
+// is read all the same, since a close on unread bytes resets the connection and takes the answer along. Errors are of
+// no interest: the connection ends in any case.
+func (h *handler) reject(w http.ResponseWriter, r *http.Request, invalid *RequestError) {
+	controller := http.NewResponseController(w)
+	_ = controller.SetReadDeadline(time.Now().Add(h.timeouts.Linger))
+	w.Header().Set("Connection", "close")
+	http.Error(w, invalid.Reason, invalid.Status)
+	_ = controller.Flush()
+	_, _ = io.CopyN(io.Discard, r.Body, lingerBytes)
+}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -63,8 +63,7 @@
 func NewServer(listener net.Listener, c *config.Config, clock clock.Clock, loop EventLoop, log *slog.Logger) *Server {
 	s := &Server{Timeouts: DefaultTimeouts()}
 	s.listener = newListener(listener, c.ClientConnections(), &s.Timeouts)
-	s.handler = newHandler(c, clock, loop, &s.Timeouts)
-	s.handler.nearLimit = s.listener.nearLimit
+	s.handler = newHandler(c, clock, loop, &s.Timeouts, s.listener.nearLimit)
 	s.http = &http.Server{
 		Handler:        s.handler,
 		ConnState:      s.listener.trackState,
@@ -106,8 +105,4 @@
 func (s *Server) Close() error { return s.http.Close() }
 
 // Connections returns how many connections are open, and how many of these are without an open request.
-func (s *Server) Connections() (open, idle int) {
-	s.listener.mu.Lock()
-	defer s.listener.mu.Unlock()
-	return s.listener.open, s.listener.idle.Len()
-}
+func (s *Server) Connections() (open, idle int) { return s.listener.counts() }
