--- /dev/null
+++ b/internal/frontend/parse_test.go
@@ -0,0 +1,126 @@
+package frontend
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"ashshunt/internal/testutil"
+)
+
+// Malformed requests are answered, and none reaches the event loop.
+func TestMalformedRequests(t *testing.T) {
+	t.Parallel()
+	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo,
+		func(s *Server) { s.Timeouts.Linger = testutil.Timeout }) // the body of a rejected request may take its time here
+	valid := []string{"X-Call-Id", id, "X-Budget-Ms", "700"}
+	withTimeout := func(timeout string) []string { return []string{"X-Call-Id", id, "X-Budget-Ms", timeout} }
+	withID := func(id string) []string { return []string{"X-Call-Id", id, "X-Budget-Ms", "700"} }
+	largeBody := strings.Repeat("x", maxBodyBytes+1)
+	tests := []struct {
+		name, method, path, body string
+		headers                  []string
+		want                     int
+	}{
+		{"unknown class", "GET", "/nothing", "", valid, 404},
+		{"no class", "GET", "/", "", valid, 404},
+		{"a class behind an empty part", "GET", "//look", "", valid, 404},
+		{"no id", "GET", "/look", "", []string{"X-Budget-Ms", "700"}, 400},
+		{"a malformed id", "GET", "/look", "", withID("00000000000000g1"), 400},
+		{"a long id", "GET", "/look", "", withID(id + "0"), 400},
+		{"no timeout", "GET", "/look", "", []string{"X-Call-Id", id}, 400},
+		{"a timeout with a unit", "GET", "/look", "", withTimeout("700ms"), 400},
+		{"a negative timeout", "GET", "/look", "", withTimeout("-1"), 400},
+		{"a timeout of zero", "GET", "/look", "", withTimeout("0"), 400},
+		{"a huge timeout", "GET", "/look", "", withTimeout("18446744073709551616"), 400},
+		{"keyed without a key", "POST", "/hold", "x", valid, 400},
+		{"a wrong method", "GET", "/settle", "", valid, 405},
+		{"a body where there is none", "GET", "/look", "x", valid, 400},
+		{"a large body", "POST", "/settle", largeBody, valid, 413},
+	}
+	for _, test := range tests {
+		response, _ := testutil.Do(t, server.Addr(), test.method, test.path, test.body, test.headers...)
+		if response.StatusCode != test.want {
+			t.Errorf("%s: status %d, want %d", test.name, response.StatusCode, test.want)
+		}
+	}
+	if n := loop.submitted.Load(); n != 0 {
+		t.Errorf("the event loop got %d requests", n)
+	}
+}
+
+// A request must not hide in the body of another, and bodies that are not owed are not waited for: each of these is
+// answered from its head alone, and its connection closed.
+func TestFraming(t *testing.T) {
+	t.Parallel()
+	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, nil)
+	hidden := testutil.Post(otherID, "Content-Length: 0\r\n")
+	chunks := "0\r\n\r\n" + hidden
+	length := fmt.Sprintf("Content-Length: %d\r\n", len(chunks))
+	const chunked = "Transfer-Encoding: chunked\r\n"
+	oldVersion := strings.Replace(testutil.Post(id, "Connection: keep-alive\r\nContent-Length: 5\r\n"+chunked), "/1.1", "/1.0", 1)
+	unknownClass := strings.Replace(testutil.Post(id, "Content-Length: 100\r\n"), "settle", "x", 1)
+	for _, test := range []struct {
+		name, text string
+		want       int
+	}{
+		{"length and encoding", testutil.Post(id, length+chunked) + chunks, 411},
+		{"encoding and length", testutil.Post(id, chunked+length) + chunks, 411},
+		{"encoding alone", testutil.Post(id, chunked) + chunks, 411},
+		{"encoding in HTTP/1.0", oldVersion + chunks, 505},
+		{"an unknown encoding", testutil.Post(id, "Transfer-Encoding: gzip\r\n") + hidden, 501},
+		{"two lengths", testutil.Post(id, "Content-Length: 4\r\nContent-Length: 9\r\n") + hidden, 400},
+		{"a negative length", testutil.Post(id, "Content-Length: -1\r\n") + hidden, 400},
+		{"a signed length", testutil.Post(id, "Content-Length: +4\r\n") + hidden, 400},
+		{"a huge length", testutil.Post(id, "Content-Length: 3000000000\r\n") + hidden, 413},
+		{"a length beyond numbers", testutil.Post(id, "Content-Length: 99999999999999999999\r\n") + hidden, 400},
+		{"an endless head", testutil.Post(id, strings.Repeat("A: b\r\n", 1<<13)), 431},
+		{"two ids", testutil.Post(id, "X-Call-Id: "+otherID+"\r\nContent-Length: 0\r\n") + hidden, 400},
+		{"two timeouts", testutil.Post(id, "X-Budget-Ms: 1\r\n") + hidden, 400},
+		{"a class without keys, with a key", testutil.Post(id, "Idempotency-Key: k\r\n") + hidden, 400},
+		{"an unknown class with a body that never comes", unknownClass, 404},
+	} {
+		in := bufio.NewReader(testutil.Dial(t, server.Addr(), test.text))
+		response, err := http.ReadResponse(in, nil)
+		if err != nil {
+			t.Errorf("%s: %v", test.name, err)
+			continue
+		}
+		_, _ = io.Copy(io.Discard, response.Body) // what follows shows whether the connection has ended
+		if response.StatusCode != test.want {
+			t.Errorf("%s: status %d, want %d", test.name, response.StatusCode, test.want)
+		}
+		if n, err := in.Discard(1); n != 0 || isTimeout(err) {
+			t.Errorf("%s: the connection was kept", test.name)
+		}
+	}
+	if n := loop.submitted.Load(); n != 0 {
+		t.Errorf("the event loop got %d requests", n)
+	}
+}
+
+// Connections whose clients begin a request and never end it are closed.
+func TestIncompleteRequests(t *testing.T) {
+	t.Parallel()
+	server, _ := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, nil)
+	texts := []string{"", "POST /settle HTTP/1.1\r\nHo", testutil.Post(id, "Content-Length: 10\r\n") + "half"}
+	var clients []net.Conn
+	for _, text := range texts {
+		clients = append(clients, testutil.Dial(t, server.Addr(), text))
+	}
+	for i, client := range clients {
+		if _, err := io.Copy(io.Discard, client); isTimeout(err) { // ends once the server has closed it
+			t.Errorf("%q was kept", texts[i])
+		}
+	}
+}
+
+func isTimeout(err error) bool {
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
+}
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -1,6 +1,7 @@
 package frontend
 
 import (
+	"errors"
 	"net"
 	"net/http"
 	"sync/atomic"
@@ -11,6 +12,12 @@
 	"ashshunt/internal/testutil"
 )
 
+// Two well-formed request ids.
+const (
+	id      = testutil.RequestID
+	otherID = "00000000000000a2"
+)
+
 // fakeLoop is an event loop that answers each request by itself.
 type fakeLoop struct {
 	answer    func(*Request)
@@ -23,6 +30,7 @@
 	l.submitted.Add(1)
 	go l.answer(r)
 }
+
 func (l *fakeLoop) Abandon(*Request)         {}
 func (l *fakeLoop) Ready() <-chan struct{}   { return l.ready }
 func (l *fakeLoop) Done() <-chan struct{}    { return l.done }
@@ -52,7 +60,9 @@
 		if err := server.Close(); err != nil {
 			t.Error("Close:", err)
 		}
-		<-ended
+		if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
+			t.Error("Serve:", err)
+		}
 	})
 	return server, loop
 }
--- a/internal/testutil/client.go
+++ b/internal/testutil/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -13,6 +14,9 @@
 // RequestID is a well-formed X-Call-Id.
 const RequestID = "00000000000000a1"
 
+// ID returns a well-formed X-Call-Id, a different one for each number.
+func ID(number int) string { return fmt.Sprintf("%016x", number) }
+
 // Get is the text of a request of the idempotent class of Settings.
 func Get(id string) string {
 	return "GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 7000\r\n\r\n"
@@ -35,10 +39,18 @@
 	if err := conn.SetDeadline(time.Now().Add(Timeout)); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(conn, text) // fails where the other side has closed already, which the test sees later
+	_, _ = io.WriteString(conn, text) // may fail where the other side closes early, as the test is to see
 	return conn
 }
 
+// Write writes text to a connection.
+func Write(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // ReadResponse reads one response off a connection that may bring more.
 func ReadResponse(t *testing.T, in *bufio.Reader) *http.Response {
 	t.Helper()
