--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -21,7 +21,7 @@
 // newBackends knows the given addresses as s0, s1 ...
 func newBackends(t *testing.T, addrs ...string) *Client {
 	t.Helper()
-	l := endpoint.List{Full: true}
+	l := endpoint.List{Complete: true}
 	for i, addr := range addrs {
 		l.Entries = append(l.Entries, endpoint.Entry{ID: fmt.Sprintf("s%d", i), Addr: addr, State: "SERVING"})
 	}
@@ -209,8 +209,7 @@
 	testutil.Eventually(t, "the end to arrive", func() bool {
 		b.pool.mu.Lock()
 		defer b.pool.mu.Unlock()
-		quiet, _ := socket.Peek(b.pool.groups["s0"].idle[0].Conn)
-		return !quiet
+		return socket.Peek(b.pool.groups["s0"].idle[0].Conn) != socket.Quiet
 	})
 	if res, _ := b.try(settle(), testutil.Timeout); res != balancer.Served {
 		t.Errorf("result %d, want OK on a new connection", res)
@@ -239,7 +238,7 @@
 		{"draining", func(b *Client, _ *Request, _ func()) {
 			b.table.Apply(endpoint.List{Entries: []endpoint.Entry{{ID: "s0", Addr: "127.0.0.1:1", State: "DRAINING"}}})
 		}, balancer.ConnectFailed},
-		{"gone", func(b *Client, _ *Request, _ func()) { b.table.Apply(endpoint.List{Full: true}) }, balancer.ConnectFailed},
+		{"gone", func(b *Client, _ *Request, _ func()) { b.table.Apply(endpoint.List{Complete: true}) }, balancer.ConnectFailed},
 		{"ended", func(_ *Client, _ *Request, end func()) { end() }, balancer.NotSent},
 		{"its client has left", func(_ *Client, q *Request, _ func()) { q.ClientGone = func() bool { return true } }, balancer.NotSent},
 	}
