--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -114,7 +114,7 @@
 	if err := checkDisconnect(client); err != nil {
 		return nil, err
 	}
-	request.ClientGone = func() bool { return checkDisconnect(client) != nil }
+	request.ClientGone = func() bool { return socket.Peer(client.Conn).Gone() }
 	request.Arrived = h.clock.At(arrived)
 	request.Deadline = request.Arrived + request.Event.Timeout
 	return request, nil
@@ -147,11 +147,10 @@
 // checkDisconnect returns an error if a client has gone, or if so much waits behind its request that a disconnect
 // would not be seen.
 func checkDisconnect(client *connection) error {
-	gone, flooded := socket.PeerClosed(client.Conn)
-	switch {
-	case gone:
+	switch peer := socket.Peer(client.Conn); {
+	case peer.Closed:
 		return errDisconnected
-	case flooded:
+	case peer.Flooded:
 		return errTooMuchUnread
 	}
 	return nil
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -72,12 +72,6 @@
 	return state
 }
 
-// PeerClosed is Peer with its result as two values.
-func PeerClosed(conn net.Conn) (closed, flooded bool) {
-	state := Peer(conn)
-	return state.Closed, state.Flooded
-}
-
 func rawConn(conn net.Conn) (syscall.RawConn, error) {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
