--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -14,24 +14,24 @@
 
 // acceptFor after a stop was asked for, new connections are still taken: clients hear of it late, and
 // what waits in a closed listener's queue is lost.
-const acceptFor = 500 * time.Millisecond
+const acceptPeriod = 500 * time.Millisecond
 
 // lastWrite is the time for the last answers of a stop to be written.
-const lastWrite = 100 * time.Millisecond
+const finalWriteTime = 100 * time.Millisecond
 
 // Agent is one agent: a listener for the application, the loop, and its connections.
 type Agent struct {
-	loop     *Loop
+	loop     *eventLoop
 	frontend *frontend.Server
 	log      *slog.Logger
 
-	acceptFor time.Duration // see the constant
+	acceptPeriod time.Duration // see the constant
 }
 
 // New makes an agent and listens; it serves once Run is called.
 func New(c *config.Config, log *slog.Logger) (*Agent, error) {
 	clock := clock.New()
-	loop, err := newLoop(c, clock, log)
+	loop, err := newEventLoop(c, clock, log)
 	if err != nil {
 		return nil, err
 	}
@@ -40,7 +40,7 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	server := frontend.NewServer(listener, c, clock, loop, log)
-	return &Agent{loop: loop, frontend: server, log: log, acceptFor: acceptFor}, nil
+	return &Agent{loop: loop, frontend: server, log: log, acceptPeriod: acceptPeriod}, nil
 }
 
 // Addr is where the agent listens.
@@ -50,14 +50,14 @@
 // discovery. All else waits for the next start.
 func (a *Agent) Reload(c *config.Config) {
 	a.log.Info("configuration read again", "discovery", c.Discovery)
-	a.loop.post(reload{discovery: c.Discovery})
+	a.loop.post(discoveryMoved{addr: c.Discovery})
 }
 
 // Run serves until stop ends, then finishes what was taken.
 func (a *Agent) Run(stop context.Context) error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	go a.loop.Run(ctx)
+	go a.loop.run(ctx)
 	failed := make(chan error, 1)
 	go func() { failed <- a.frontend.Serve() }()
 	select {
@@ -67,13 +67,13 @@
 	}
 	a.log.Info("draining")
 	a.frontend.StartShutdown()
-	a.loop.post(drain{})
+	a.loop.post(shutdownStarted{})
 	// At once, while a request that crosses the close still finds the listener open on a new connection.
 	a.frontend.CloseUsedIdle()
 	select {
 	case err := <-failed:
 		return fmt.Errorf("serving: %w", err)
-	case <-time.After(a.acceptFor):
+	case <-time.After(a.acceptPeriod):
 	}
 	if err := a.frontend.StopAccepting(); err != nil {
 		return fmt.Errorf("stopping: %w", err)
@@ -81,7 +81,7 @@
 	// No http.Server.Shutdown: that takes a connection for idle until it has read a whole head, and would close it
 	// under the request.
 	a.frontend.CloseAllIdle()
-	bound, done := context.WithTimeout(ctx, drainFor(a.loop.s)-a.acceptFor+lastWrite)
+	bound, done := context.WithTimeout(ctx, shutdownTimeout(a.loop.settings)-a.acceptPeriod+finalWriteTime)
 	defer done()
 	a.frontend.WaitUntilEmpty(bound)
 	a.log.Info("stopped")
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -58,7 +58,7 @@
 	for i := range fleet {
 		c := testutil.Config(t, down, testutil.EntryJSON("s0", p.Addr(), "SERVING"))
 		c.Settings.Subscribe, c.Settings.Agents, c.Settings.AgentIndex = i%2 == 0, fleet, i
-		a, _ := startWith(t, c, func(a *Agent) { a.acceptFor = time.Millisecond })
+		a, _ := startWith(t, c, func(a *Agent) { a.acceptPeriod = time.Millisecond })
 		if resp, _ := ask(t, a, "GET", "/healthz", ""); resp.StatusCode != 200 {
 			t.Fatalf("agent %d: healthz %d with backends known", i, resp.StatusCode)
 		}
@@ -172,7 +172,7 @@
 	p := testutil.NewServer(t, testutil.Echo)
 	heard, told := make(chan balancer.Request, 1), make(chan balancer.Abandoned, 1)
 	a, logged := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
-		script(func(_ time.Duration, e balancer.Event) []balancer.Action {
+		scriptedModule(func(_ time.Duration, e balancer.Event) []balancer.Action {
 			switch e := e.(type) {
 			case balancer.Request:
 				heard <- e
@@ -202,7 +202,7 @@
 func TestSafetyNet(t *testing.T) {
 	t.Parallel()
 	a, logged := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING")),
-		script(func(_ time.Duration, e balancer.Event) []balancer.Action {
+		scriptedModule(func(_ time.Duration, e balancer.Event) []balancer.Action {
 			if _, ok := e.(balancer.Request); ok {
 				panic("out of ideas")
 			}
@@ -220,7 +220,7 @@
 	p := testutil.NewServer(t, testutil.Hang)
 	send := true
 	a, logged := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
-		script(func(_ time.Duration, e balancer.Event) []balancer.Action {
+		scriptedModule(func(_ time.Duration, e balancer.Event) []balancer.Action {
 			switch e := e.(type) {
 			case balancer.Request:
 				refuse := balancer.Reject{Request: e.ID, RetryAfter: 1500 * time.Millisecond}
@@ -248,7 +248,7 @@
 	p, q := testutil.NewServer(t, testutil.Hang), testutil.NewServer(t, testutil.Echo)
 	outcomes := make(chan balancer.Outcome, 10)
 	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING"), testutil.EntryJSON("s1", q.Addr(), "SERVING")),
-		script(func(_ time.Duration, e balancer.Event) []balancer.Action {
+		scriptedModule(func(_ time.Duration, e balancer.Event) []balancer.Action {
 			switch e := e.(type) {
 			case balancer.Request:
 				return []balancer.Action{
@@ -283,21 +283,21 @@
 
 // Guards against a late step, which would make every client look like one that tries again.
 func TestLateStepKeepsThePatience(t *testing.T) {
-	_, _, left := stepOnce(t, 80*time.Millisecond)
-	if want := 6*time.Second - cutMargin - time.Millisecond; left != want {
+	_, _, left := stepLate(t, 80*time.Millisecond)
+	if want := 6*time.Second - attemptMargin - time.Millisecond; left != want {
 		t.Errorf("the module was told that %v are left, want %v", left, want)
 	}
 }
 
 // stepOnce gives a loop with a tick of 1 ms a request of 6 s, steps it so late, and returns what the
 // module was told to be left.
-func stepOnce(t *testing.T, late time.Duration) (r *request, now, left time.Duration) {
+func stepLate(t *testing.T, late time.Duration) (r *openRequest, now, left time.Duration) {
 	t.Helper()
-	l, err := newLoop(testutil.Config(t, "127.0.0.1:1"), clock.New(), testutil.NewLogger(&testutil.Log{}))
+	l, err := newEventLoop(testutil.Config(t, "127.0.0.1:1"), clock.New(), testutil.NewLogger(&testutil.Log{}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.bal = script(func(_ time.Duration, e balancer.Event) []balancer.Action {
+	l.module = scriptedModule(func(_ time.Duration, e balancer.Event) []balancer.Action {
 		if q, ok := e.(balancer.Request); ok {
 			left = q.Timeout
 		}
@@ -306,8 +306,8 @@
 	now = l.clock.Now()
 	client := frontend.NewRequest()
 	client.Event, client.Arrived, client.Deadline = balancer.Request{ID: id}, now, now+6*time.Second
-	l.take(arrival{r: client})
-	r = l.open[id]
+	l.handle(requestSubmitted{request: client})
+	r = l.requests[id]
 	now += late
 	l.step(now)
 	return r, now, left
@@ -317,32 +317,32 @@
 // seen on a fleet day, the module then waited for a try that had no time, and the safety net answered.
 func TestTimeOutIsTheDeadline(t *testing.T) {
 	for _, late := range []time.Duration{0, time.Millisecond, 80 * time.Millisecond} {
-		r, now, left := stepOnce(t, late)
-		if late <= time.Millisecond && r.cut != now+left {
-			t.Errorf("a step %v late: attempts end %v before the deadline that the module knows", late, now+left-r.cut)
+		r, now, left := stepLate(t, late)
+		if late <= time.Millisecond && r.attemptDeadline != now+left {
+			t.Errorf("a step %v late: attempts end %v before the deadline that the module knows", late, now+left-r.attemptDeadline)
 		}
-		if r.cut >= r.client.Deadline-netMargin {
+		if r.attemptDeadline >= r.client.Deadline-guardMargin {
 			t.Errorf("a step %v late: attempts end after the safety net", late)
 		}
 	}
 }
 
 // stopping is an agent that has been asked to stop while a request is under way.
-type stopping struct {
+type stoppingAgent struct {
 	*Agent
 	first chan int   // status of the answer to that request
 	ended chan error // of Run
 }
 
-func stopWhile(t *testing.T, p *testutil.Server, method, path, budget string) stopping {
+func startAndStop(t *testing.T, p *testutil.Server, method, path, budget string) stoppingAgent {
 	t.Helper()
 	logged := &testutil.Log{}
 	a, err := New(testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), testutil.NewLogger(logged))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.acceptFor = 3 * time.Second // a slow machine still connects meanwhile
-	s := stopping{Agent: a, first: make(chan int, 1), ended: make(chan error, 1)}
+	a.acceptPeriod = 3 * time.Second // a slow machine still connects meanwhile
+	s := stoppingAgent{Agent: a, first: make(chan int, 1), ended: make(chan error, 1)}
 	stop, cancel := context.WithCancel(context.Background())
 	go func() { s.ended <- a.Run(stop) }()
 	go func() {
@@ -366,7 +366,7 @@
 		}
 		return testutil.Echo(c, r, body)
 	})
-	s := stopWhile(t, p, "GET", "/look/slow", "9000")
+	s := startAndStop(t, p, "GET", "/look/slow", "9000")
 	resp, _ := ask(t, s.Agent, "GET", "/look", "", "X-Call-Id", id[:15]+"2", "X-Budget-Ms", "9000")
 	if resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("while stopping: status %d, close %v", resp.StatusCode, resp.Close)
@@ -387,7 +387,7 @@
 // Guards against a kill that finds requests open: a stop ends them in time, by a failure.
 func TestStopEndsWhatWouldOutlastIt(t *testing.T) {
 	t.Parallel()
-	s := stopWhile(t, testutil.NewServer(t, testutil.Hang), "POST", "/settle", "600000")
+	s := startAndStop(t, testutil.NewServer(t, testutil.Hang), "POST", "/settle", "600000")
 	if status := testutil.Receive(t, s.first); status != 502 {
 		t.Errorf("status %d, want 502", status)
 	}
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -24,7 +24,7 @@
 	c.Settings.Subscribe = false
 	c.Settings.ConnectTimeout = time.Millisecond // the unit of the wait
 	lists := make(chan balancer.EndpointList, 10)
-	a, _ := start(t, c, script(func(_ time.Duration, e balancer.Event) []balancer.Action {
+	a, _ := start(t, c, scriptedModule(func(_ time.Duration, e balancer.Event) []balancer.Action {
 		if l, ok := e.(balancer.EndpointList); ok {
 			lists <- l
 		}
@@ -73,7 +73,7 @@
 	c := testutil.Config(t, l.Addr().String(), testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
 	c.Settings.Subscribe = false
 	c.Settings.ConnectTimeout = time.Millisecond // the unit of the wait
-	a, _ := start(t, c, script(func(time.Duration, balancer.Event) []balancer.Action { return nil }))
+	a, _ := start(t, c, scriptedModule(func(time.Duration, balancer.Event) []balancer.Action { return nil }))
 	line := `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DRAINING") + `]}`
 	for i, since := range []string{"1", "1", "2"} {
 		conn, err := l.Accept()
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -17,7 +17,7 @@
 )
 
 // leaves are the ways in which a client leaves. net/http sees no end behind bytes that follow the request.
-var leaves = []struct {
+var disconnects = []struct {
 	name   string
 	behind string
 	end    func(c *net.TCPConn)
@@ -32,8 +32,8 @@
 }
 
 // leaving runs a test for each way. say sends what comes behind a request; leave ends the connection.
-func leaving(t *testing.T, do func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn))) {
-	for _, l := range leaves {
+func forEachDisconnect(t *testing.T, do func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn))) {
+	for _, l := range disconnects {
 		t.Run(l.name, func(t *testing.T) {
 			t.Parallel()
 			do(t, func(a *Agent, text string) *net.TCPConn {
@@ -57,11 +57,11 @@
 // Guards against work for a client that has left while its request waited for a backoff or a timer: the module
 // hears of it however it left, nothing goes out for it, nothing is kept of it, and no answer is made up.
 func TestLeavesAtBackoff(t *testing.T) {
-	leaving(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
+	forEachDisconnect(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
 		p := testutil.NewServer(t, testutil.Echo)
 		heard, done := make(chan struct{}), make(chan balancer.Result, 1)
 		a, logged := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
-			script(func(_ time.Duration, e balancer.Event) []balancer.Action {
+			scriptedModule(func(_ time.Duration, e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
 				case balancer.Request:
 					if e.ID == id {
@@ -98,11 +98,11 @@
 
 // Guards against a request that goes out from behind a busy loop, which has yet to hear that its client has left.
 func TestLeavesBehindABusyLoop(t *testing.T) {
-	leaving(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
+	forEachDisconnect(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
 		p := testutil.NewServer(t, testutil.Echo)
 		busy, gate, ended := make(chan struct{}), make(chan struct{}), make(chan balancer.Result, 10)
 		a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
-			script(func(_ time.Duration, e balancer.Event) []balancer.Action {
+			scriptedModule(func(_ time.Duration, e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
 				case balancer.Request:
 					if e.ID == id {
@@ -118,7 +118,7 @@
 		c := dial(a, get(id))
 		testutil.Receive(t, busy)
 		leave(c)
-		testutil.Eventually(t, "the leave", a.loop.open[id].q.ClientGone) // the loop is held, nothing else is in the table
+		testutil.Eventually(t, "the leave", a.loop.requests[id].upstream.ClientGone) // the loop is held, nothing else is in the table
 		close(gate)
 		if res := testutil.Receive(t, ended); res != balancer.NotSent {
 			t.Errorf("result %d of a send after its client had left", res)
@@ -131,7 +131,7 @@
 
 // Guards against a request that goes out on a connection that came up after its client had left.
 func TestLeavesDuringADial(t *testing.T) {
-	leaving(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
+	forEachDisconnect(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
 		p := testutil.NewServer(t, testutil.Echo)
 		dialling, gate := make(chan struct{}, 10), make(chan struct{})
 		told, ended := make(chan struct{}, 10), make(chan balancer.Outcome, 10)
@@ -144,7 +144,7 @@
 				return nil
 			}
 			a.loop.upstream = upstream.New(options)
-			a.loop.bal = script(func(_ time.Duration, e balancer.Event) []balancer.Action {
+			a.loop.module = scriptedModule(func(_ time.Duration, e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
 				case balancer.Request:
 					if e.ID == id {
@@ -176,7 +176,7 @@
 
 // Guards against taking the request of a client that left while its connection waited for a place.
 func TestLeavesBeforeItsPlace(t *testing.T) {
-	leaving(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
+	forEachDisconnect(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
 		gate := make(chan struct{})
 		p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool { <-gate; return testutil.Echo(c, r, body) })
 		c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING"))
@@ -204,7 +204,7 @@
 
 // Guards against a body that stops: its request is not taken, however its client leaves.
 func TestLeavesWithinItsBody(t *testing.T) {
-	leaving(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
+	forEachDisconnect(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
 		p := testutil.NewServer(t, testutil.Echo)
 		a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")), nil)
 		c := dial(a, post(id, "Content-Length: 3000000\r\n")+"half")
@@ -220,7 +220,7 @@
 
 // Guards against an attempt that is repeated, or kept, for a client that left while it was out.
 func TestLeavesWithAnAttemptOut(t *testing.T) {
-	leaving(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
+	forEachDisconnect(t, func(t *testing.T, dial func(*Agent, string) *net.TCPConn, leave func(*net.TCPConn)) {
 		gate := make(chan struct{})
 		p := testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			<-gate
@@ -233,7 +233,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a, _ := start(t, c, watched{real, func(e balancer.Event) {
+		a, _ := start(t, c, observedModule{real, func(e balancer.Event) {
 			switch e := e.(type) {
 			case balancer.Abandoned:
 				if e.Request == id {
@@ -261,22 +261,22 @@
 }
 
 // watched is a module that shows its events.
-type watched struct {
-	decider
-	see func(balancer.Event)
+type observedModule struct {
+	decisionModule
+	observe func(balancer.Event)
 }
 
-func (w watched) Step(now time.Duration, events []balancer.Event) []balancer.Action {
+func (w observedModule) Step(now time.Duration, events []balancer.Event) []balancer.Action {
 	for _, e := range events {
-		w.see(e)
+		w.observe(e)
 	}
-	return w.decider.Step(now, events)
+	return w.decisionModule.Step(now, events)
 }
 
 // Guards against the leave of a client whose request was not taken, since its id was open or no place was free:
 // it passed for that of the client whose request is open, or took a place off the count.
 func TestLeavesUntaken(t *testing.T) {
-	l, err := newLoop(testutil.Config(t, "127.0.0.1:1"), clock.New(), testutil.NewLogger(&testutil.Log{}))
+	l, err := newEventLoop(testutil.Config(t, "127.0.0.1:1"), clock.New(), testutil.NewLogger(&testutil.Log{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -284,25 +284,25 @@
 	arrive := func(id string) *frontend.Request {
 		r := frontend.NewRequest()
 		r.Event, r.Arrived, r.Deadline = balancer.Request{ID: id}, now, now+time.Minute
-		l.take(arrival{r: r})
+		l.handle(requestSubmitted{request: r})
 		return r
 	}
 	client := arrive(id)
-	first, twin := l.open[id], arrive(id)
-	l.s.MaxOpen = 1
+	first, twin := l.requests[id], arrive(id)
+	l.settings.MaxOpen = 1
 	late := arrive(id[:15] + "2")
 	known := len(l.pending)
 	for _, r := range []*frontend.Request{twin, late} {
 		if len(r.Response()) != 1 {
 			t.Error("not turned away at once")
 		}
-		l.take(departure{r: r})
+		l.handle(requestAbandoned{request: r})
 	}
-	if first.ended || l.taken != 1 || len(l.open) != 1 || len(l.pending) != known {
-		t.Errorf("the open request ended %v, %d taken, %d open, %d events more", first.ended, l.taken, len(l.open), len(l.pending)-known)
+	if first.answered || l.unanswered != 1 || len(l.requests) != 1 || len(l.pending) != known {
+		t.Errorf("the open request ended %v, %d taken, %d open, %d events more", first.answered, l.unanswered, len(l.requests), len(l.pending)-known)
 	}
-	l.take(departure{r: client})
-	if !first.ended || l.taken != 0 || len(l.open) != 0 || len(l.timers) != 0 || len(l.pending) != known+1 {
-		t.Errorf("after its own leave: ended %v, %d taken, %d open, %d timers", first.ended, l.taken, len(l.open), len(l.timers))
+	l.handle(requestAbandoned{request: client})
+	if !first.answered || l.unanswered != 0 || len(l.requests) != 0 || len(l.timers) != 0 || len(l.pending) != known+1 {
+		t.Errorf("after its own leave: ended %v, %d taken, %d open, %d timers", first.answered, l.unanswered, len(l.requests), len(l.timers))
 	}
 }
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -14,11 +14,11 @@
 )
 
 // start runs an agent until the test ends; with decide in place of the module, if that is given.
-func start(t *testing.T, c *config.Config, decide decider) (*Agent, *testutil.Log) {
+func start(t *testing.T, c *config.Config, decide decisionModule) (*Agent, *testutil.Log) {
 	t.Helper()
 	return startWith(t, c, func(a *Agent) {
 		if decide != nil {
-			a.loop.bal = decide
+			a.loop.module = decide
 		}
 	})
 }
@@ -46,9 +46,9 @@
 }
 
 // script is a module that does what the test says.
-type script func(now time.Duration, e balancer.Event) []balancer.Action
+type scriptedModule func(now time.Duration, e balancer.Event) []balancer.Action
 
-func (s script) Step(now time.Duration, events []balancer.Event) (all []balancer.Action) {
+func (s scriptedModule) Step(now time.Duration, events []balancer.Event) (all []balancer.Action) {
 	for _, e := range events {
 		all = append(all, s(now, e)...)
 	}
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -15,7 +15,7 @@
 )
 
 // stoppable runs an agent until stop is called.
-func stoppable(t *testing.T, c *config.Config, prepare func(*Agent)) (a *Agent, logged *testutil.Log, stop func(), ended chan error) {
+func startStoppable(t *testing.T, c *config.Config, prepare func(*Agent)) (a *Agent, logged *testutil.Log, stop func(), ended chan error) {
 	t.Helper()
 	logged = &testutil.Log{}
 	a, err := New(c, testutil.NewLogger(logged))
@@ -42,8 +42,8 @@
 		}
 		return testutil.Echo(c, r, body)
 	})
-	a, logged, stop, ended := stoppable(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
-		func(a *Agent) { a.acceptFor = 3 * time.Second })
+	a, logged, stop, ended := startStoppable(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
+		func(a *Agent) { a.acceptPeriod = 3 * time.Second })
 	kept := dialRaw(t, a, get(id[:15]+"2"))
 	in := bufio.NewReader(kept)
 	if resp := testutil.ReadResponse(t, in); resp.StatusCode != 200 || resp.Close {
@@ -90,11 +90,11 @@
 		return testutil.Echo(c, r, body)
 	})
 	var stopped func() bool
-	a, logged, stop, ended := stoppable(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
+	a, logged, stop, ended := startStoppable(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", p.Addr(), "SERVING")),
 		func(a *Agent) {
 			wait := []balancer.Action{balancer.SetTimer{After: time.Millisecond, Token: 1}}
 			send := []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}}
-			a.loop.bal = script(func(_ time.Duration, e balancer.Event) []balancer.Action {
+			a.loop.module = scriptedModule(func(_ time.Duration, e balancer.Event) []balancer.Action {
 				switch e := e.(type) {
 				case balancer.Request:
 					return send
@@ -133,11 +133,11 @@
 		{8 * time.Second, 3700 * time.Millisecond},
 	} {
 		s := balancer.Settings{Classes: []balancer.Class{{Deadline: 100 * time.Millisecond}, {Deadline: tt.deadline}}}
-		if end := drainFor(s) + lastWrite; end >= tt.kill {
+		if end := shutdownTimeout(s) + finalWriteTime; end >= tt.kill {
 			t.Errorf("deadline %v: ends %v after a stop, to be killed after %v", tt.deadline, end, tt.kill)
 		}
-		if drainFor(s) < min(tt.deadline, 3*time.Second) {
-			t.Errorf("deadline %v: what came just before the stop gets %v", tt.deadline, drainFor(s))
+		if shutdownTimeout(s) < min(tt.deadline, 3*time.Second) {
+			t.Errorf("deadline %v: what came just before the stop gets %v", tt.deadline, shutdownTimeout(s))
 		}
 	}
 }
--- a/internal/agent/trouble_test.go
+++ b/internal/agent/trouble_test.go
@@ -12,13 +12,13 @@
 )
 
 // held is a backend that keeps each request open until it is told what to do with it.
-type held struct {
+type holdingServer struct {
 	*testutil.Server
 	end chan bool // for one request: whether it is answered; else its connection breaks
 }
 
-func newHeld(t *testing.T) *held {
-	h := &held{end: make(chan bool)}
+func newHoldingServer(t *testing.T) *holdingServer {
+	h := &holdingServer{end: make(chan bool)}
 	h.Server = testutil.NewServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		return <-h.end && testutil.Echo(c, r, body)
 	})
@@ -29,7 +29,7 @@
 // are open at a backend it stays in use.
 func TestBreaksUnderOpenRequests(t *testing.T) {
 	t.Parallel()
-	s := []*held{newHeld(t), newHeld(t)}
+	s := []*holdingServer{newHoldingServer(t), newHoldingServer(t)}
 	a, _ := start(t, testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", s[0].Addr(), "SERVING"),
 		testutil.EntryJSON("s1", s[1].Addr(), "SERVING")), nil)
 	n := 0
@@ -85,7 +85,7 @@
 // turned away unseen: before that the one that is worth least is refused, at once.
 func TestPlacesAreKeptFree(t *testing.T) {
 	t.Parallel()
-	h := newHeld(t)
+	h := newHoldingServer(t)
 	c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", h.Addr(), "SERVING"))
 	c.Sockets = 30 // ten open requests, of which one is kept free
 	for i := range c.Settings.Classes {
