--- a/cmd/ashshunt/main.go
+++ b/cmd/ashshunt/main.go
@@ -51,7 +51,7 @@
 	go func() {
 		for range again {
 			if c, err := config.Load(path); err != nil {
-				log.Warn("the old configuration stays", "err", err)
+				log.Warn("invalid configuration, keeping the old one", "err", err)
 			} else {
 				a.Reload(c)
 			}
--- a/cmd/ashshunt/main_test.go
+++ b/cmd/ashshunt/main_test.go
@@ -198,11 +198,11 @@
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
-	line(t, log, "msg=draining")
+	line(t, log, `msg="shutting down"`)
 	for _, bad := range []string{"{", strings.Replace(config(second), `"Balancers":1`, `"Balancers":0`, 1)} {
 		write(bad)
 		cmd.Process.Signal(syscall.SIGHUP)
-		line(t, log, "the old configuration stays")
+		line(t, log, "invalid configuration, keeping the old one")
 	}
 	write(config(second))
 	cmd.Process.Signal(syscall.SIGHUP)
--- /dev/null
+++ b/internal/agent/actions.go
@@ -0,0 +1,39 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"ashshunt/balancer"
+)
+
+// perform carries out one action of the decision module.
+func (l *eventLoop) perform(ctx context.Context, now time.Duration, action balancer.Action) {
+	switch action := action.(type) {
+	case balancer.Send:
+		l.startAttempt(ctx, now, action)
+	case balancer.Cancel:
+		l.cancelAttempt(action)
+	case balancer.Reject:
+		l.reject(action)
+	case balancer.Fail:
+		l.fail(action.Request)
+	case balancer.SetTimer:
+		l.timers.add(&timer{at: now + max(0, action.After), token: action.Token})
+	case balancer.HealthCheck:
+		l.startHealthCheck(ctx, action.Endpoint)
+	case balancer.Subscribe:
+		l.discovery.Subscribe(ctx)
+	case balancer.Unsubscribe:
+		l.discovery.Unsubscribe()
+	case balancer.PollEndpoints:
+		l.discovery.Poll(ctx)
+	case balancer.CloseIdle:
+		l.upstream.CloseIdle(action.Endpoint)
+	case balancer.LogMessage:
+		l.log.Info(action.Text)
+	default:
+		l.log.Error("internal error: unknown action", "action", fmt.Sprintf("%T", action))
+	}
+}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,3 +1,5 @@
+// Package agent wires the parts of the agent together: the frontend, the event loop around the decision module, the
+// upstream client and discovery.
 package agent
 
 import (
@@ -12,14 +14,15 @@
 	"ashshunt/internal/frontend"
 )
 
-// acceptFor after a stop was asked for, new connections are still taken: clients hear of it late, and
-// what waits in a closed listener's queue is lost.
-const acceptPeriod = 500 * time.Millisecond
-
-// lastWrite is the time for the last answers of a stop to be written.
-const finalWriteTime = 100 * time.Millisecond
+const (
+	// acceptPeriod is how long new connections are accepted after a shutdown was asked for: clients learn of it late,
+	// and what waits in the queue of a closed listener is lost.
+	acceptPeriod = 500 * time.Millisecond
+	// finalWriteTime is the time for the last responses of a shutdown to be written.
+	finalWriteTime = 100 * time.Millisecond
+)
 
-// Agent is one agent: a listener for the application, the loop, and its connections.
+// Agent is one agent: the frontend, and the event loop that answers its requests.
 type Agent struct {
 	loop     *eventLoop
 	frontend *frontend.Server
@@ -28,10 +31,10 @@
 	acceptPeriod time.Duration // see the constant
 }
 
-// New makes an agent and listens; it serves once Run is called.
+// New returns an agent that listens; it serves once Run is called.
 func New(c *config.Config, log *slog.Logger) (*Agent, error) {
-	clock := clock.New()
-	loop, err := newEventLoop(c, clock, log)
+	agentClock := clock.New()
+	loop, err := newEventLoop(c, agentClock, log)
 	if err != nil {
 		return nil, err
 	}
@@ -39,39 +42,45 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	server := frontend.NewServer(listener, c, clock, loop, log)
+	server := frontend.NewServer(listener, c, agentClock, loop, log)
 	return &Agent{loop: loop, frontend: server, log: log, acceptPeriod: acceptPeriod}, nil
 }
 
-// Addr is where the agent listens.
+// Addr is the address that the agent listens on.
 func (a *Agent) Addr() net.Addr { return a.frontend.Addr() }
 
-// Reload takes over from a new configuration what may change while the agent runs: the address of
-// discovery. All else waits for the next start.
+// Reload takes over from a new configuration what may change while the agent runs: the address of discovery. All else
+// takes effect at the next start.
 func (a *Agent) Reload(c *config.Config) {
-	a.log.Info("configuration read again", "discovery", c.Discovery)
+	a.log.Info("configuration reloaded", "discovery", c.Discovery)
 	a.loop.post(discoveryMoved{addr: c.Discovery})
 }
 
-// Run serves until stop ends, then finishes what was taken.
+// Run serves until stop ends, then shuts down gracefully: it answers what was accepted before it returns.
 func (a *Agent) Run(stop context.Context) error {
-	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
+	ctx, cancel := context.WithCancel(context.WithoutCancel(stop)) // requests outlast the signal to stop
 	defer cancel()
-	go a.loop.run(ctx)
-	failed := make(chan error, 1)
-	go func() { failed <- a.frontend.Serve() }()
+	go a.loop.run(ctx) // ends with ctx
+	served := make(chan error, 1)
+	go func() { served <- a.frontend.Serve() }() // ends when the listener closes
 	select {
-	case err := <-failed:
+	case err := <-served:
 		return fmt.Errorf("serving: %w", err)
 	case <-stop.Done():
+		return a.shutDown(ctx, served)
 	}
-	a.log.Info("draining")
+}
+
+// shutDown answers what was accepted, and what is still accepted for a while. Its steps have to come in this order:
+// connections are closed between requests only, and while their clients can still open new ones.
+func (a *Agent) shutDown(ctx context.Context, served <-chan error) error {
+	a.log.Info("shutting down")
 	a.frontend.StartShutdown()
 	a.loop.post(shutdownStarted{})
 	// At once, while a request that crosses the close still finds the listener open on a new connection.
 	a.frontend.CloseUsedIdle()
 	select {
-	case err := <-failed:
+	case err := <-served:
 		return fmt.Errorf("serving: %w", err)
 	case <-time.After(a.acceptPeriod):
 	}
@@ -81,9 +90,10 @@
 	// No http.Server.Shutdown: that takes a connection for idle until it has read a whole head, and would close it
 	// under the request.
 	a.frontend.CloseAllIdle()
-	bound, done := context.WithTimeout(ctx, shutdownTimeout(a.loop.settings)-a.acceptPeriod+finalWriteTime)
-	defer done()
-	a.frontend.WaitUntilEmpty(bound)
+	remaining := shutdownTimeout(a.loop.settings) - a.acceptPeriod + finalWriteTime
+	waitCtx, cancel := context.WithTimeout(ctx, remaining)
+	defer cancel()
+	a.frontend.WaitUntilEmpty(waitCtx)
 	a.log.Info("stopped")
 	return a.frontend.Close()
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -232,7 +232,7 @@
 			}
 			return nil
 		}))
-	if resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 502 || !logged.Contains("bug") {
+	if resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 502 || !logged.Contains("internal error") {
 		t.Errorf("refused with an attempt out: status %d, want 502", resp.StatusCode)
 	}
 	resp, _ := ask(t, a, "POST", "/settle", "", "X-Call-Id", id[:15]+"2", "X-Budget-Ms", "7000")
@@ -306,10 +306,10 @@
 	now = l.clock.Now()
 	client := frontend.NewRequest()
 	client.Event, client.Arrived, client.Deadline = balancer.Request{ID: id}, now, now+6*time.Second
-	l.handle(requestSubmitted{request: client})
+	requestSubmitted{request: client}.apply(context.Background(), l)
 	r = l.requests[id]
 	now += late
-	l.step(now)
+	l.step(context.Background(), now)
 	return r, now, left
 }
 
@@ -351,7 +351,7 @@
 	}()
 	testutil.Receive(t, p.Received)
 	cancel()
-	testutil.Eventually(t, "the drain", func() bool { return logged.Contains("draining") })
+	testutil.Eventually(t, "the drain", func() bool { return logged.Contains("shutting down") })
 	return s
 }
 
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"context"
 	"io"
 	"net"
 	"net/http"
@@ -284,7 +285,7 @@
 	arrive := func(id string) *frontend.Request {
 		r := frontend.NewRequest()
 		r.Event, r.Arrived, r.Deadline = balancer.Request{ID: id}, now, now+time.Minute
-		l.handle(requestSubmitted{request: r})
+		requestSubmitted{request: r}.apply(context.Background(), l)
 		return r
 	}
 	client := arrive(id)
@@ -296,13 +297,13 @@
 		if len(r.Response()) != 1 {
 			t.Error("not turned away at once")
 		}
-		l.handle(requestAbandoned{request: r})
+		requestAbandoned{request: r}.apply(context.Background(), l)
 	}
 	if first.answered || l.unanswered != 1 || len(l.requests) != 1 || len(l.pending) != known {
 		t.Errorf("the open request ended %v, %d taken, %d open, %d events more", first.answered, l.unanswered, len(l.requests), len(l.pending)-known)
 	}
-	l.handle(requestAbandoned{request: client})
-	if !first.answered || l.unanswered != 0 || len(l.requests) != 0 || len(l.timers) != 0 || len(l.pending) != known+1 {
-		t.Errorf("after its own leave: ended %v, %d taken, %d open, %d timers", first.answered, l.unanswered, len(l.requests), len(l.timers))
+	requestAbandoned{request: client}.apply(context.Background(), l)
+	if !first.answered || l.unanswered != 0 || len(l.requests) != 0 || l.timers.len() != 0 || len(l.pending) != known+1 {
+		t.Errorf("after its own leave: ended %v, %d taken, %d open, %d timers", first.answered, l.unanswered, len(l.requests), l.timers.len())
 	}
 }
--- /dev/null
+++ b/internal/agent/messages.go
@@ -0,0 +1,70 @@
+package agent
+
+import (
+	"context"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/frontend"
+	"ashshunt/internal/upstream"
+)
+
+// message tells the event loop what happened on another goroutine. Its effect is applied on the loop's own.
+type message interface {
+	apply(ctx context.Context, l *eventLoop)
+}
+
+type (
+	// requestSubmitted: a client's request has come.
+	requestSubmitted struct{ request *frontend.Request }
+	// requestAbandoned: the client of a request has disconnected.
+	requestAbandoned struct{ request *frontend.Request }
+	// attemptFinished: an attempt has ended.
+	attemptFinished struct {
+		request  *openRequest
+		outcome  balancer.Outcome
+		response upstream.Response
+	}
+	// moduleEvent: something happened that concerns the decision module alone.
+	moduleEvent struct{ event balancer.Event }
+	// shutdownStarted: the agent is to end, and what is open is to be answered soon.
+	shutdownStarted struct{}
+	// discoveryMoved: a new configuration names another address of discovery.
+	discoveryMoved struct{ addr string }
+)
+
+func (m requestSubmitted) apply(_ context.Context, l *eventLoop) { l.admit(m.request) }
+
+func (m requestAbandoned) apply(_ context.Context, l *eventLoop) { l.abandon(m.request) }
+
+func (m attemptFinished) apply(_ context.Context, l *eventLoop) {
+	l.finishAttempt(m.request, m.outcome, m.response.Body)
+}
+
+func (m moduleEvent) apply(_ context.Context, l *eventLoop) { l.addEvent(m.event) }
+
+func (shutdownStarted) apply(_ context.Context, l *eventLoop) { l.startShutdown() }
+
+func (m discoveryMoved) apply(ctx context.Context, l *eventLoop) { l.discovery.Move(ctx, m.addr) }
+
+// post hands a message to the event loop. Once that has ended, the message has no effect.
+func (l *eventLoop) post(m message) {
+	select {
+	case l.messages <- m:
+	case <-l.done:
+	}
+}
+
+// Submit implements frontend.EventLoop.
+func (l *eventLoop) Submit(r *frontend.Request) { l.post(requestSubmitted{request: r}) }
+
+// Abandon implements frontend.EventLoop.
+func (l *eventLoop) Abandon(r *frontend.Request) { l.post(requestAbandoned{request: r}) }
+
+// Ready implements frontend.EventLoop.
+func (l *eventLoop) Ready() <-chan struct{} { return l.ready }
+
+// Done implements frontend.EventLoop.
+func (l *eventLoop) Done() <-chan struct{} { return l.done }
+
+// HasServingEndpoint implements frontend.EventLoop.
+func (l *eventLoop) HasServingEndpoint() bool { return l.table.AnyServing() }
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -62,7 +62,7 @@
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("a kept connection: %v, want its end", err)
 	}
-	testutil.Eventually(t, "the drain", func() bool { return logged.Contains("draining") })
+	testutil.Eventually(t, "the drain", func() bool { return logged.Contains("shutting down") })
 	close(gate)
 	if resp := testutil.ReadResponse(t, bufio.NewReader(busy)); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("under way as the stop came: status %d, close %v", resp.StatusCode, resp.Close)
@@ -112,7 +112,7 @@
 				return nil
 			})
 		})
-	stopped = func() bool { return logged.Contains("draining") }
+	stopped = func() bool { return logged.Contains("shutting down") }
 	c := dialRaw(t, a, get(id))
 	testutil.Receive(t, failed)
 	stop()
