--- /dev/null
+++ b/internal/agent/disconnect_test.go
@@ -0,0 +1,316 @@
+package agent
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/testutil"
+	"ashshunt/internal/upstream"
+)
+
+// disconnects are the ways in which a client disconnects. net/http sees no end behind bytes that follow the request.
+var disconnects = []struct {
+	name   string
+	behind string // sent behind the request first
+	end    func(conn *net.TCPConn) error
+}{
+	{"close", "", (*net.TCPConn).Close},
+	{"reset", "", reset},
+	{"end of sending", "", (*net.TCPConn).CloseWrite},
+	{"close, a byte behind", "G", (*net.TCPConn).Close},
+	{"close, requests behind", testutil.Get(otherID) + testutil.Get(thirdID) + "GET /lo", (*net.TCPConn).Close},
+	{"reset, requests behind", testutil.Get(otherID) + testutil.Get(thirdID), reset},
+	{"close, a flood behind", strings.Repeat("x", 1<<18), (*net.TCPConn).Close},
+}
+
+// reset closes a connection by a reset.
+func reset(conn *net.TCPConn) error {
+	if err := conn.SetLinger(0); err != nil {
+		return err
+	}
+	return conn.Close()
+}
+
+// forEachDisconnect runs a test for each way to disconnect, which it gets as a function.
+func forEachDisconnect(t *testing.T, run func(t *testing.T, disconnect func(net.Conn))) {
+	for _, test := range disconnects {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			run(t, func(conn net.Conn) {
+				sent := make(chan struct{})
+				go func() {
+					defer close(sent)
+					_, _ = io.WriteString(conn, test.behind) // a flood may never be taken as a whole
+				}()
+				select {
+				case <-sent:
+				case <-time.After(50 * time.Millisecond):
+				}
+				if err := test.end(conn.(*net.TCPConn)); err != nil {
+					t.Log("disconnect:", err) // the agent may have been first
+				}
+			})
+		})
+	}
+}
+
+// expectNotSent waits for an outcome that says that nothing went out.
+func expectNotSent(t *testing.T, outcomes <-chan balancer.Outcome, server *testutil.Server) {
+	t.Helper()
+	if outcome := testutil.Receive(t, outcomes); outcome.Result != balancer.NotSent {
+		t.Errorf("result %d of an attempt after the client had disconnected", outcome.Result)
+	}
+	expectNothingReceived(t, server)
+}
+
+func expectNothingReceived(t *testing.T, server *testutil.Server) {
+	t.Helper()
+	if len(server.Received) != 0 {
+		t.Error("a request was forwarded after its client had disconnected")
+	}
+}
+
+// sendLate is a module that learns of a disconnect and sends the request all the same, which the loop has to hold back.
+func sendLate(submitted chan<- balancer.Request, abandoned chan<- balancer.Abandoned,
+	outcomes chan<- balancer.Outcome) scriptedModule {
+	return func(_ time.Duration, event balancer.Event) []balancer.Action {
+		switch event := event.(type) {
+		case balancer.Request:
+			if event.ID == id {
+				submitted <- event
+			}
+		case balancer.Abandoned:
+			if event.Request == id {
+				abandoned <- event
+				return []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}, balancer.LogMessage{Text: "sent late"}}
+			}
+		case balancer.Outcome:
+			outcomes <- event
+		}
+		return nil
+	}
+}
+
+// The module learns of a disconnect, and nothing goes out after it.
+func TestDisconnect(t *testing.T) {
+	t.Parallel()
+	server := testutil.NewServer(t, testutil.Echo)
+	submitted, abandoned := make(chan balancer.Request, 1), make(chan balancer.Abandoned, 1)
+	outcomes := make(chan balancer.Outcome, 10)
+	a, logged := startScripted(t, newConfig(t, server), sendLate(submitted, abandoned, outcomes))
+	client := testutil.Dial(t, a.Addr(), testutil.Get(id))
+	testutil.Receive(t, submitted)
+	if err := client.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if event := testutil.Receive(t, abandoned); event.Request != id {
+		t.Errorf("abandoned: %q", event.Request)
+	}
+	testutil.Eventually(t, "the step to end", func() bool { return logged.Contains("sent late") })
+	expectNothingReceived(t, server)
+}
+
+// Where a request waits for a backoff or a timer, the module learns of the disconnect however it came, nothing goes out
+// for the request, and no response is made up.
+func TestDisconnectDuringBackoff(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
+		server := testutil.NewServer(t, testutil.Echo)
+		submitted, abandoned := make(chan balancer.Request, 1), make(chan balancer.Abandoned, 1)
+		outcomes := make(chan balancer.Outcome, 10)
+		a, logged := startScripted(t, newConfig(t, server), sendLate(submitted, abandoned, outcomes))
+		client := testutil.Dial(t, a.Addr(), testutil.Get(id))
+		testutil.Receive(t, submitted)
+		disconnect(client)
+		testutil.Eventually(t, "the module to learn of it", func() bool { return logged.Contains("sent late") })
+		select {
+		case outcome := <-outcomes:
+			if outcome.Result != balancer.NotSent {
+				t.Errorf("result %d of an attempt after the client had disconnected", outcome.Result)
+			}
+		default: // not even tried
+		}
+		expectNothingReceived(t, server)
+		if text, _ := io.ReadAll(client); strings.Contains(string(text), " 200 ") {
+			t.Errorf("the client that only ended its sending got %q", text)
+		}
+	})
+}
+
+// A request does not go out from a busy loop that has yet to learn of the disconnect.
+func TestDisconnectBehindABusyLoop(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
+		server := testutil.NewServer(t, testutil.Echo)
+		busy, gate, outcomes := make(chan struct{}), make(chan struct{}), make(chan balancer.Outcome, 10)
+		module := func(_ time.Duration, event balancer.Event) []balancer.Action {
+			switch event := event.(type) {
+			case balancer.Request:
+				if event.ID == id {
+					close(busy)
+					<-gate
+					return []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}}
+				}
+			case balancer.Outcome:
+				outcomes <- event
+			}
+			return nil
+		}
+		a, _ := startScripted(t, newConfig(t, server), module)
+		client := testutil.Dial(t, a.Addr(), testutil.Get(id))
+		testutil.Receive(t, busy)
+		disconnect(client)
+		// The loop is held, and nothing else is in its table.
+		testutil.Eventually(t, "the disconnect", a.loop.requests[id].upstream.ClientGone)
+		close(gate)
+		expectNotSent(t, outcomes, server)
+	})
+}
+
+// A request does not go out on a connection that came up after its client had disconnected.
+func TestDisconnectDuringADial(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
+		server := testutil.NewServer(t, testutil.Echo)
+		dialling, gate := make(chan struct{}, 10), make(chan struct{})
+		abandoned, outcomes := make(chan struct{}, 10), make(chan balancer.Outcome, 10)
+		module := func(_ time.Duration, event balancer.Event) []balancer.Action {
+			switch event := event.(type) {
+			case balancer.Request:
+				if event.ID == id {
+					return []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}}
+				}
+			case balancer.Abandoned:
+				if event.Request == id {
+					abandoned <- struct{}{}
+				}
+			case balancer.Outcome:
+				outcomes <- event
+			}
+			return nil
+		}
+		c := newConfig(t, server)
+		a, _ := startPrepared(t, c, func(a *Agent) {
+			options := upstreamOptions(c, a.loop.table, a.log)
+			options.DialControl = func(_, _ string, _ syscall.RawConn) error {
+				dialling <- struct{}{}
+				<-gate
+				return nil
+			}
+			a.loop.upstream = upstream.New(options)
+			a.loop.module = scriptedModule(module)
+		})
+		client := testutil.Dial(t, a.Addr(), testutil.Get(id))
+		testutil.Receive(t, dialling)
+		disconnect(client)
+		testutil.Receive(t, abandoned)
+		close(gate)
+		if outcome := testutil.Receive(t, outcomes); outcome.Result != balancer.NotSent || !outcome.Done {
+			t.Errorf("outcome %+v", outcome)
+		}
+		expectNothingReceived(t, server)
+	})
+}
+
+// The request of a client that disconnected while its connection waited to be accepted is not forwarded.
+func TestDisconnectBeforeAccept(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
+		gate := make(chan struct{})
+		server := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+			<-gate
+			return testutil.Echo(conn, r, body)
+		})
+		c := newConfig(t, server)
+		c.Sockets = 2 // one for clients
+		a := startAgent(t, c)
+		first := testutil.Dial(t, a.Addr(), testutil.Get(testutil.ID(1)))
+		testutil.Receive(t, server.Received)
+		second := testutil.Dial(t, a.Addr(), testutil.Get(id))
+		disconnect(second) // which its system passes on at once, to a connection that the agent has not accepted yet
+		close(gate)
+		if status := testutil.ReadStatus(t, first); status != http.StatusOK {
+			t.Errorf("first request: status %d", status)
+		}
+		_ = first.Close() // the agent may have closed it already
+		if status := requestStatus(t, a, "GET", "/look", testutil.ID(3), "7000"); status != http.StatusOK {
+			t.Errorf("third request: status %d", status)
+		}
+		for len(server.Received) > 0 {
+			if r := <-server.Received; r.Header.Get("X-Call-Id") == id {
+				t.Error("a request was forwarded whose client had disconnected before it was read")
+			}
+		}
+	})
+}
+
+// A request whose body stops is not forwarded, however its client disconnects.
+func TestDisconnectWithinTheBody(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
+		server := testutil.NewServer(t, testutil.Echo)
+		a := startAgent(t, newConfig(t, server))
+		client := testutil.Dial(t, a.Addr(), testutil.Post(id, "Content-Length: 3000000\r\n")+"half")
+		disconnect(client)
+		if status := requestStatus(t, a, "GET", "/look", testutil.ID(1), "7000"); status != http.StatusOK {
+			t.Errorf("next request: status %d", status)
+		}
+		if r := testutil.Receive(t, server.Received); r.Header.Get("X-Call-Id") == id {
+			t.Error("an incomplete request was forwarded")
+		}
+	})
+}
+
+// An attempt in flight as its client disconnects is neither retried nor kept.
+func TestDisconnectWithAnAttemptInFlight(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
+		gate := make(chan struct{})
+		server := testutil.NewServer(t, func(conn net.Conn, _ *http.Request, _ []byte) bool {
+			<-gate
+			testutil.Respond(conn, 500, "", "")
+			return true
+		})
+		abandoned, outcomes := make(chan struct{}, 10), make(chan balancer.Outcome, 10)
+		observe := func(event balancer.Event) {
+			switch event := event.(type) {
+			case balancer.Abandoned:
+				if event.Request == id {
+					abandoned <- struct{}{}
+				}
+			case balancer.Outcome:
+				outcomes <- event
+			}
+		}
+		a, _ := startPrepared(t, newConfig(t, server), func(a *Agent) {
+			a.loop.module = observedModule{a.loop.module, observe}
+		})
+		client := testutil.Dial(t, a.Addr(), testutil.Get(id))
+		testutil.Receive(t, server.Received)
+		disconnect(client)
+		testutil.Receive(t, abandoned)
+		close(gate)
+		if outcome := testutil.Receive(t, outcomes); outcome.Result != balancer.ServerError || !outcome.Done {
+			t.Errorf("outcome %+v", outcome)
+		}
+		if status := requestStatus(t, a, "POST", "/settle", id, "7000"); status != http.StatusBadGateway {
+			t.Errorf("its id, free again, got %d", status) // 400 while it is open
+		}
+		if n := len(server.Received); n != 1 {
+			t.Errorf("%d attempts more, want that of the next request alone", n)
+		}
+	})
+}
+
+// observedModule is a decision module whose events can be observed.
+type observedModule struct {
+	decisionModule
+	observe func(balancer.Event)
+}
+
+func (m observedModule) Step(now time.Duration, events []balancer.Event) []balancer.Action {
+	for _, event := range events {
+		m.observe(event)
+	}
+	return m.decisionModule.Step(now, events)
+}
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -16,174 +16,203 @@
 	"ashshunt/internal/testutil"
 )
 
-// Guards against settings under which changes come unasked, as in the simulator: on sockets nothing comes
-// without a watch, so agents would hold the list of their start for ever. It is begun again when it ends.
-func TestUnaskedWatch(t *testing.T) {
-	d := testutil.NewDiscovery(t)
-	c := testutil.Config(t, d.Addr, testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"), testutil.EntryJSON("s1", "127.0.0.1:2", "SERVING"))
+// newWatchConfig returns the configuration of an agent that keeps a watch by itself, with the shortest waits between
+// two, and knows the endpoints s0 and s1.
+func newWatchConfig(t *testing.T, discoveryAddr string) *config.Config {
+	t.Helper()
+	c := testutil.Config(t, discoveryAddr, testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"),
+		testutil.EntryJSON("s1", "127.0.0.1:2", "SERVING"))
 	c.Settings.Subscribe = false
-	c.Settings.ConnectTimeout = time.Millisecond // the unit of the wait
-	lists := make(chan balancer.EndpointList, 10)
-	a, _ := start(t, c, scriptedModule(func(_ time.Duration, e balancer.Event) []balancer.Action {
-		if l, ok := e.(balancer.EndpointList); ok {
-			lists <- l
-		}
-		return nil
-	}))
-	if e := testutil.Receive(t, lists); e.Kind != balancer.ListCached {
-		t.Errorf("event %+v", e)
+	c.Settings.ConnectTimeout = time.Millisecond // the unit of the waits
+	return c
+}
+
+// newTCPListener returns a listener whose Accept does not wait for ever.
+func newTCPListener(t *testing.T) *net.TCPListener {
+	t.Helper()
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
 	}
-	if q := testutil.Receive(t, d.Watches); q != "follow=1&since=1" {
-		t.Errorf("watched with %q", q)
+	t.Cleanup(func() { _ = listener.Close() })
+	if err := listener.SetDeadline(time.Now().Add(testutil.Timeout)); err != nil {
+		t.Fatal(err)
 	}
-	d.Say <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DELETED") + `]}`
-	if e := testutil.Receive(t, lists); e.Kind != balancer.ListDelta || e.Endpoints[0].State != balancer.Removed {
-		t.Errorf("event %+v", e)
+	return listener
+}
+
+// acceptTCP accepts one connection.
+func acceptTCP(t *testing.T, listener *net.TCPListener) *net.TCPConn {
+	t.Helper()
+	conn, err := listener.AcceptTCP()
+	if err != nil {
+		t.Fatal(err)
 	}
-	for range 3 {
-		d.Cut <- struct{}{}
-		if q := testutil.Receive(t, d.Watches); q != "follow=1&since=2" {
-			t.Errorf("watched again with %q", q)
-		}
+	return conn
+}
+
+// readRequest reads one request.
+func readRequest(t *testing.T, conn net.Conn) *http.Request {
+	t.Helper()
+	request, err := http.ReadRequest(bufio.NewReader(conn))
+	if err != nil {
+		t.Fatal(err)
 	}
-	d.Say <- "}"
-	if q := testutil.Receive(t, d.Watches); q != "follow=1&since=2" {
-		t.Errorf("watched after a malformed line with %q", q)
+	return request
+}
+
+// expectWatch waits for a watch and checks its query.
+func expectWatch(t *testing.T, service *testutil.Discovery, want string) {
+	t.Helper()
+	if query := testutil.Receive(t, service.Watches); query != want {
+		t.Errorf("watched with %q, want %q", query, want)
 	}
+}
+
+// Where the settings say that changes are pushed, as in the simulator, the module asks for no watch, and nothing comes
+// over HTTP without one: the agent keeps one by itself.
+func TestKeptWatch(t *testing.T) {
+	service := testutil.NewDiscovery(t)
+	lists := make(chan balancer.EndpointList, 10)
+	a, _ := startScripted(t, newWatchConfig(t, service.Addr),
+		func(_ time.Duration, event balancer.Event) []balancer.Action {
+			if list, ok := event.(balancer.EndpointList); ok {
+				lists <- list
+			}
+			return nil
+		})
+	if list := testutil.Receive(t, lists); list.Kind != balancer.ListCached {
+		t.Errorf("event %+v", list)
+	}
+	expectWatch(t, service, "follow=1&since=1")
+	service.Say <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DELETED") + `]}`
+	list := testutil.Receive(t, lists)
+	if list.Kind != balancer.ListDelta || list.Endpoints[0].State != balancer.Removed {
+		t.Errorf("event %+v", list)
+	}
+	for range 3 {
+		service.Cut <- struct{}{}
+		expectWatch(t, service, "follow=1&since=2")
+	}
+	service.Say <- "}" // malformed
+	expectWatch(t, service, "follow=1&since=2")
 	moved := testutil.NewDiscovery(t)
 	a.Reload(&config.Config{Discovery: moved.Addr})
-	if q := testutil.Receive(t, moved.Watches); q != "follow=1" {
-		t.Errorf("watched the new address with %q", q)
-	}
+	expectWatch(t, moved, "follow=1")
 	select {
-	case e := <-lists:
-		t.Errorf("the module hears %+v of a watch that it did not ask for", e)
+	case list := <-lists:
+		t.Errorf("the module gets %+v of a watch that it did not ask for", list)
 	default:
 	}
 }
 
-// Guards against a watch that is reset, before its answer or after a line: it is begun again from what is held.
+// A watch that is reset, before its response or after a line, is begun again from the version that is held.
 func TestWatchIsReset(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(testutil.Timeout))
-	c := testutil.Config(t, l.Addr().String(), testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
-	c.Settings.Subscribe = false
-	c.Settings.ConnectTimeout = time.Millisecond // the unit of the wait
-	a, _ := start(t, c, scriptedModule(func(time.Duration, balancer.Event) []balancer.Action { return nil }))
+	listener := newTCPListener(t)
+	a, _ := startScripted(t, newWatchConfig(t, listener.Addr().String()),
+		func(time.Duration, balancer.Event) []balancer.Action { return nil })
 	line := `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DRAINING") + `]}`
+	chunk := fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(line), line)
 	for i, since := range []string{"1", "1", "2"} {
-		conn, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		r, err := http.ReadRequest(bufio.NewReader(conn))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got := r.URL.Query().Get("since"); got != since {
+		conn := acceptTCP(t, listener)
+		if got := readRequest(t, conn).URL.Query().Get("since"); got != since {
 			t.Errorf("watch %d since %q, want %q", i, got, since)
 		}
 		if i > 0 {
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(line), line)
-			testutil.Eventually(t, "the line", func() bool { _, ok := a.loop.table.Serving("s0"); return !ok })
+			testutil.Write(t, conn, chunk)
+			testutil.Eventually(t, "the line", func() bool { return !isServing(a, "s0") })
+		}
+		if err := reset(conn); err != nil {
+			t.Fatal(err)
 		}
-		conn.(*net.TCPConn).SetLinger(0)
-		conn.Close()
 	}
 }
 
-// Guards against a move while the new discovery is down: the watch of the old address, still open, passed for
-// the one that was wanted, and the new address was never asked again.
+// While the new address of discovery is down, the watch of the old one, still open, must not pass for the one that is
+// wanted: the new address is called again until it answers.
 func TestMoveWhileDiscoveryIsDown(t *testing.T) {
-	old := testutil.NewDiscovery(t)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	c := testutil.Config(t, old.Addr, testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
-	c.Settings.Subscribe = false
-	c.Settings.ConnectTimeout = time.Millisecond // the unit of the wait
-	a, logged := startWith(t, c, func(a *Agent) {
-		changeDiscovery(a, c, func(o *discovery.Options) { o.WatchSilence = testutil.Timeout })
-	}) // the old watch stays
+	old, listener := testutil.NewDiscovery(t), newTCPListener(t)
+	c := newWatchConfig(t, old.Addr)
+	a, logged := startPrepared(t, c, func(a *Agent) {
+		changeDiscovery(a, c, func(o *discovery.Options) { o.WatchSilence = testutil.Timeout }) // the old watch stays
+	})
 	testutil.Eventually(t, "the old watch", func() bool { return logged.Contains("watch established") })
-	a.Reload(&config.Config{Discovery: l.Addr().String()})
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(testutil.Timeout))
+	a.Reload(&config.Config{Discovery: listener.Addr().String()})
 	for range 3 {
-		conn, err := l.Accept()
-		if err != nil {
+		if err := acceptTCP(t, listener).Close(); err != nil {
 			t.Fatal(err)
 		}
-		conn.Close()
 	}
-	conn, err := l.Accept() // it is back
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
-	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
-		t.Fatal(err)
-	}
-	testutil.Respond(conn, 200, "", `{"version":1,"full":true,"servers":[`+testutil.EntryJSON("s7", "127.0.0.1:7", "SERVING")+`]}`)
-	testutil.Eventually(t, "the list of the new address", func() bool { _, ok := a.loop.table.Serving("s7"); return ok })
+	conn := acceptTCP(t, listener) // it is back
+	defer func() { _ = conn.Close() }()
+	readRequest(t, conn)
+	list := `{"version":1,"full":true,"servers":[` + testutil.EntryJSON("s7", "127.0.0.1:7", "SERVING") + `]}`
+	testutil.Respond(conn, 200, "", list)
+	testutil.Eventually(t, "the list of the new address", func() bool { return isServing(a, "s7") })
 }
 
-// What discovery may do to a call before it serves the next one.
-var calls = map[string]http.HandlerFunc{
+// failedCalls are what discovery may do to a call.
+var failedCalls = map[string]http.HandlerFunc{
 	"refused": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 	"hung":    func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 	"silent from its start": func(w http.ResponseWriter, r *http.Request) {
-		w.(http.Flusher).Flush()
+		flush(w)
 		<-r.Context().Done()
 	},
-	"broken off": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-	"ended":      func(w http.ResponseWriter, _ *http.Request) { w.(http.Flusher).Flush() },
+	"aborted": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+	"ended":   func(w http.ResponseWriter, _ *http.Request) { flush(w) },
 	"cut within a list": func(w http.ResponseWriter, _ *http.Request) {
-		io.WriteString(w, `{"version":2,"full":true,"serv`)
-		w.(http.Flusher).Flush()
+		_, _ = io.WriteString(w, `{"version":2,"full":true,"serv`) // fails if the agent was first
+		flush(w)
 		panic(http.ErrAbortHandler)
 	},
-	"malformed": func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "}\n") },
+	"malformed": func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = io.WriteString(w, "}\n") // fails if the agent was first
+	},
+}
+
+func flush(w http.ResponseWriter) { w.(http.Flusher).Flush() }
+
+// failFirst returns the address of a discovery that fails its first calls, and answers the next with the endpoint s7.
+func failFirst(t *testing.T, calls int32, fail http.HandlerFunc) string {
+	t.Helper()
+	var called atomic.Int32
+	listener := newTCPListener(t)
+	if err := listener.SetDeadline(time.Time{}); err != nil {
+		t.Fatal(err)
+	}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if called.Add(1) <= calls {
+			fail(w, r)
+			return
+		}
+		_, _ = fmt.Fprintf(w, `{"version":9,"full":true,"servers":[%s]}`+"\n",
+			testutil.EntryJSON("s7", "127.0.0.1:7", "SERVING")) // fails if the agent was first
+		flush(w)
+		<-r.Context().Done()
+	})}
+	go func() { _ = server.Serve(listener) }() // until it is closed
+	t.Cleanup(func() { _ = server.Close() })
+	return listener.Addr().String()
 }
 
-// Guards the bound on when a change arrives, whatever became of the calls before: after each kind of failure,
-// three times over, the next call comes within the wait that the bound allows, and its list counts. The waits are
-// those of the real module; the time that a silent call takes is its own bound's matter.
-func TestToldWhateverBecameOfTheCalls(t *testing.T) {
-	for name, do := range calls {
-		for _, asked := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s/asked %v", name, asked), func(t *testing.T) {
+// A change arrives within the bound whatever became of the calls before: after each kind of failure, three times over,
+// the next call comes within the wait that the bound allows, and its list counts. The waits are those of the real
+// module; the time that a silent call takes is its own bound's matter.
+func TestListArrivesAfterFailedCalls(t *testing.T) {
+	for name, fail := range failedCalls {
+		for _, subscribe := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s/subscribe %v", name, subscribe), func(t *testing.T) {
 				t.Parallel()
-				var n atomic.Int32
-				l, err := net.Listen("tcp", "127.0.0.1:0")
-				if err != nil {
-					t.Fatal(err)
-				}
-				s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					if n.Add(1) <= 3 {
-						do(w, r)
-						return
-					}
-					fmt.Fprintf(w, `{"version":9,"full":true,"servers":[%s]}`+"\n", testutil.EntryJSON("s7", "127.0.0.1:7", "SERVING"))
-					w.(http.Flusher).Flush()
-					<-r.Context().Done()
-				})}
-				go s.Serve(l)
-				t.Cleanup(func() { s.Close() })
-				c := testutil.Config(t, l.Addr().String(), testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
-				c.Settings.Subscribe, c.Settings.Agents = asked, 350
+				c := testutil.Config(t, failFirst(t, 3, fail), testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
+				c.Settings.Subscribe, c.Settings.Agents = subscribe, 350
 				c.Settings.PollWithin = time.Minute // the waits come from the bound
-				a, _ := startWith(t, c, func(a *Agent) {
+				a, _ := startPrepared(t, c, func(a *Agent) {
 					changeDiscovery(a, c, func(o *discovery.Options) {
 						o.WatchSilence, o.CallTimeout = 50*time.Millisecond, 50*time.Millisecond
 					})
 				})
-				testutil.Eventually(t, "the list", func() bool { _, ok := a.loop.table.Serving("s7"); return ok })
+				testutil.Eventually(t, "the list", func() bool { return isServing(a, "s7") })
 			})
 		}
 	}
--- /dev/null
+++ b/internal/agent/helpers_test.go
@@ -0,0 +1,133 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/clock"
+	"ashshunt/internal/config"
+	"ashshunt/internal/discovery"
+	"ashshunt/internal/frontend"
+	"ashshunt/internal/testutil"
+)
+
+// Well-formed request ids.
+const (
+	id      = testutil.RequestID
+	otherID = "00000000000000a2"
+	thirdID = "00000000000000a3"
+)
+
+// newConfig returns the configuration of an agent that knows servers as the endpoints s0, s1 and so on, and has a
+// discovery that brings nothing new.
+func newConfig(t *testing.T, servers ...*testutil.Server) *config.Config {
+	t.Helper()
+	var entries []string
+	for i, server := range servers {
+		entries = append(entries, testutil.EntryJSON(fmt.Sprintf("s%d", i), server.Addr(), "SERVING"))
+	}
+	return testutil.Config(t, testutil.NewDiscovery(t).Addr, entries...)
+}
+
+// startAgent runs an agent until the test ends.
+func startAgent(t *testing.T, c *config.Config) *Agent {
+	t.Helper()
+	a, _ := startPrepared(t, c, func(*Agent) {})
+	return a
+}
+
+// startScripted runs an agent whose decisions are scripted until the test ends.
+func startScripted(t *testing.T, c *config.Config, module scriptedModule) (*Agent, *testutil.Log) {
+	t.Helper()
+	return startPrepared(t, c, func(a *Agent) { a.loop.module = module })
+}
+
+// startPrepared runs an agent that was changed first until the test ends.
+func startPrepared(t *testing.T, c *config.Config, prepare func(*Agent)) (*Agent, *testutil.Log) {
+	t.Helper()
+	a := startStoppable(t, c, prepare)
+	t.Cleanup(func() {
+		a.stop()
+		if err := <-a.ended; err != nil {
+			t.Error("Run:", err)
+		}
+	})
+	return a.Agent, a.logged
+}
+
+// stoppableAgent is an agent that runs until stop is called.
+type stoppableAgent struct {
+	*Agent
+	logged *testutil.Log
+	stop   context.CancelFunc
+	ended  chan error // what Run returned
+}
+
+func startStoppable(t *testing.T, c *config.Config, prepare func(*Agent)) stoppableAgent {
+	t.Helper()
+	logged := &testutil.Log{}
+	a, err := New(c, testutil.NewLogger(logged))
+	if err != nil {
+		t.Fatal(err)
+	}
+	prepare(a)
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	ended := make(chan error, 1)
+	go func() { ended <- a.Run(ctx) }()
+	testutil.Receive(t, a.loop.ready)
+	return stoppableAgent{Agent: a, logged: logged, stop: cancel, ended: ended}
+}
+
+// newTestLoop returns an event loop that does not run.
+func newTestLoop(t *testing.T) *eventLoop {
+	t.Helper()
+	l, err := newEventLoop(testutil.Config(t, "127.0.0.1:1"), clock.New(), testutil.NewLogger(&testutil.Log{}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+// submit gives an event loop that does not run a request that arrives now.
+func submit(l *eventLoop, id string, timeout time.Duration) *frontend.Request {
+	now := l.clock.Now()
+	request := frontend.NewRequest()
+	request.Event = balancer.Request{ID: id}
+	request.Arrived, request.Deadline = now, now+timeout
+	requestSubmitted{request}.apply(context.Background(), l)
+	return request
+}
+
+// scriptedModule is a decision module that does what the test says upon each event.
+type scriptedModule func(now time.Duration, event balancer.Event) []balancer.Action
+
+func (s scriptedModule) Step(now time.Duration, events []balancer.Event) (actions []balancer.Action) {
+	for _, event := range events {
+		actions = append(actions, s(now, event)...)
+	}
+	return actions
+}
+
+// requestStatus sends a request without a body to an agent and returns the status of the response.
+func requestStatus(t *testing.T, a *Agent, method, path, id, timeoutMs string) int {
+	t.Helper()
+	response, _ := testutil.Do(t, a.Addr(), method, path, "", "X-Call-Id", id, "X-Budget-Ms", timeoutMs)
+	return response.StatusCode
+}
+
+// isServing reports whether an agent knows an endpoint that may get requests.
+func isServing(a *Agent, endpointID string) bool {
+	_, ok := a.loop.table.Serving(endpointID)
+	return ok
+}
+
+// changeDiscovery has an agent use discovery with changed options.
+func changeDiscovery(a *Agent, c *config.Config, change func(*discovery.Options)) {
+	options := a.loop.discoveryOptions(c)
+	change(&options)
+	a.loop.discovery = discovery.New(options)
+}
--- /dev/null
+++ b/internal/agent/shutdown_test.go
@@ -0,0 +1,183 @@
+package agent
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/testutil"
+)
+
+const shutdownLine = "shutting down" // in the log
+
+// startAndStop runs an agent and asks it to shut down while a request is in flight. The request's status comes out of
+// the channel.
+func startAndStop(t *testing.T, server *testutil.Server, method, path, timeoutMs string) (stoppableAgent, chan int) {
+	t.Helper()
+	a := startStoppable(t, newConfig(t, server), func(a *Agent) {
+		a.acceptPeriod = 3 * time.Second // a slow machine still connects meanwhile
+	})
+	first := make(chan int, 1)
+	go func() { first <- requestStatus(t, a.Agent, method, path, id, timeoutMs) }()
+	testutil.Receive(t, server.Received)
+	a.stop()
+	testutil.Eventually(t, "the shutdown", func() bool { return a.logged.Contains(shutdownLine) })
+	return a, first
+}
+
+// expectEnd waits for the end of Run, which must be without an error.
+func (a stoppableAgent) expectEnd(t *testing.T) {
+	t.Helper()
+	if err := testutil.Receive(t, a.ended); err != nil {
+		t.Error(err)
+	}
+}
+
+// expectLastResponse reads a response that has to be 200 and the last one on its connection.
+func expectLastResponse(t *testing.T, in io.Reader, what string) {
+	t.Helper()
+	response := testutil.ReadResponse(t, bufio.NewReader(in))
+	if response.StatusCode != http.StatusOK || !response.Close {
+		t.Errorf("%s: status %d, close %v", what, response.StatusCode, response.Close)
+	}
+}
+
+// While an agent shuts down, open requests are answered, and new connections are served for a while and closed with
+// the response.
+func TestGracefulShutdown(t *testing.T) {
+	t.Parallel()
+	gate := make(chan struct{})
+	server := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+		if r.URL.Path == "/look/slow" {
+			<-gate
+		}
+		return testutil.Echo(conn, r, body)
+	})
+	a, first := startAndStop(t, server, "GET", "/look/slow", "9000")
+	response, _ := testutil.Do(t, a.Addr(), "GET", "/look", "", "X-Call-Id", otherID, "X-Budget-Ms", "9000")
+	if response.StatusCode != http.StatusOK || !response.Close {
+		t.Errorf("during the shutdown: status %d, close %v", response.StatusCode, response.Close)
+	}
+	close(gate)
+	if status := testutil.Receive(t, first); status != http.StatusOK {
+		t.Errorf("request in flight: status %d", status)
+	}
+	a.expectEnd(t)
+	if conn, err := net.Dial("tcp", a.Addr().String()); err == nil {
+		_ = conn.Close()
+		t.Error("still listening")
+	}
+}
+
+// Requests that would outlast the shutdown are failed before the process may be killed.
+func TestShutdownFailsLongRequests(t *testing.T) {
+	t.Parallel()
+	a, first := startAndStop(t, testutil.NewServer(t, testutil.Hang), "POST", "/settle", "600000")
+	if status := testutil.Receive(t, first); status != http.StatusBadGateway {
+		t.Errorf("status %d, want 502", status)
+	}
+	a.expectEnd(t)
+}
+
+// Clients must not go on sending on connections that a shutdown leaves open, up to the kill: idle ones are closed while
+// new ones are still accepted, and one in use with its response, whenever its request came.
+func TestShutdownClosesKeptConnections(t *testing.T) {
+	t.Parallel()
+	gate := make(chan struct{})
+	server := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+		if r.Header.Get("X-Call-Id") == id {
+			<-gate
+		}
+		return testutil.Echo(conn, r, body)
+	})
+	a := startStoppable(t, newConfig(t, server), func(a *Agent) { a.acceptPeriod = 3 * time.Second })
+	kept := bufio.NewReader(testutil.Dial(t, a.Addr(), testutil.Get(otherID)))
+	if response := testutil.ReadResponse(t, kept); response.StatusCode != http.StatusOK || response.Close {
+		t.Fatalf("before the shutdown: status %d, close %v", response.StatusCode, response.Close)
+	}
+	busy := testutil.Dial(t, a.Addr(), testutil.Get(id))
+	unused := testutil.Dial(t, a.Addr(), "")
+	for range 2 {
+		testutil.Receive(t, server.Received)
+	}
+	testutil.Eventually(t, "the connections to be accepted", func() bool {
+		open, idle := a.frontend.Connections()
+		return open == 3 && idle == 2
+	})
+	a.stop()
+	if _, err := kept.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("a kept connection: %v, want its end", err)
+	}
+	testutil.Eventually(t, "the shutdown", func() bool { return a.logged.Contains(shutdownLine) })
+	close(gate)
+	expectLastResponse(t, busy, "in flight as the shutdown began")
+	testutil.Write(t, unused, testutil.Get(thirdID)) // connected before the shutdown, and still on its way
+	expectLastResponse(t, unused, "on a connection that had had no request")
+	a.expectEnd(t)
+}
+
+// A request that waits for its backoff as the shutdown begins is not lost.
+func TestShutdownDuringBackoff(t *testing.T) {
+	t.Parallel()
+	failed := make(chan struct{})
+	first := true
+	server := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+		if first {
+			first = false
+			testutil.Respond(conn, 500, "", "")
+			return true
+		}
+		return testutil.Echo(conn, r, body)
+	})
+	var stopped func() bool
+	wait := []balancer.Action{balancer.SetTimer{After: time.Millisecond, Token: 1}}
+	send := []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}}
+	module := func(_ time.Duration, event balancer.Event) []balancer.Action {
+		switch event := event.(type) {
+		case balancer.Request:
+			return send
+		case balancer.Outcome:
+			if event.Result == balancer.ServerError {
+				close(failed)
+				return wait
+			}
+		case balancer.TimerFired:
+			if !stopped() {
+				return wait
+			}
+			return send
+		}
+		return nil
+	}
+	a := startStoppable(t, newConfig(t, server), func(a *Agent) { a.loop.module = scriptedModule(module) })
+	stopped = func() bool { return a.logged.Contains(shutdownLine) }
+	client := testutil.Dial(t, a.Addr(), testutil.Get(id))
+	testutil.Receive(t, failed)
+	a.stop()
+	expectLastResponse(t, client, "during backoff as the shutdown began")
+	a.expectEnd(t)
+}
+
+// The process may be killed after the longest deadline, 3 s at the most, and 0.7 s more: the last responses are out by
+// then also where deadlines are short.
+func TestShutdownEndsBeforeTheKill(t *testing.T) {
+	for _, test := range []struct{ deadline, kill time.Duration }{
+		{300 * time.Millisecond, time.Second},
+		{1200 * time.Millisecond, 1900 * time.Millisecond},
+		{8 * time.Second, 3700 * time.Millisecond},
+	} {
+		classes := []balancer.Class{{Deadline: 100 * time.Millisecond}, {Deadline: test.deadline}}
+		timeout := shutdownTimeout(balancer.Settings{Classes: classes})
+		if end := timeout + finalWriteTime; end >= test.kill {
+			t.Errorf("deadline %v: ends after %v, may be killed after %v", test.deadline, end, test.kill)
+		}
+		if timeout < min(test.deadline, 3*time.Second) {
+			t.Errorf("deadline %v: what came just before the shutdown gets %v", test.deadline, timeout)
+		}
+	}
+}
