--- /dev/null
+++ b/internal/testutil/server.go
@@ -0,0 +1,93 @@
+package testutil
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+)
+
+// handlerFunc answers a request on its connection and returns whether that stays open.
+type handlerFunc = func(conn net.Conn, request *http.Request, body []byte) bool
+
+// Server is a stand-in for an endpoint. It hands each complete request to a function.
+type Server struct {
+	net.Listener
+	handle   handlerFunc
+	Received chan *http.Request // the requests that came; RemoteAddr tells their connections apart
+	Closed   chan struct{}      // holds a value for each connection that the other side has closed
+}
+
+// NewServer starts a server whose requests are answered by handle.
+func NewServer(t *testing.T, handle func(net.Conn, *http.Request, []byte) bool) *Server {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &Server{
+		Listener: listener,
+		handle:   handle,
+		Received: make(chan *http.Request, 100),
+		Closed:   make(chan struct{}, 100),
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // a test may have closed it
+	go s.acceptAll()
+	return s
+}
+
+// acceptAll serves connections until the listener is closed.
+func (s *Server) acceptAll() {
+	for {
+		conn, err := s.Accept()
+		if err != nil {
+			return
+		}
+		go s.serve(conn)
+	}
+}
+
+// serve answers the requests of one connection.
+func (s *Server) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	in := bufio.NewReader(conn)
+	for {
+		request, err := http.ReadRequest(in)
+		if err != nil {
+			s.Closed <- struct{}{}
+			return
+		}
+		body, err := io.ReadAll(request.Body)
+		if err != nil {
+			return
+		}
+		request.RemoteAddr = conn.RemoteAddr().String()
+		s.Received <- request
+		if !s.handle(conn, request, body) {
+			return
+		}
+	}
+}
+
+// Addr returns the address that the server listens on.
+func (s *Server) Addr() string { return s.Listener.Addr().String() }
+
+// Respond writes a response with further header lines, each ended by CRLF.
+func Respond(conn net.Conn, status int, headers, body string) {
+	// An error means that the other side has gone, which it may.
+	_, _ = fmt.Fprintf(conn, "HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
+}
+
+// Echo responds with the body of the request.
+func Echo(conn net.Conn, _ *http.Request, body []byte) bool {
+	Respond(conn, http.StatusOK, "", "did "+string(body))
+	return true
+}
+
+// Hang does not respond. It returns when the other side closes the connection.
+func Hang(conn net.Conn, _ *http.Request, _ []byte) bool {
+	_, _ = io.Copy(io.Discard, conn) // however it ends
+	return false
+}
