--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,3 +1,5 @@
+// Package agent wires the parts of the agent together: the frontend, the event loop around the decision module, the
+// upstream client and discovery.
 package agent
 
 import (
@@ -5,42 +7,34 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
 	"time"
 
 	"ashshunt/internal/clock"
 	"ashshunt/internal/config"
+	"ashshunt/internal/frontend"
 )
 
-// acceptFor after a stop was asked for, new connections are still taken: clients hear of it late, and
-// what waits in a closed listener's queue is lost.
-const acceptFor = 500 * time.Millisecond
-
-// lastWrite is the time for the last answers of a stop to be written.
-const lastWrite = 100 * time.Millisecond
-
 const (
-	// headTime is how long a request's head may take to come, and the first one on a new connection.
-	headTime = 2500 * time.Millisecond
-	// idleTime ends a connection that has had no request for so long. Clients hold a third of the descriptors
-	// at most: those that ask once and stay would leave the others none.
-	idleTime = restTime + 100*time.Millisecond
+	// acceptPeriod is how long new connections are accepted after a shutdown was asked for: clients learn of it late,
+	// and what waits in the queue of a closed listener is lost.
+	acceptPeriod = 500 * time.Millisecond
+	// finalWriteTime is the time for the last responses of a shutdown to be written.
+	finalWriteTime = 100 * time.Millisecond
 )
 
-// Agent is one agent: a listener for the application, the loop, and its connections.
+// Agent is one agent: the frontend, and the event loop that answers its requests.
 type Agent struct {
-	loop    *Loop
-	front   *front
-	server  *http.Server
-	clients *clients
-	log     *slog.Logger
+	loop     *eventLoop
+	frontend *frontend.Server
+	log      *slog.Logger
 
-	acceptFor time.Duration // see the constant
+	acceptPeriod time.Duration // see the constant
 }
 
-// New makes an agent and listens; it serves once Run is called.
+// New returns an agent that listens; it serves once Run is called.
 func New(c *config.Config, log *slog.Logger) (*Agent, error) {
-	loop, err := newLoop(c, clock.New(), log)
+	agentClock := clock.New()
+	loop, err := newEventLoop(c, agentClock, log)
 	if err != nil {
 		return nil, err
 	}
@@ -48,55 +42,58 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	conns := newClients(listener, c.ClientConnections())
-	a := &Agent{loop: loop, front: newFront(c, loop), clients: conns, log: log, acceptFor: acceptFor}
-	a.front.crowded = conns.crowded
-	a.server = &http.Server{Handler: a.front, ReadHeaderTimeout: headTime, IdleTimeout: idleTime, ConnState: conns.note,
-		ConnContext: withClient, MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn)}
-	return a, nil
+	server := frontend.NewServer(listener, c, agentClock, loop, log)
+	return &Agent{loop: loop, frontend: server, log: log, acceptPeriod: acceptPeriod}, nil
 }
 
-// Addr is where the agent listens.
-func (a *Agent) Addr() net.Addr { return a.clients.Addr() }
+// Addr is the address that the agent listens on.
+func (a *Agent) Addr() net.Addr { return a.frontend.Addr() }
 
-// Reload takes over from a new configuration what may change while the agent runs: the address of
-// discovery. All else waits for the next start.
+// Reload takes over from a new configuration what may change while the agent runs: the address of discovery. All else
+// takes effect at the next start.
 func (a *Agent) Reload(c *config.Config) {
-	a.log.Info("configuration read again", "discovery", c.Discovery)
-	a.loop.post(reload{discovery: c.Discovery})
+	a.log.Info("configuration reloaded", "discovery", c.Discovery)
+	a.loop.post(discoveryMoved{addr: c.Discovery})
 }
 
-// Run serves until stop ends, then finishes what was taken.
+// Run serves until stop ends, then shuts down gracefully: it answers what was accepted before it returns.
 func (a *Agent) Run(stop context.Context) error {
-	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
+	ctx, cancel := context.WithCancel(context.WithoutCancel(stop)) // requests outlast the signal to stop
 	defer cancel()
-	go a.loop.Run(ctx)
-	failed := make(chan error, 1)
-	go func() { failed <- a.server.Serve(a.clients) }()
+	go a.loop.run(ctx) // ends with ctx
+	served := make(chan error, 1)
+	go func() { served <- a.frontend.Serve() }() // ends when the listener closes
 	select {
-	case err := <-failed:
+	case err := <-served:
 		return fmt.Errorf("serving: %w", err)
 	case <-stop.Done():
+		return a.shutDown(ctx, served)
 	}
-	a.log.Info("draining")
-	a.front.draining.Store(true)
-	a.loop.post(drain{})
+}
+
+// shutDown answers what was accepted, and what is still accepted for a while. Its steps have to come in this order:
+// connections are closed between requests only, and while their clients can still open new ones.
+func (a *Agent) shutDown(ctx context.Context, served <-chan error) error {
+	a.log.Info("shutting down")
+	a.frontend.StartShutdown()
+	a.loop.post(shutdownStarted{})
 	// At once, while a request that crosses the close still finds the listener open on a new connection.
-	a.clients.drain()
+	a.frontend.CloseUsedIdle()
 	select {
-	case err := <-failed:
+	case err := <-served:
 		return fmt.Errorf("serving: %w", err)
-	case <-time.After(a.acceptFor):
+	case <-time.After(a.acceptPeriod):
 	}
-	if err := a.clients.Close(); err != nil {
+	if err := a.frontend.StopAccepting(); err != nil {
 		return fmt.Errorf("stopping: %w", err)
 	}
 	// No http.Server.Shutdown: that takes a connection for idle until it has read a whole head, and would close it
 	// under the request.
-	a.clients.drainAll()
-	bound, done := context.WithTimeout(ctx, drainFor(a.loop.s)-a.acceptFor+lastWrite)
-	defer done()
-	a.clients.empty(bound)
+	a.frontend.CloseAllIdle()
+	remaining := shutdownTimeout(a.loop.settings) - a.acceptPeriod + finalWriteTime
+	waitCtx, cancel := context.WithTimeout(ctx, remaining)
+	defer cancel()
+	a.frontend.WaitUntilEmpty(waitCtx)
 	a.log.Info("stopped")
-	return a.server.Close()
+	return a.frontend.Close()
 }
--- /dev/null
+++ b/internal/frontend/handler.go
@@ -0,0 +1,157 @@
+package frontend
+
+import (
+	"errors"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/clock"
+	"ashshunt/internal/config"
+	"ashshunt/internal/socket"
+)
+
+// disconnectCheckInterval is how often an open request's connection is examined, for clients whose disconnect
+// net/http may not see.
+const disconnectCheckInterval = 100 * time.Millisecond
+
+// errDisconnected reports that a request's client has closed its connection.
+var errDisconnected = errors.New("client disconnected")
+
+// errLoopEnded reports that the event loop has ended: no response comes any more.
+var errLoopEnded = errors.New("event loop has ended")
+
+// errTooMuchUnread rejects a request behind which so much has come that a disconnect would not be seen.
+var errTooMuchUnread = &RequestError{Status: http.StatusBadRequest, Reason: "too much behind a request"}
+
+// handler answers the application's requests.
+type handler struct {
+	loop         EventLoop
+	clock        clock.Clock
+	classes      map[string]int // index in settings.Classes, by name
+	tenants      []string
+	settings     balancer.Settings
+	timeouts     *Timeouts
+	nearLimit    func() bool // whether connections begin to run short
+	created      time.Time
+	shuttingDown atomic.Bool
+}
+
+func newHandler(c *config.Config, clock clock.Clock, loop EventLoop, timeouts *Timeouts, nearLimit func() bool) *handler {
+	h := &handler{
+		loop:      loop,
+		clock:     clock,
+		classes:   map[string]int{},
+		tenants:   c.Names.Tenants,
+		settings:  c.Settings,
+		timeouts:  timeouts,
+		nearLimit: nearLimit,
+		created:   time.Now(),
+	}
+	for i, name := range c.Names.Classes {
+		h.classes[name] = i
+	}
+	return h
+}
+
+// ServeHTTP implements http.Handler.
+func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path == healthPath {
+		h.serveHealth(w)
+		return
+	}
+	request, err := h.readRequest(r)
+	if err != nil {
+		h.answerError(w, r, err)
+		return
+	}
+	h.loop.Submit(request)
+	response, err := h.awaitResponse(r, request)
+	if err != nil {
+		h.answerError(w, r, err)
+		return
+	}
+	if h.shuttingDown.Load() || h.nearLimit() {
+		// While shutting down, the client's next request belongs to a new process.
+		w.Header().Set("Connection", "close")
+	}
+	writeResponse(w, response)
+}
+
+// answerError answers what led to no response of the event loop: a request that was not submitted, a client that has
+// gone, or a loop that has ended.
+func (h *handler) answerError(w http.ResponseWriter, r *http.Request, err error) {
+	var invalid *RequestError
+	switch {
+	case errors.As(err, &invalid):
+		h.reject(w, r, invalid)
+	case errors.Is(err, errLoopEnded):
+		w.WriteHeader(http.StatusBadGateway)
+	default:
+		panic(http.ErrAbortHandler) // no answer: to return would send an empty one, as if served
+	}
+}
+
+// readRequest reads a request to its last byte.
+func (h *handler) readRequest(r *http.Request) (*Request, error) {
+	arrived := time.Now()
+	if err := checkFraming(r); err != nil {
+		return nil, err
+	}
+	request, err := h.parseHead(r)
+	if err != nil {
+		return nil, err
+	}
+	client := connectionOf(r)
+	if r.ContentLength != 0 {
+		if request.Body, err = readBody(client, r, h.timeouts.ReadBody); err != nil {
+			return nil, &RequestError{Status: http.StatusBadRequest, Reason: "bad body", Err: err}
+		}
+		arrived = time.Now() // a request's time counts from its last byte
+	}
+	// The client may have gone while its request waited to be read.
+	if err := checkDisconnect(client); err != nil {
+		return nil, err
+	}
+	request.ClientGone = func() bool { return socket.Peer(client.Conn).Gone() }
+	request.Arrived = h.clock.At(arrived)
+	request.Deadline = request.Arrived + request.Event.Timeout
+	return request, nil
+}
+
+// awaitResponse waits for the response to a submitted request, and abandons the request if its client goes first.
+// net/http looks for a disconnect until it has read a byte behind the request; beyond that, the connection is
+// examined now and then.
+func (h *handler) awaitResponse(r *http.Request, request *Request) (Response, error) {
+	client := connectionOf(r)
+	ticker := time.NewTicker(disconnectCheckInterval)
+	defer ticker.Stop()
+	var err error
+	for err == nil {
+		select {
+		case response := <-request.response:
+			return response, nil
+		case <-h.loop.Done():
+			return Response{}, errLoopEnded
+		case <-r.Context().Done():
+			err = errDisconnected
+		case <-ticker.C:
+			err = checkDisconnect(client)
+		}
+	}
+	h.loop.Abandon(request)
+	return Response{}, err
+}
+
+// checkDisconnect returns an error if a client has gone, or if so much waits behind its request that a disconnect
+// would not be seen.
+func checkDisconnect(client *connection) error {
+	switch peer := socket.Peer(client.Conn); {
+	case peer.Closed:
+		return errDisconnected
+	case peer.Flooded:
+		return errTooMuchUnread
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/frontend/listener_test.go
@@ -0,0 +1,171 @@
+package frontend
+
+import (
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"ashshunt/internal/socket"
+	"ashshunt/internal/testutil"
+)
+
+// reclaimAtOnce has a server reclaim connections as soon as their response is out, but not those whose first request
+// has yet to come: on a slow machine that takes a while.
+func reclaimAtOnce(s *Server) {
+	s.Timeouts.ReclaimIdle, s.Timeouts.ReclaimUnused = time.Millisecond, testutil.Timeout
+}
+
+// Idle clients must not take all descriptors, be it that they keep a connection for good after one request, or that
+// they connect by hundreds and stay silent.
+func TestIdleConnectionsAreReclaimed(t *testing.T) {
+	for _, test := range []struct {
+		name          string
+		silent        bool
+		reclaimUnused time.Duration
+	}{
+		{"silent", true, time.Millisecond},
+		{"one request", false, testutil.Timeout},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			config := testutil.Config(t, "127.0.0.1:1")
+			config.Sockets = 8 // 4 for clients
+			server, _ := startServer(t, config, echo, func(s *Server) {
+				reclaimAtOnce(s)
+				s.Timeouts.ReclaimUnused = test.reclaimUnused
+			})
+			for i := range 12 {
+				if test.silent {
+					testutil.Dial(t, server.Addr(), "")
+					continue
+				}
+				client := testutil.Dial(t, server.Addr(), testutil.Post(testutil.ID(i), ""))
+				if status := testutil.ReadStatus(t, client); status != http.StatusOK {
+					t.Fatalf("request %d: status %d", i, status)
+				}
+			}
+			response, _ := testutil.Do(t, server.Addr(), "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "7000")
+			if response.StatusCode != http.StatusOK {
+				t.Errorf("status %d behind idle connections", response.StatusCode)
+			}
+		})
+	}
+}
+
+func TestOpenRequestsAreNotReclaimed(t *testing.T) {
+	t.Parallel()
+	gate, submitted := make(chan struct{}), make(chan *Request, 2)
+	config := testutil.Config(t, "127.0.0.1:1")
+	config.Sockets = 2 // 1 for clients
+	server, _ := startServer(t, config, func(r *Request) {
+		submitted <- r
+		<-gate
+		echo(r)
+	}, reclaimAtOnce)
+	first := testutil.Dial(t, server.Addr(), testutil.Post(id, ""))
+	testutil.Receive(t, submitted)
+	second := testutil.Dial(t, server.Addr(), testutil.Post(otherID, "")) // waits in the system's queue
+	if wait, ok := server.listener.freeSlot(time.Now().Add(time.Hour)); ok {
+		t.Errorf("a slot was freed under an open request (wait %v)", wait)
+	}
+	close(gate)
+	if status := testutil.ReadStatus(t, first); status != http.StatusOK {
+		t.Errorf("first request: status %d", status)
+	}
+	if status := testutil.ReadStatus(t, second); status != http.StatusOK {
+		t.Errorf("second request: status %d", status)
+	}
+}
+
+// Clients that keep a connection after one request, for as long as it may not be reclaimed, must not keep others out:
+// near the limit, each connection is closed with its response.
+func TestConnectionsNearTheLimitCloseWithTheResponse(t *testing.T) {
+	t.Parallel()
+	config := testutil.Config(t, "127.0.0.1:1")
+	config.Sockets = 8 // 4 for clients
+	server, _ := startServer(t, config, echo, func(s *Server) {
+		s.Timeouts.ReclaimIdle = time.Hour
+		s.Timeouts.Idle = time.Hour
+	})
+	for i := range 6 {
+		client := testutil.Dial(t, server.Addr(), testutil.Post(testutil.ID(i), ""))
+		if status := testutil.ReadStatus(t, client); status != http.StatusOK {
+			t.Fatalf("request %d: status %d", i, status)
+		}
+	}
+}
+
+// listenerClient connects to a listener and returns both ends of the connection.
+func listenerClient(t *testing.T, listener *connectionListener) (client net.Conn, accepted *connection) {
+	t.Helper()
+	client = testutil.Dial(t, listener.Addr(), "")
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	accepted = conn.(*connection)
+	listener.trackState(accepted, http.StateNew)
+	return client, accepted
+}
+
+// newTestListener returns a listener with one slot, which reclaims idle connections at once.
+func newTestListener(t *testing.T) *connectionListener {
+	t.Helper()
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener := newListener(inner, 1, &Timeouts{})
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener
+}
+
+// A shutdown, or a lack of slots, must not close a connection under a request which has come but is not read yet, or
+// is being read: whichever of the two is first has the connection.
+func TestNoCloseUnderARequest(t *testing.T) {
+	listener := newTestListener(t)
+	buffer := make([]byte, 10)
+
+	client, conn := listenerClient(t, listener)
+	testutil.Write(t, client, "request")
+	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(conn.Conn) })
+	listener.closeAllIdle()
+	if n, err := conn.Read(buffer); n != len("request") || err != nil {
+		t.Fatalf("a request that waits to be read: %d bytes, %v", n, err)
+	}
+	listener.closeAllIdle() // read, but net/http has not made a request of it yet
+	if _, ok := listener.freeSlot(time.Now()); ok {
+		t.Error("a slot was freed under a request that is being read")
+	}
+	testutil.Write(t, client, "more")
+	if n, err := conn.Read(buffer); n != len("more") || err != nil {
+		t.Errorf("the rest of a request: %d bytes, %v", n, err)
+	}
+	if err := conn.Close(); err != nil {
+		t.Error(err)
+	}
+
+	client, conn = listenerClient(t, listener)
+	listener.mu.Lock()
+	first := conn.retire() // it was about to be closed as the request came
+	listener.mu.Unlock()
+	testutil.Write(t, client, "request")
+	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(conn.Conn) })
+	if n, err := conn.Read(buffer); n != 0 || err == nil {
+		t.Errorf("read %d bytes of a retired connection, %v", n, err)
+	}
+	if !first || conn.retire() {
+		t.Error("a connection must be retired once")
+	}
+	if err := conn.closeRetired(); err != nil {
+		t.Error(err)
+	}
+
+	_, conn = listenerClient(t, listener)
+	listener.trackState(conn, http.StateActive)
+	listener.trackState(conn, http.StateIdle) // its response was on its way out as the shutdown began
+	if open, _ := listener.counts(); !conn.retired || open != 0 {
+		t.Errorf("idle in a shutdown: retired %v, %d open", conn.retired, open)
+	}
+}
