--- a/check.sh
+++ b/check.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# The project's one test command (see README.md): formatting, vet, tests, the deploy file's build, the size of the
-# decision module, and a start of both programs.
+# The project's one test command (see README.md): formatting, vet, golangci-lint, the size of files, tests, the deploy
+# file's build, the size of the decision module, and a start of both programs.
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -11,6 +11,17 @@
 fi
 go mod tidy -diff
 go vet ./...
+bash tools/lint.sh
+
+max_file_lines=500
+for file in $(find balancer cmd internal -name '*.go' ! -name '*_test.go'); do
+	file_lines=$(wc -l <"$file")
+	if [ "$file_lines" -gt "$max_file_lines" ]; then
+		echo "$file: $file_lines lines, $max_file_lines allowed" >&2
+		exit 1
+	fi
+done
+
 go test -count=1 ./balancer/... ./cmd/... ./docs/...
 go test -count=1 -race ./internal/...
 
