--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -16,34 +16,37 @@
 	now        time.Duration
 	requests   map[string]*auditedRequest
 	endpoints  map[string]*auditedEndpoint
-	keys       map[string][]*auditedRequest // ordered requests by key, in the order taken
-	work       map[int][2]float64           // by class: requests that told their work, and the sum of it
+	keys       map[string][]*auditedRequest // ordered requests by key, in the order of their arrival
+	work       map[int]expectedWork         // by class
 	violations []string
 }
 
+// expectedWork counts the requests that came with their expected work.
+type expectedWork struct{ requests, sum float64 }
+
 type auditedRequest struct {
 	class       balancer.Class
 	deadline    time.Duration
-	work        float64 // its told work over the mean told for its class; 1 where none is told
+	work        float64 // its expected work over the mean of its class; 1 if unknown
 	attempts    []auditedAttempt
 	ended       bool
-	abandonedAt time.Duration // when the client was told to have left; answers of that step do no harm
+	abandonedAt time.Duration // answers in the same step do no harm
 	streaming   bool
 	key         string        // where order is kept
-	quietUntil  time.Duration // its key rests until then
+	quietUntil  time.Duration // its key is quiet until then
 }
 
 type auditedAttempt struct {
 	endpoint   string
 	at         time.Duration
 	inFlight   bool
-	mayHaveRun bool // may have run
+	mayHaveRun bool
 }
 
 type auditedEndpoint struct {
 	balancer.Endpoint
-	notServingSince time.Duration // when it was told to drain or to be gone
-	started         time.Duration // when it was told to have started; 0: warm
+	notServingSince time.Duration // when the list said that it was draining or removed; 0: serving
+	started         time.Duration // when the list said that it started; 0: warm
 	sends           []sentWork
 }
 
@@ -53,43 +56,26 @@
 }
 
 func newAuditor(s balancer.Settings) *auditor {
-	return &auditor{settings: s, requests: map[string]*auditedRequest{}, endpoints: map[string]*auditedEndpoint{},
-		keys: map[string][]*auditedRequest{}, work: map[int][2]float64{}}
+	return &auditor{settings: s, requests: map[string]*auditedRequest{},
+		endpoints: map[string]*auditedEndpoint{}, keys: map[string][]*auditedRequest{},
+		work: map[int]expectedWork{}}
 }
 
 func (a *auditor) violation(format string, args ...any) {
 	a.violations = append(a.violations, fmt.Sprintf("at %v: ", a.now)+fmt.Sprintf(format, args...))
 }
 
+// firstViolations is a text of the first few.
+func (a *auditor) firstViolations() string {
+	return strings.Join(a.violations[:min(3, len(a.violations))], "\n")
+}
+
 func (a *auditor) event(e balancer.Event) {
 	switch e := e.(type) {
 	case balancer.Request:
-		if e.Class >= 0 && e.Class < len(a.settings.Classes) && a.requests[e.ID] == nil {
-			r := &auditedRequest{class: a.settings.Classes[e.Class], deadline: a.now + e.Timeout, work: 1}
-			if w := float64(e.Work); w > 0 {
-				told := a.work[e.Class]
-				told[0], told[1] = told[0]+1, told[1]+w
-				a.work[e.Class] = told
-				r.work = w / (told[1] / told[0])
-			}
-			a.requests[e.ID] = r
-			if r.class.Ordered && e.Key != "" {
-				r.key = e.Key
-				a.keys[e.Key] = append(a.keys[e.Key], r)
-			}
-		}
+		a.request(e)
 	case balancer.Outcome:
-		r := a.requests[e.Request]
-		if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].inFlight {
-			return
-		}
-		r.attempts[e.Attempt].inFlight = false
-		r.attempts[e.Attempt].mayHaveRun = !e.Result.NeverRan() || e.Result == balancer.Rejected && a.settings.RejectedMayHaveRun
-		switch e.Result {
-		case balancer.TimedOut, balancer.Reset, balancer.Cancelled:
-			r.quietUntil = a.now + a.settings.KeyQuietPeriod
-		}
-		r.ended = r.ended || e.Done
+		a.outcome(e)
 	case balancer.StreamStarted:
 		if r := a.requests[e.Request]; r != nil {
 			r.streaming = true
@@ -99,54 +85,87 @@
 			r.ended, r.abandonedAt = true, a.now
 		}
 	case balancer.EndpointList:
-		if e.Kind == balancer.ListFailed {
-			return
-		}
-		listed := map[string]bool{}
-		for _, n := range e.Endpoints {
-			listed[n.ID] = true
-			b := a.endpoints[n.ID]
-			if b == nil {
-				b = &auditedEndpoint{}
-				a.endpoints[n.ID] = b
-			}
-			if n.Started > b.Started {
-				b.started, b.sends = n.Started, nil
-			}
-			if n.State == balancer.Serving {
-				b.notServingSince = 0
-			} else if b.Endpoint.State == balancer.Serving || b.notServingSince == 0 {
-				b.notServingSince = a.now
-			}
-			b.Endpoint = n
-		}
-		if e.Kind != balancer.ListDelta {
-			for id, b := range a.endpoints {
-				if !listed[id] && b.notServingSince == 0 {
-					b.notServingSince = a.now
-					b.State = balancer.Removed
-				}
-			}
+		a.endpointList(e)
+	}
+}
+
+func (a *auditor) request(e balancer.Request) {
+	if e.Class < 0 || e.Class >= len(a.settings.Classes) || a.requests[e.ID] != nil {
+		return
+	}
+	r := &auditedRequest{class: a.settings.Classes[e.Class], deadline: a.now + e.Timeout, work: 1}
+	if work := float64(e.Work); work > 0 {
+		total := a.work[e.Class]
+		total.requests++
+		total.sum += work
+		a.work[e.Class] = total
+		r.work = work / (total.sum / total.requests)
+	}
+	a.requests[e.ID] = r
+	if r.class.Ordered && e.Key != "" {
+		r.key = e.Key
+		a.keys[e.Key] = append(a.keys[e.Key], r)
+	}
+}
+
+func (a *auditor) outcome(e balancer.Outcome) {
+	r := a.requests[e.Request]
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].inFlight {
+		return
+	}
+	attempt := &r.attempts[e.Attempt]
+	attempt.inFlight = false
+	attempt.mayHaveRun = !e.Result.NeverRan() || e.Result == balancer.Rejected && a.settings.RejectedMayHaveRun
+	switch e.Result {
+	case balancer.TimedOut, balancer.Reset, balancer.Cancelled:
+		r.quietUntil = a.now + a.settings.KeyQuietPeriod
+	}
+	r.ended = r.ended || e.Done
+}
+
+func (a *auditor) endpointList(e balancer.EndpointList) {
+	if e.Kind == balancer.ListFailed {
+		return
+	}
+	listed := map[string]bool{}
+	for _, entry := range e.Endpoints {
+		listed[entry.ID] = true
+		a.listEntry(entry)
+	}
+	if e.Kind == balancer.ListDelta {
+		return
+	}
+	for id, ep := range a.endpoints {
+		if !listed[id] && ep.notServingSince == 0 {
+			ep.notServingSince = a.now
+			ep.State = balancer.Removed
 		}
 	}
 }
 
+func (a *auditor) listEntry(entry balancer.Endpoint) {
+	ep := a.endpoints[entry.ID]
+	if ep == nil {
+		ep = &auditedEndpoint{}
+		a.endpoints[entry.ID] = ep
+	}
+	if entry.Started > ep.Started {
+		ep.started, ep.sends = entry.Started, nil
+	}
+	if entry.State == balancer.Serving {
+		ep.notServingSince = 0
+	} else if ep.State == balancer.Serving || ep.notServingSince == 0 {
+		ep.notServingSince = a.now
+	}
+	ep.Endpoint = entry
+}
+
 func (a *auditor) action(act balancer.Action) {
 	switch act := act.(type) {
 	case balancer.Send:
 		a.send(act)
 	case balancer.Reject:
-		r := a.finalAnswer(act.Request)
-		if r == nil {
-			return
-		}
-		for _, s := range r.attempts {
-			free := r.class.Idempotency == balancer.Idempotent ||
-				r.class.Idempotency == balancer.IdempotentWithKey && r.class.DedupScope == balancer.DedupEverywhere
-			if (s.mayHaveRun || s.inFlight) && !free {
-				a.violation("%s rejected though an attempt may have run", act.Request)
-			}
-		}
+		a.reject(act)
 	case balancer.Fail:
 		a.finalAnswer(act.Request)
 	case balancer.SetTimer:
@@ -160,6 +179,20 @@
 	}
 }
 
+func (a *auditor) reject(act balancer.Reject) {
+	r := a.finalAnswer(act.Request)
+	if r == nil {
+		return
+	}
+	mayBeRepeated := r.class.Idempotency == balancer.Idempotent ||
+		r.class.Idempotency == balancer.IdempotentWithKey && r.class.DedupScope == balancer.DedupEverywhere
+	for _, attempt := range r.attempts {
+		if (attempt.mayHaveRun || attempt.inFlight) && !mayBeRepeated {
+			a.violation("%s rejected though an attempt may have run", act.Request)
+		}
+	}
+}
+
 func (a *auditor) finalAnswer(id string) *auditedRequest {
 	r := a.requests[id]
 	switch {
@@ -176,8 +209,8 @@
 }
 
 func (a *auditor) send(act balancer.Send) {
-	r, b := a.requests[act.Request], a.endpoints[act.Endpoint]
-	if r == nil || b == nil {
+	r, ep := a.requests[act.Request], a.endpoints[act.Endpoint]
+	if r == nil || ep == nil {
 		a.violation("send of %q to %q, one of which is unknown", act.Request, act.Endpoint)
 		return
 	}
@@ -187,82 +220,100 @@
 	if len(r.attempts) >= max(1, a.settings.MaxAttempts) {
 		a.violation("%s sent past the attempt limit", act.Request)
 	}
-	if b.notServingSince > 0 && a.now > b.notServingSince+a.settings.DrainGrace {
-		a.violation("%s sent to %s, which was draining or removed %v ago", act.Request, act.Endpoint, a.now-b.notServingSince)
+	if ep.notServingSince > 0 && a.now > ep.notServingSince+a.settings.DrainGrace {
+		a.violation("%s sent to %s, which was draining or removed %v ago",
+			act.Request, act.Endpoint, a.now-ep.notServingSince)
 	}
-	for _, e := range a.keys[r.key] {
-		if e == r {
+	a.checkOrder(act.Request, r)
+	a.checkRepeat(act.Request, r, ep)
+	r.attempts = append(r.attempts, auditedAttempt{endpoint: act.Endpoint, at: a.now, inFlight: true})
+	ep.sends = append(ep.sends, sentWork{a.now, r.work})
+	a.checkSlowStart(ep)
+}
+
+// checkOrder checks that all earlier requests of its key are over before a request is sent.
+func (a *auditor) checkOrder(id string, r *auditedRequest) {
+	for _, earlier := range a.keys[r.key] {
+		if earlier == r {
 			break
 		}
-		out := !e.ended
-		for _, s := range e.attempts {
-			out = out || s.inFlight
+		open := !earlier.ended
+		for _, attempt := range earlier.attempts {
+			open = open || attempt.inFlight
 		}
-		if out {
-			a.violation("%s sent out of turn", act.Request)
-		} else if a.now < e.quietUntil {
-			a.violation("%s sent in the quiet period of its key", act.Request)
+		if open {
+			a.violation("%s sent out of turn", id)
+		} else if a.now < earlier.quietUntil {
+			a.violation("%s sent in the quiet period of its key", id)
 		}
 	}
-	var anchor *auditedAttempt
+}
+
+// checkRepeat checks that a further attempt has no further effect.
+func (a *auditor) checkRepeat(id string, r *auditedRequest, ep *auditedEndpoint) {
+	var first *auditedAttempt // of those that may have run
 	for i := range r.attempts {
-		s := &r.attempts[i]
-		if s.inFlight && !a.settings.AllowHedging {
-			a.violation("%s has two attempts in flight", act.Request)
+		attempt := &r.attempts[i]
+		if attempt.inFlight && !a.settings.AllowHedging {
+			a.violation("%s has two attempts in flight", id)
 		}
-		if anchor == nil && (s.inFlight || s.mayHaveRun) {
-			anchor = s
+		if first == nil && (attempt.inFlight || attempt.mayHaveRun) {
+			first = attempt
 		}
 	}
-	if anchor != nil {
-		from := a.endpoints[anchor.endpoint]
-		switch {
-		case r.class.Idempotency == balancer.NotIdempotent:
-			a.violation("%s is not idempotent and may have run, sent again", act.Request)
-		case r.class.Idempotency == balancer.IdempotentWithKey && a.now-anchor.at > r.class.DedupWindow:
-			a.violation("%s sent again after its window", act.Request)
-		case r.class.Idempotency == balancer.IdempotentWithKey && r.class.DedupScope == balancer.DedupInZone && from.Zone != b.Zone,
-			r.class.Idempotency == balancer.IdempotentWithKey && r.class.DedupScope == balancer.DedupInCell && from.Cell != b.Cell:
-			a.violation("%s sent again outside its scope", act.Request)
-		}
+	if first == nil || r.class.Idempotency == balancer.Idempotent {
+		return
+	}
+	from := a.endpoints[first.endpoint]
+	switch {
+	case r.class.Idempotency == balancer.NotIdempotent:
+		a.violation("%s is not idempotent and may have run, sent again", id)
+	case a.now-first.at > r.class.DedupWindow:
+		a.violation("%s sent again after its window", id)
+	case r.class.DedupScope == balancer.DedupInZone && from.Zone != ep.Zone,
+		r.class.DedupScope == balancer.DedupInCell && from.Cell != ep.Cell:
+		a.violation("%s sent again outside its scope", id)
 	}
-	r.attempts = append(r.attempts, auditedAttempt{endpoint: act.Endpoint, at: a.now, inFlight: true})
-	b.sends = append(b.sends, sentWork{a.now, r.work})
-	a.checkSlowStart(b)
 }
 
 // checkSlowStart checks this agent's part of the load of an endpoint that warms up. The capacity of endpoints
 // is unknown: the work that the busiest warm one was sent within three windows bounds what a balancer may take
 // for the rate of a warm one, and the allowed multiple of the warm-up fraction of that bounds the other. The
 // slack is one mean request, and one of twice the mean that may go out on the last permit.
-func (a *auditor) checkSlowStart(b *auditedEndpoint) {
-	if b.started == 0 || a.now-b.started >= a.settings.SlowStart || a.settings.SlowStart == 0 {
+func (a *auditor) checkSlowStart(ep *auditedEndpoint) {
+	if a.isWarm(ep) || a.settings.SlowStart == 0 {
 		return
 	}
-	span := max(a.settings.ColdOverloadWindow, 1)
-	count := func(b *auditedEndpoint, span time.Duration) (sum float64) {
-		for _, s := range b.sends {
-			if a.now-s.at < span {
-				sum += s.work
-			}
-		}
-		return sum
-	}
+	window := max(a.settings.ColdOverloadWindow, 1)
 	most, warm := 0.0, false
-	for _, o := range a.endpoints {
-		if o != b && (o.started == 0 || a.now-o.started >= a.settings.SlowStart) {
-			most = max(most, count(o, 3*span))
-			warm = warm || o.notServingSince == 0
+	for _, other := range a.endpoints {
+		if other != ep && a.isWarm(other) {
+			most = max(most, other.workWithin(a.now, 3*window))
+			warm = warm || other.notServingSince == 0
 		}
 	}
 	if !warm {
 		return // there is no measure: a balancer goes by its part of the least limit
 	}
-	warmth := a.settings.ColdCapacity + (1-a.settings.ColdCapacity)*max(0, float64(a.now-b.started)/float64(a.settings.SlowStart))
-	if got := count(b, span); got > a.settings.ColdOverloadMultiple*warmth*most+3 {
-		a.violation("%s is warming up (%v) and got the work of %.1f mean requests in %v, the busiest warm one %.1f in three times that",
-			b.ID, a.now-b.started, got, span, most)
+	age := max(0, float64(a.now-ep.started)/float64(a.settings.SlowStart))
+	fraction := a.settings.ColdCapacity + (1-a.settings.ColdCapacity)*age
+	if got := ep.workWithin(a.now, window); got > a.settings.ColdOverloadMultiple*fraction*most+3 {
+		a.violation("%s is warming up (%v) and got the work of %.1f mean requests in %v, "+
+			"the busiest warm one %.1f in three times that", ep.ID, a.now-ep.started, got, window, most)
+	}
+}
+
+func (a *auditor) isWarm(ep *auditedEndpoint) bool {
+	return ep.started == 0 || a.now-ep.started >= a.settings.SlowStart
+}
+
+func (ep *auditedEndpoint) workWithin(now, span time.Duration) (sum float64) {
+	for _, sent := range ep.sends {
+		if now-sent.at < span {
+			sum += sent.work
+		}
 	}
+	return sum
 }
 
 // checkOverdue checks that no request is without its final answer after its deadline.
--- a/balancer/fleetsim_test.go
+++ b/balancer/fleetsim_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 
@@ -15,19 +16,34 @@
 // settings allow.
 type fleetSimulation struct {
 	agents, endpoints int
-	started           int           // of the endpoints, so many start when the day is at its turn
-	removed           int           // and so many others are gone then
-	restartAgents     bool          // all agents are started again at the turn, knowing nothing
-	load              float64       // of what the endpoints can do before the turn
-	work              time.Duration // of a request, on one core
+	started           int           // so many of the endpoints start at the change
+	removed           int           // and so many others are removed then
+	restartAgents     bool          // all agents restart at the change, with no state
+	load              float64       // of the capacity of the endpoints before the change
+	work              time.Duration // mean of a request, on one core
 	changeAt, length  time.Duration
+
+	settings balancer.Settings
+	rng      *rand.Rand
+	now      time.Duration
+	queue    eventQueue
+	list     []balancer.Endpoint
+	servers  []*simulatedEndpoint
+	fleet    []*simulatedAgent
+	asked    int // requests that arrived after the change ...
+	served   int // ... and responses since then
 }
 
 // simulatedEndpoint serves requests in the order of their arrival.
 type simulatedEndpoint struct {
 	balancer.Endpoint
-	coreFreeAt [2]time.Duration // its cores
-	sent       []time.Duration  // what came since it started
+	coreFreeAt [2]time.Duration
+	sent       []time.Duration // when requests arrived since its start
+}
+
+type simulatedAgent struct {
+	balancer *balancer.Balancer
+	attempts map[string]int
 }
 
 // scheduledEvent is an event that an agent will be notified of.
@@ -37,134 +53,167 @@
 	event balancer.Event
 }
 
+// eventQueue is a heap, the earliest event first.
 type eventQueue []scheduledEvent
 
-func (d eventQueue) Len() int { return len(d) }
-
-func (d eventQueue) Less(i, j int) bool { return d[i].at < d[j].at }
-
-func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-
-func (d *eventQueue) Push(x any) { *d = append(*d, x.(scheduledEvent)) }
-
-func (d *eventQueue) Pop() any {
-	last := (*d)[len(*d)-1]
-	*d = (*d)[:len(*d)-1]
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-type simulatedAgent struct {
-	balancer *balancer.Balancer
-	attempts map[string]int
-}
-
 // run returns the endpoints at the end, the requests that arrived after the change, and how many of them were
 // served.
 func (f fleetSimulation) run(t *testing.T, s balancer.Settings, seed uint64) (all []*simulatedEndpoint, asked, served int) {
 	t.Helper()
-	rng := rand.New(rand.NewPCG(seed, 2))
-	s.Agents = f.agents
-	now := time.Hour
-	turn, end := now+f.changeAt, now+f.length
-	byID := map[string]*simulatedEndpoint{}
-	var list []balancer.Endpoint
+	f.rng = rand.New(rand.NewPCG(seed, 2))
+	f.settings = s
+	f.settings.Agents = f.agents
+	f.now = time.Hour
+	change, end := f.now+f.changeAt, f.now+f.length
+	f.addEndpoints()
+	f.scheduleRequests(f.addAgents(t), change, end)
+	changed := false
+	for len(f.queue) > 0 {
+		next := heap.Pop(&f.queue).(scheduledEvent)
+		f.now = max(f.now, next.at)
+		if !changed && f.now >= change {
+			changed = true
+			f.change(t, change)
+		}
+		if list, ok := next.event.(balancer.EndpointList); ok && list.Kind == balancer.ListComplete {
+			next.event = f.currentList()
+		}
+		outcome, ok := next.event.(balancer.Outcome)
+		if ok && outcome.Result == balancer.Served && f.now >= change { // some were asked before
+			f.served++
+		}
+		f.step(next.agent, next.event)
+	}
+	return f.servers, f.asked, f.served
+}
+
+func (f *fleetSimulation) addEndpoints() {
 	for i := range f.endpoints {
-		e := balancer.Endpoint{ID: fmt.Sprint("b", i), Zone: 0}
-		list = append(list, e)
-		all = append(all, &simulatedEndpoint{Endpoint: e})
-		byID[e.ID] = all[i]
+		entry := balancer.Endpoint{ID: fmt.Sprint("b", i), Zone: 0}
+		f.list = append(f.list, entry)
+		f.servers = append(f.servers, &simulatedEndpoint{Endpoint: entry})
 	}
-	start := func(a *simulatedAgent, i int) {
-		s.AgentIndex = i
-		b, err := balancer.New(s, rng.Uint64())
-		if err != nil {
-			t.Fatal(err)
-		}
-		a.balancer, a.attempts = b, map[string]int{}
+}
+
+// addAgents returns the share of the requests that each agent gets, not normalized.
+func (f *fleetSimulation) addAgents(t *testing.T) []float64 {
+	t.Helper()
+	weights := make([]float64, f.agents)
+	for i := range weights {
+		agent := &simulatedAgent{}
+		f.fleet = append(f.fleet, agent)
+		f.startAgent(t, agent, i)
+		f.schedule(f.now, agent, balancer.EndpointList{Kind: balancer.ListCached, Endpoints: f.list})
+		weights[i] = math.Exp(0.8 * f.rng.NormFloat64()) // some get several times the mean
 	}
-	var queue eventQueue
-	fleet, weights, sum := make([]*simulatedAgent, f.agents), make([]float64, f.agents), 0.0
-	for i := range fleet {
-		fleet[i] = &simulatedAgent{}
-		start(fleet[i], i)
-		heap.Push(&queue, scheduledEvent{now, fleet[i], balancer.EndpointList{Kind: balancer.ListCached, Endpoints: list}})
-		weights[i] = math.Exp(0.8 * rng.NormFloat64()) // some get several times the mean
-		sum += weights[i]
+	return weights
+}
+
+func (f *fleetSimulation) startAgent(t *testing.T, agent *simulatedAgent, index int) {
+	t.Helper()
+	f.settings.AgentIndex = index
+	b, err := balancer.New(f.settings, f.rng.Uint64())
+	if err != nil {
+		t.Fatal(err)
+	}
+	agent.balancer, agent.attempts = b, map[string]int{}
+}
+
+func (f *fleetSimulation) schedule(at time.Duration, agent *simulatedAgent, event balancer.Event) {
+	heap.Push(&f.queue, scheduledEvent{at, agent, event})
+}
+
+func (f *fleetSimulation) scheduleRequests(weights []float64, change, end time.Duration) {
+	sum := 0.0
+	for _, weight := range weights {
+		sum += weight
 	}
 	rate := f.load * 2 * float64(f.endpoints) / f.work.Seconds()
-	for at := now; at < end; at += time.Duration(rng.ExpFloat64() / rate * 1e9) {
-		u, i := rng.Float64()*sum, 0
+	for at := f.now; at < end; at += time.Duration(f.rng.ExpFloat64() / rate * 1e9) {
+		u, i := f.rng.Float64()*sum, 0
 		for u -= weights[i]; u > 0; u -= weights[i] {
 			i++
 		}
-		heap.Push(&queue, scheduledEvent{at, fleet[i], balancer.Request{ID: fmt.Sprint("q", at), Class: idempotent, Timeout: 2000 * ms}})
-		if at >= turn {
-			asked++
+		request := balancer.Request{ID: fmt.Sprint("q", at), Class: idempotent, Timeout: 2000 * ms}
+		f.schedule(at, f.fleet[i], request)
+		if at >= change {
+			f.asked++
 		}
 	}
-	step := func(a *simulatedAgent, events ...balancer.Event) {
-		for _, act := range a.balancer.Step(now, events) {
-			switch act := act.(type) {
-			case balancer.SetTimer:
-				heap.Push(&queue, scheduledEvent{now + act.After, a, balancer.TimerFired{Token: act.Token}})
-			case balancer.Send:
-				e := byID[act.Endpoint]
-				core := 0
-				if e.coreFreeAt[1] < e.coreFreeAt[0] {
-					core = 1
-				}
-				need := float64(f.work) * rng.ExpFloat64()
-				if e.Started > 0 {
-					e.sent = append(e.sent, now)
-					need /= warmUpFraction(s, now-e.Started)
-				}
-				e.coreFreeAt[core] = max(now, e.coreFreeAt[core]) + time.Duration(need)
-				o := balancer.Outcome{Request: act.Request, Attempt: a.attempts[act.Request], Endpoint: act.Endpoint,
-					Result: balancer.Served, Latency: e.coreFreeAt[core] - now}
-				a.attempts[act.Request]++
-				if left := 1900 * ms; o.Latency > left {
-					o.Result, o.Latency = balancer.TimedOut, left
-				}
-				heap.Push(&queue, scheduledEvent{now + o.Latency, a, o})
-			}
+}
+
+// change starts and removes endpoints, and lets the agents know.
+func (f *fleetSimulation) change(t *testing.T, at time.Duration) {
+	t.Helper()
+	affected := f.started + f.removed
+	for i, server := range f.servers[:affected] {
+		if f.list[i].Started = at; i >= f.started {
+			f.list[i].Started, f.list[i].State = 0, balancer.Removed
 		}
+		server.Endpoint, server.coreFreeAt = f.list[i], [2]time.Duration{}
 	}
-	turned := false
-	for len(queue) > 0 {
-		d := heap.Pop(&queue).(scheduledEvent)
-		now = max(now, d.at)
-		if !turned && now >= turn {
-			turned = true
-			for i, e := range all[:f.started+f.removed] {
-				if list[i].Started = turn; i >= f.started {
-					list[i].Started, list[i].State = 0, balancer.Removed
-				}
-				e.Endpoint, e.coreFreeAt = list[i], [2]time.Duration{}
-			}
-			for i, a := range fleet {
-				if f.restartAgents {
-					start(a, i)
-				}
-				// Each agent is notified within a tick or two of the others.
-				heap.Push(&queue, scheduledEvent{turn + time.Duration(rng.Int64N(int64(10*ms))), a,
-					balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: list[: f.started+f.removed : f.started+f.removed]}})
-			}
+	for i, agent := range f.fleet {
+		if f.restartAgents {
+			f.startAgent(t, agent, i)
 		}
-		if l, ok := d.event.(balancer.EndpointList); ok && l.Kind == balancer.ListComplete {
-			l.Endpoints = nil
-			for _, e := range list {
-				if e.State != balancer.Removed {
-					l.Endpoints = append(l.Endpoints, e)
-				}
-			}
-			d.event = l
+		// Each agent is notified within a tick or two of the others.
+		delay := time.Duration(f.rng.Int64N(int64(10 * ms)))
+		f.schedule(at+delay, agent, balancer.EndpointList{Kind: balancer.ListComplete})
+	}
+}
+
+func (f *fleetSimulation) currentList() balancer.EndpointList {
+	list := balancer.EndpointList{Kind: balancer.ListComplete}
+	for _, entry := range f.list {
+		if entry.State != balancer.Removed {
+			list.Endpoints = append(list.Endpoints, entry)
 		}
-		if o, ok := d.event.(balancer.Outcome); ok && o.Result == balancer.Served && now >= turn { // some were asked before
-			served++
+	}
+	return list
+}
+
+// step notifies an agent's balancer of an event and carries out its actions.
+func (f *fleetSimulation) step(agent *simulatedAgent, event balancer.Event) {
+	for _, action := range agent.balancer.Step(f.now, []balancer.Event{event}) {
+		switch action := action.(type) {
+		case balancer.SetTimer:
+			f.schedule(f.now+action.After, agent, balancer.TimerFired{Token: action.Token})
+		case balancer.Send:
+			outcome := balancer.Outcome{Request: action.Request, Attempt: agent.attempts[action.Request],
+				Endpoint: action.Endpoint, Result: balancer.Served, Latency: f.serve(action.Endpoint)}
+			agent.attempts[action.Request]++
+			if left := 1900 * ms; outcome.Latency > left {
+				outcome.Result, outcome.Latency = balancer.TimedOut, left
+			}
+			f.schedule(f.now+outcome.Latency, agent, outcome)
 		}
-		step(d.agent, d.event)
 	}
-	return all, asked, served
+}
+
+// serve adds a request to an endpoint's queue and returns its latency.
+func (f *fleetSimulation) serve(id string) time.Duration {
+	server := f.servers[slices.IndexFunc(f.list, func(entry balancer.Endpoint) bool { return entry.ID == id })]
+	core := 0
+	if server.coreFreeAt[1] < server.coreFreeAt[0] {
+		core = 1
+	}
+	work := float64(f.work) * f.rng.ExpFloat64()
+	if server.Started > 0 {
+		server.sent = append(server.sent, f.now)
+		work /= warmUpFraction(f.settings, f.now-server.Started)
+	}
+	server.coreFreeAt[core] = max(f.now, server.coreFreeAt[core]) + time.Duration(work)
+	return server.coreFreeAt[core] - f.now
 }
 
 // warmUpFraction is the least share of its capacity that an endpoint has at an age.
@@ -180,7 +229,8 @@
 		for at-e.sent[first] > s.ColdOverloadWindow {
 			first++
 		}
-		n := s.ColdOverloadMultiple * warmUpFraction(s, e.sent[first]-e.Started) * 2 * s.ColdOverloadWindow.Seconds() / f.work.Seconds()
+		fraction := warmUpFraction(s, e.sent[first]-e.Started)
+		n := s.ColdOverloadMultiple * fraction * 2 * s.ColdOverloadWindow.Seconds() / f.work.Seconds()
 		worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -8,91 +8,94 @@
 	"ashshunt/balancer"
 )
 
-func TestPick(t *testing.T) {
-	t.Run("idle ones at random", func(t *testing.T) {
-		for id, n := range fleetShares(t, settings(), endpoints(4)) {
-			if n < 60 || n > 140 {
-				t.Errorf("%s got %d of 400, want about 100", id, n)
-			}
-		}
-	})
-	t.Run("idle before busy", func(t *testing.T) {
-		h := newHarness(t, settings(), 2, endpoints(4))
-		h.waves(80, 8, idempotent, 50*ms)
-		used := map[string]bool{}
-		for i := range 4 {
-			id := fmt.Sprint("q", i)
-			h.request(id, idempotent)
-			used[h.sent[id][0]] = true
-		}
-		if len(used) != 4 {
-			t.Errorf("four requests went to %d endpoints, want 4", len(used))
-		}
-	})
-	t.Run("fewest in flight", func(t *testing.T) {
-		h := newHarness(t, settings(), 2, endpoints(4))
-		h.waves(80, 8, idempotent, 50*ms)
-		counts := map[string]int{}
-		for i := range 12 {
-			id := fmt.Sprint("q", i)
-			h.request(id, idempotent)
-			counts[h.sent[id][0]]++
+func TestPickIdleAtRandom(t *testing.T) {
+	for id, n := range fleetShares(t, settings(), endpoints(4)) {
+		if n < 60 || n > 140 {
+			t.Errorf("%s got %d of 400, want about 100", id, n)
 		}
-		for id, n := range counts {
-			if n < 2 || n > 4 {
-				t.Errorf("%s has %d in flight of 12 over 4", id, n)
-			}
-		}
-	})
-	t.Run("a new one counts at the mean", func(t *testing.T) {
-		h := newHarness(t, settings(), 2, endpoints(4))
-		h.serve(80, idempotent, 50*ms)
-		for i := range 8 {
-			h.request(fmt.Sprint("q", i), idempotent)
-		}
-		h.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "new"}}})
-		rush := 0
-		for i := range 4 {
-			id := fmt.Sprint("n", i)
-			h.request(id, idempotent)
-			if h.sent[id][0] == "new" {
-				rush++
-			}
-		}
-		if rush > 2 {
-			t.Errorf("the new endpoint got %d of 4, want no rush", rush)
+	}
+}
+
+func TestPickIdleBeforeBusy(t *testing.T) {
+	h := newHarness(t, settings(), 2, endpoints(4))
+	h.waves(80, 8, idempotent, 50*ms)
+	used := map[string]bool{}
+	for i := range 4 {
+		id := fmt.Sprint("q", i)
+		h.request(id, idempotent)
+		used[h.sent[id][0]] = true
+	}
+	if len(used) != 4 {
+		t.Errorf("four requests went to %d endpoints, want 4", len(used))
+	}
+}
+
+func TestPickFewestInFlight(t *testing.T) {
+	h := newHarness(t, settings(), 2, endpoints(4))
+	h.waves(80, 8, idempotent, 50*ms)
+	counts := map[string]int{}
+	for i := range 12 {
+		id := fmt.Sprint("q", i)
+		h.request(id, idempotent)
+		counts[h.sent[id][0]]++
+	}
+	for id, n := range counts {
+		if n < 2 || n > 4 {
+			t.Errorf("%s has %d in flight of 12 over 4", id, n)
 		}
-	})
-	t.Run("own zone where crossing is priced", func(t *testing.T) {
-		s := settings()
-		s.CrossZonePrice = 0.02
-		h := newHarness(t, s, 2, endpoints(4))
-		h.waves(16, 8, idempotent, 50*ms)
-		counts := h.serve(400, idempotent, 50*ms)
-		if own := counts["a"] + counts["b"]; own < 260 || own == 400 {
-			t.Errorf("own zone got %d of 400, want most but not all", own)
+	}
+}
+
+func TestPickNewEndpointAtMeanLoad(t *testing.T) {
+	h := newHarness(t, settings(), 2, endpoints(4))
+	h.serve(80, idempotent, 50*ms)
+	for i := range 8 {
+		h.request(fmt.Sprint("q", i), idempotent)
+	}
+	h.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "new"}}})
+	rush := 0
+	for i := range 4 {
+		id := fmt.Sprint("n", i)
+		h.request(id, idempotent)
+		if h.sent[id][0] == "new" {
+			rush++
 		}
-	})
-	t.Run("slow ones less", func(t *testing.T) {
-		h := newHarness(t, settings(), 2, endpoints(4))
-		late := 0
-		for i := range 600 {
-			id := fmt.Sprint("q", i)
-			h.request(id, idempotent)
-			lat := 40 * ms
-			if h.sent[id][0] == "a" {
-				lat = 160 * ms
-				if i >= 300 {
-					late++
-				}
+	}
+	if rush > 2 {
+		t.Errorf("the new endpoint got %d of 4, want no rush", rush)
+	}
+}
+
+func TestPickOwnZoneWhereCrossingIsPriced(t *testing.T) {
+	s := settings()
+	s.CrossZonePrice = 0.02
+	h := newHarness(t, s, 2, endpoints(4))
+	h.waves(16, 8, idempotent, 50*ms)
+	counts := h.serve(400, idempotent, 50*ms)
+	if own := counts["a"] + counts["b"]; own < 260 || own == 400 {
+		t.Errorf("own zone got %d of 400, want most but not all", own)
+	}
+}
+
+func TestPickSlowEndpointsLess(t *testing.T) {
+	h := newHarness(t, settings(), 2, endpoints(4))
+	late := 0
+	for i := range 600 {
+		id := fmt.Sprint("q", i)
+		h.request(id, idempotent)
+		lat := 40 * ms
+		if h.sent[id][0] == "a" {
+			lat = 160 * ms
+			if i >= 300 {
+				late++
 			}
-			h.now += lat
-			h.outcome(id, balancer.Served, lat)
 		}
-		if late > 40 {
-			t.Errorf("an endpoint four times slower still got %d of 300", late)
-		}
-	})
+		h.now += lat
+		h.outcome(id, balancer.Served, lat)
+	}
+	if late > 40 {
+		t.Errorf("an endpoint four times slower still got %d of 300", late)
+	}
 }
 
 // Many agents that each connect to every endpoint fill its connection table. An agent with little traffic uses a
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -18,10 +18,51 @@
 	event    func(balancer.Event) balancer.Event
 }
 
-// playHostile feeds a balancer a legal but unkind order of events, and audits it.
+// hostileDriver feeds a balancer a legal but unkind order of events, and audits it.
+type hostileDriver struct {
+	rng         *rand.Rand
+	balancer    *balancer.Balancer
+	auditor     *auditor
+	distortions []distortion
+
+	timers    []pendingTimer
+	inFlight  []balancer.Outcome // one for each attempt, without its result
+	deadlines map[string]time.Duration
+	list      []balancer.Endpoint
+	keys      int // different ones
+	requests  int // so far
+}
+
+type pendingTimer struct {
+	at    time.Duration
+	token int64
+}
+
 func playHostile(t *testing.T, seed uint64, steps int, distortions ...distortion) *auditor {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
+	s := hostileSettings(rng)
+	d := &hostileDriver{rng: rng, auditor: newAuditor(s), distortions: distortions,
+		deadlines: map[string]time.Duration{}, list: endpoints(8), keys: 1 + rng.IntN(40)}
+	s.Classes = slices.Clone(s.Classes)
+	for _, distortion := range distortions {
+		if distortion.settings != nil {
+			distortion.settings(&s)
+		}
+	}
+	b, err := balancer.New(s, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.balancer = b
+	d.auditor.now = time.Hour
+	for range steps {
+		d.step()
+	}
+	return d.auditor
+}
+
+func hostileSettings(rng *rand.Rand) balancer.Settings {
 	s := settings()
 	s.Agents = 1 + rng.IntN(9)
 	s.AgentIndex = rng.IntN(s.Agents)
@@ -42,130 +83,142 @@
 	s.KeyQuietPeriod = time.Duration(rng.IntN(3)) * 40 * ms
 	s.AllowCancel, s.AllowHealthChecks, s.CacheAffinity = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
 	s.Tenants = []balancer.Tenant{{Share: 0.7, Quota: 20}, {Share: 0.3, Quota: 5}}[:rng.IntN(3)]
-	keys := 1 + rng.IntN(40)
-	told := s
-	told.Classes = slices.Clone(s.Classes)
-	for _, l := range distortions {
-		if l.settings != nil {
-			l.settings(&told)
-		}
-	}
-	b, err := balancer.New(told, seed)
-	if err != nil {
-		t.Fatal(err)
+	return s
+}
+
+// step plays one step of the balancer and audits it.
+func (d *hostileDriver) step() {
+	d.auditor.now += time.Duration(d.rng.IntN(30)) * ms / 4
+	events := d.dueTimers()
+	events = append(events, d.newRequests()...)
+	events = append(events, d.outcomes()...)
+	events = append(events, d.disturbance()...)
+	d.rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
+	for _, event := range events {
+		d.auditor.event(event)
 	}
-	a := newAuditor(s)
-	a.now = time.Hour
-	type timer struct {
-		at    time.Duration
-		token int64
-	}
-	var timers []timer
-	var open []balancer.Outcome // attempts that are out
-	due := map[string]time.Duration{}
-	pool := endpoints(8)
-	next := 0
-	for range steps {
-		a.now += time.Duration(rng.IntN(30)) * ms / 4
-		var events []balancer.Event
-		keep := timers[:0]
-		for _, tm := range timers {
-			if tm.at <= a.now {
-				events = append(events, balancer.TimerFired{Token: tm.token})
-			} else {
-				keep = append(keep, tm)
-			}
-		}
-		timers = keep
-		for range rng.IntN(3) {
-			next++
-			id := fmt.Sprint("q", next)
-			left := time.Duration(1+rng.IntN(1500)) * ms
-			due[id] = a.now + left
-			events = append(events, balancer.Request{ID: id, Class: rng.IntN(len(s.Classes)), Timeout: left,
-				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, ClientRetry: rng.IntN(5) == 0,
-				Tenant: rng.IntN(3), Key: []string{"", fmt.Sprint("k", rng.IntN(keys))}[min(1, rng.IntN(9))]})
+	for _, action := range d.balancer.Step(d.auditor.now, d.distorted(events)) {
+		d.auditor.action(action)
+		switch action := action.(type) {
+		case balancer.SetTimer:
+			d.timers = append(d.timers, pendingTimer{d.auditor.now + action.After, action.Token})
+		case balancer.Send:
+			d.inFlight = append(d.inFlight, balancer.Outcome{Request: action.Request, Endpoint: action.Endpoint,
+				Attempt: len(d.auditor.requests[action.Request].attempts) - 1})
 		}
-		// Every attempt ends by its request's time; some early, with any result.
-		rest := open[:0]
-		for _, o := range open {
-			switch {
-			case due[o.Request] <= a.now:
-				o.Result = balancer.TimedOut
-			case rng.IntN(8) == 0:
-				o.Result = balancer.Result(rng.IntN(8))
-			default:
-				rest = append(rest, o)
-				continue
-			}
-			o.Latency = time.Duration(rng.IntN(900)) * ms
-			o.Done = o.Result == balancer.Served || a.requests[o.Request].ended
-			events = append(events, o)
-			if rng.IntN(10) == 0 {
-				events = append(events, o) // repeated
+	}
+	d.auditor.checkOverdue()
+}
+
+func (d *hostileDriver) distorted(events []balancer.Event) []balancer.Event {
+	for _, distortion := range d.distortions {
+		for i := range events {
+			if distortion.event != nil {
+				events[i] = distortion.event(events[i])
 			}
 		}
-		open = rest
-		switch rng.IntN(25) {
-		case 0:
-			n := &pool[rng.IntN(len(pool))]
-			n.State = balancer.EndpointState(rng.IntN(3))
-			if rng.IntN(2) == 0 {
-				n.State, n.Started = balancer.Serving, a.now
-			}
-			events = append(events, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{*n}})
-		case 1:
-			var full []balancer.Endpoint // up to none at all
-			for _, n := range pool[:rng.IntN(len(pool)+1)] {
-				n.State = balancer.Serving
-				full = append(full, n)
-			}
-			events = append(events, balancer.EndpointList{Kind: balancer.ListKind(1 + rng.IntN(2)), Endpoints: full})
-		case 2:
-			events = append(events, balancer.EndpointList{Kind: balancer.ListFailed})
-		case 3:
-			if next > 0 {
-				events = append(events, balancer.Abandoned{Request: fmt.Sprint("q", 1+rng.IntN(next))})
-			}
-		case 4:
-			events = append(events, balancer.TimerFired{Token: rng.Int64N(1 << 20)},
-				balancer.Outcome{Request: fmt.Sprint("q", rng.IntN(next+2)), Attempt: rng.IntN(2)*99 - 1},
-				balancer.HealthCheckResult{Endpoint: "x"}, balancer.GossipMessage{From: 70})
-		case 5:
-			events = append(events, balancer.GossipMessage{From: rng.IntN(12) - 1,
-				Data: binary.BigEndian.AppendUint64(nil, rng.Uint64())[:rng.IntN(9)]})
+	}
+	return events
+}
+
+func (d *hostileDriver) dueTimers() (events []balancer.Event) {
+	pending := d.timers[:0]
+	for _, timer := range d.timers {
+		if timer.at <= d.auditor.now {
+			events = append(events, balancer.TimerFired{Token: timer.token})
+		} else {
+			pending = append(pending, timer)
 		}
-		rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
-		for _, e := range events {
-			a.event(e)
+	}
+	d.timers = pending
+	return events
+}
+
+func (d *hostileDriver) newRequests() (events []balancer.Event) {
+	for range d.rng.IntN(3) {
+		d.requests++
+		id := fmt.Sprint("q", d.requests)
+		left := time.Duration(1+d.rng.IntN(1500)) * ms
+		d.deadlines[id] = d.auditor.now + left
+		events = append(events, balancer.Request{ID: id, Class: d.rng.IntN(len(d.auditor.settings.Classes)), Timeout: left,
+			Work: time.Duration(d.rng.IntN(3)*d.rng.IntN(200)) * ms, ClientRetry: d.rng.IntN(5) == 0,
+			Tenant: d.rng.IntN(3), Key: []string{"", fmt.Sprint("k", d.rng.IntN(d.keys))}[min(1, d.rng.IntN(9))]})
+	}
+	return events
+}
+
+// outcomes ends every attempt by the deadline of its request; some early, with any result.
+func (d *hostileDriver) outcomes() (events []balancer.Event) {
+	inFlight := d.inFlight[:0]
+	for _, outcome := range d.inFlight {
+		switch {
+		case d.deadlines[outcome.Request] <= d.auditor.now:
+			outcome.Result = balancer.TimedOut
+		case d.rng.IntN(8) == 0:
+			outcome.Result = balancer.Result(d.rng.IntN(8))
+		default:
+			inFlight = append(inFlight, outcome)
+			continue
 		}
-		for _, l := range distortions {
-			for i := range events {
-				if l.event != nil {
-					events[i] = l.event(events[i])
-				}
-			}
+		outcome.Latency = time.Duration(d.rng.IntN(900)) * ms
+		outcome.Done = outcome.Result == balancer.Served || d.auditor.requests[outcome.Request].ended
+		events = append(events, outcome)
+		if d.rng.IntN(10) == 0 {
+			events = append(events, outcome) // repeated
 		}
-		for _, act := range b.Step(a.now, events) {
-			a.action(act)
-			switch act := act.(type) {
-			case balancer.SetTimer:
-				timers = append(timers, timer{a.now + act.After, act.Token})
-			case balancer.Send:
-				open = append(open, balancer.Outcome{Request: act.Request, Endpoint: act.Endpoint,
-					Attempt: len(a.requests[act.Request].attempts) - 1})
-			}
+	}
+	d.inFlight = inFlight
+	return events
+}
+
+// disturbance is now and then a change or a failure of the list, a client that leaves, or stray events.
+func (d *hostileDriver) disturbance() []balancer.Event {
+	switch d.rng.IntN(25) {
+	case 0:
+		return []balancer.Event{d.listDelta()}
+	case 1:
+		return []balancer.Event{d.wholeList()}
+	case 2:
+		return []balancer.Event{balancer.EndpointList{Kind: balancer.ListFailed}}
+	case 3:
+		if d.requests > 0 {
+			return []balancer.Event{balancer.Abandoned{Request: fmt.Sprint("q", 1+d.rng.IntN(d.requests))}}
 		}
-		a.checkOverdue()
+	case 4:
+		return []balancer.Event{balancer.TimerFired{Token: d.rng.Int64N(1 << 20)},
+			balancer.Outcome{Request: fmt.Sprint("q", d.rng.IntN(d.requests+2)), Attempt: d.rng.IntN(2)*99 - 1},
+			balancer.HealthCheckResult{Endpoint: "x"}, balancer.GossipMessage{From: 70}}
+	case 5:
+		return []balancer.Event{balancer.GossipMessage{From: d.rng.IntN(12) - 1,
+			Data: binary.BigEndian.AppendUint64(nil, d.rng.Uint64())[:d.rng.IntN(9)]}}
+	}
+	return nil
+}
+
+func (d *hostileDriver) listDelta() balancer.EndpointList {
+	entry := &d.list[d.rng.IntN(len(d.list))]
+	entry.State = balancer.EndpointState(d.rng.IntN(3))
+	if d.rng.IntN(2) == 0 {
+		entry.State, entry.Started = balancer.Serving, d.auditor.now
+	}
+	return balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{*entry}}
+}
+
+// wholeList has any number of the endpoints, down to none at all.
+func (d *hostileDriver) wholeList() balancer.EndpointList {
+	var serving []balancer.Endpoint
+	for _, entry := range d.list[:d.rng.IntN(len(d.list)+1)] {
+		entry.State = balancer.Serving
+		serving = append(serving, entry)
 	}
-	return a
+	return balancer.EndpointList{Kind: balancer.ListKind(1 + d.rng.IntN(2)), Endpoints: serving}
 }
 
 func TestRulesUnderAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
 		a := playHostile(t, seed, 600)
 		if len(a.violations) > 0 {
-			t.Fatalf("seed %d: %s", seed, strings.Join(a.violations[:min(3, len(a.violations))], "\n"))
+			t.Fatalf("seed %d: %s", seed, a.firstViolations())
 		}
 	}
 }
@@ -228,7 +281,7 @@
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		if a := playHostile(t, seed, 400); len(a.violations) > 0 {
-			t.Fatal(strings.Join(a.violations[:min(3, len(a.violations))], "\n"))
+			t.Fatal(a.firstViolations())
 		}
 	})
 }
