--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Latency above the target lowers the limit; what exceeds it is queued and then rejected, a client's retry at
-// once.
+// Latency above the target lowers the limit; what exceeds it is queued and then rejected, a client's retry
+// at once.
 func TestInFlightLimit(t *testing.T) {
 	s := settings()
 	s.Agents = 2
@@ -147,8 +147,8 @@
 	}
 }
 
-// Chance must not lower the limit of a busy agent whose latency is well within the objective in the mean, but
-// varies a lot.
+// Chance must not lower the limit of a busy agent whose latency is well within the objective in the mean,
+// but varies a lot.
 func TestBusyAgentIsNotCutByChance(t *testing.T) {
 	s := settings()
 	s.Agents = 2
@@ -190,7 +190,8 @@
 		return n
 	}
 	if crowded, slow := inFlight(35*ms), inFlight(130*ms); crowded != 4*2 || slow <= 4*2 {
-		t.Errorf("%d in flight after a rise, want the floor of 8; %d where it was so from the start, want more", crowded, slow)
+		t.Errorf("%d in flight after a rise, want the floor of 8; "+
+			"%d where it was so from the start, want more", crowded, slow)
 	}
 }
 
@@ -223,8 +224,8 @@
 	}
 }
 
-// A time-out shortened by the client's deadline tells a client's retry: it does not wait for capacity, where a
-// first try does.
+// A time-out shortened by the client's deadline tells a client's retry: it does not wait for capacity, where
+// a first try does.
 func TestTimeoutTellsClientRetries(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(1))
 	submit := func(id string, left time.Duration) []balancer.Action {
@@ -241,8 +242,8 @@
 	}
 }
 
-// The first responses set the usual latency, so that a rise to seven times of it shows though it is far below
-// the objective. Heavy requests now and then are no rise.
+// The first responses set the usual latency, so that a rise to seven times of it shows though it is far
+// below the objective. Heavy requests now and then are no rise.
 func TestUsualLatencyFromFirstResponses(t *testing.T) {
 	inFlight := func(then ...time.Duration) (n int) {
 		h := newHarness(t, settings(), 1, endpoints(2))
@@ -274,8 +275,8 @@
 	}
 }
 
-// With many agents and few endpoints one attempt of each agent is too much: when crowded, a small agent sends
-// about as much as is served on time.
+// With many agents and few endpoints one attempt of each agent is too much: when crowded, a small agent
+// sends about as much as is served on time.
 func TestSmallAgentIsThrottledWhenCrowded(t *testing.T) {
 	sent := func(latency time.Duration) (n int) {
 		s := settings()
@@ -292,7 +293,8 @@
 				}
 			}
 		}
-		if finalAnswer("last", append(h.request("last", idempotent), h.advance(2*time.Second)...)) != "" == (len(h.sent["last"]) > 0) {
+		answer := finalAnswer("last", append(h.request("last", idempotent), h.advance(2*time.Second)...))
+		if answer != "" == (len(h.sent["last"]) > 0) {
 			t.Errorf("at %v the last request was neither sent nor answered", latency)
 		}
 		return n
@@ -303,7 +305,8 @@
 	}
 }
 
-// An agent whose part of the least limit is far under one attempt has no limit: a slow attempt delays no other.
+// An agent whose part of the least limit is far under one attempt has no limit: a slow attempt delays no
+// other.
 func TestSparseAgentHasNoLimit(t *testing.T) {
 	s := settings()
 	s.Agents = 400
@@ -323,10 +326,12 @@
 		id := fmt.Sprint("short", left)
 		actions := h.step(balancer.Request{ID: id, Class: idempotent, Timeout: left})
 		if len(actions) != 1 || actions[0] != (balancer.Reject{Request: id}) {
-			t.Errorf("%v left of a usual 100 ms: %v, want a rejection at once and nothing else", left, actions)
+			t.Errorf("%v left of a usual 100 ms: %v, want a rejection at once and nothing else", left,
+				actions)
 		}
 	}
-	if h.step(balancer.Request{ID: "likely", Class: idempotent, Timeout: 80 * ms}); len(h.sent["likely"]) != 1 {
+	h.step(balancer.Request{ID: "likely", Class: idempotent, Timeout: 80 * ms})
+	if len(h.sent["likely"]) != 1 {
 		t.Error("80 ms left of a usual 100 ms: not sent")
 	}
 	// A request with all its time goes out, however heavy it seems.
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -117,14 +117,15 @@
 	CPUPerSecond      time.Duration // CPU that an agent has in each second; 0: no limit
 	CPUPerRequest     time.Duration // mean CPU for a request with its outcomes; 0: no limit
 
-	DrainGrace           time.Duration // how long sends to a draining endpoint are still tolerated
-	ResponseGrace        time.Duration // how long after its deadline a final answer still counts
-	PollWithin           time.Duration // Subscribe: poll at least this often while not subscribed
-	PollSpread           time.Duration // Subscribe: poll so soon after a start or failure; 0: PollWithin
-	RefusedPollSpread    time.Duration // Subscribe: and so soon after a refusal; 0: PollWithin
-	ColdCapacity         float64       // an endpoint starts at this share of its capacity or more; 0: 1
-	SlowStart            time.Duration // and is warm no later than this after its start
-	ColdOverloadMultiple float64       // one that warms up and is sent more than this multiple of its capacity ...
+	DrainGrace        time.Duration // how long sends to a draining endpoint are still tolerated
+	ResponseGrace     time.Duration // how long after its deadline a final answer still counts
+	PollWithin        time.Duration // Subscribe: poll at least this often while not subscribed
+	PollSpread        time.Duration // Subscribe: poll so soon after a start or failure; 0: PollWithin
+	RefusedPollSpread time.Duration // Subscribe: and so soon after a refusal; 0: PollWithin
+	ColdCapacity      float64       // an endpoint starts at this share of its capacity or more; 0: 1
+	SlowStart         time.Duration // and is warm no later than this after its start
+	// one that warms up and is sent more than this multiple of its capacity ...
+	ColdOverloadMultiple float64
 	ColdOverloadWindow   time.Duration // ... over this span is overloaded and fails
 	RejectedMayHaveRun   bool          // an attempt that ended as Rejected may have run
 	KeyQuietPeriod       time.Duration // Ordered: a key is quiet so long after a time-out, reset or cancel
--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -115,7 +115,8 @@
 	}
 	attempt := &r.attempts[e.Attempt]
 	attempt.inFlight = false
-	attempt.mayHaveRun = !e.Result.NeverRan() || e.Result == balancer.Rejected && a.settings.RejectedMayHaveRun
+	rejectedMayHaveRun := e.Result == balancer.Rejected && a.settings.RejectedMayHaveRun
+	attempt.mayHaveRun = !e.Result.NeverRan() || rejectedMayHaveRun
 	switch e.Result {
 	case balancer.TimedOut, balancer.Reset, balancer.Cancelled:
 		r.quietUntil = a.now + a.settings.KeyQuietPeriod
@@ -276,10 +277,11 @@
 	}
 }
 
-// checkSlowStart checks this agent's part of the load of an endpoint that warms up. The capacity of endpoints
-// is unknown: the work that the busiest warm one was sent within three windows bounds what a balancer may take
-// for the rate of a warm one, and the allowed multiple of the warm-up fraction of that bounds the other. The
-// slack is one mean request, and one of twice the mean that may go out on the last permit.
+// checkSlowStart checks this agent's part of the load of an endpoint that warms up. The capacity of
+// endpoints is unknown: the work that the busiest warm one was sent within three windows bounds what a
+// balancer may take for the rate of a warm one, and the allowed multiple of the warm-up fraction of that
+// bounds the other. The slack is one mean request, and one of twice the mean that may go out on the last
+// permit.
 func (a *auditor) checkSlowStart(ep *auditedEndpoint) {
 	if a.isWarm(ep) || a.settings.SlowStart == 0 {
 		return
@@ -326,6 +328,26 @@
 	}
 }
 
+// audit plays events, actions and durations that pass after a request.
+func audit(class int, play []any) *auditor {
+	a := newAuditor(settings())
+	a.now = time.Hour
+	a.event(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(4)})
+	a.event(balancer.Request{ID: "q", Class: class, Timeout: 2000 * ms})
+	for _, p := range play {
+		switch p := p.(type) {
+		case time.Duration:
+			a.now += p
+		case balancer.Event:
+			a.event(p)
+		case balancer.Action:
+			a.action(p)
+		}
+	}
+	a.checkOverdue()
+	return a
+}
+
 // Each check of the auditor must be able to fail: these recorded actions violate a rule.
 func TestAuditorRejects(t *testing.T) {
 	send := func(b string) balancer.Action { return balancer.Send{Request: "q", Endpoint: b} }
@@ -333,9 +355,11 @@
 		return balancer.Outcome{Request: "q", Attempt: n, Result: res, Done: res == balancer.Served}
 	}
 	reject, fail := balancer.Reject{Request: "q"}, balancer.Fail{Request: "q"}
-	off := balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}}
+	off := balancer.EndpointList{Kind: balancer.ListDelta,
+		Endpoints: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}}
 	empty := balancer.EndpointList{Kind: balancer.ListComplete}
-	cold := balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "a", Started: time.Hour}}}
+	cold := balancer.EndpointList{Kind: balancer.ListDelta,
+		Endpoints: []balancer.Endpoint{{ID: "a", Started: time.Hour}}}
 	tests := []struct {
 		name  string
 		class int
@@ -344,45 +368,42 @@
 	}{
 		{"no answer", idempotent, []any{2021 * ms}, "got no answer in time"},
 		{"two answers", idempotent, []any{fail, fail}, "answered twice"},
-		{"answer after being served", idempotent, []any{send("a"), ended(0, balancer.Served), reject}, "answered twice"},
+		{"answer after being served", idempotent, []any{send("a"), ended(0, balancer.Served), reject},
+			"answered twice"},
 		{"late answer", idempotent, []any{2020*ms + 1, fail}, "answered late"},
 		{"send after the answer", idempotent, []any{fail, send("a")}, "sent after its end"},
 		{"unknown endpoint", idempotent, []any{send("zz")}, "is unknown"},
-		{"past the limit", idempotent, []any{send("a"), ended(0, balancer.ServerError), send("b"), ended(1, balancer.ServerError),
-			send("a"), ended(2, balancer.ServerError), send("b"), ended(3, balancer.ServerError), send("a")}, "past the attempt limit"},
+		{"past the limit", idempotent, []any{send("a"), ended(0, balancer.ServerError),
+			send("b"), ended(1, balancer.ServerError), send("a"), ended(2, balancer.ServerError),
+			send("b"), ended(3, balancer.ServerError), send("a")}, "past the attempt limit"},
 		{"hedged request", idempotent, []any{send("a"), send("b")}, "two attempts in flight"},
-		{"not idempotent, repeated", notIdempotent, []any{send("a"), ended(0, balancer.TimedOut), send("b")}, "is not idempotent"},
-		{"not idempotent, rejected", notIdempotent, []any{send("a"), ended(0, balancer.Reset), reject}, "rejected though"},
-		{"not idempotent, rejected while in flight", notIdempotent, []any{send("a"), reject}, "rejected though"},
-		{"zone rejected", keyedInZone, []any{send("a"), ended(0, balancer.ServerError), reject}, "rejected though"},
-		{"outside the zone", keyedInZone, []any{send("a"), ended(0, balancer.ServerError), send("c")}, "outside its scope"},
-		{"outside the cell", keyedInCell, []any{send("a"), ended(0, balancer.ServerError), send("d")}, "outside its scope"},
-		{"after the window", keyedEverywhere, []any{send("a"), 301 * ms, ended(0, balancer.ServerError), send("b")}, "after its window"},
+		{"not idempotent, repeated", notIdempotent, []any{send("a"), ended(0, balancer.TimedOut), send("b")},
+			"is not idempotent"},
+		{"not idempotent, rejected", notIdempotent, []any{send("a"), ended(0, balancer.Reset), reject},
+			"rejected though"},
+		{"not idempotent, rejected while in flight", notIdempotent, []any{send("a"), reject},
+			"rejected though"},
+		{"zone rejected", keyedInZone, []any{send("a"), ended(0, balancer.ServerError), reject},
+			"rejected though"},
+		{"outside the zone", keyedInZone, []any{send("a"), ended(0, balancer.ServerError), send("c")},
+			"outside its scope"},
+		{"outside the cell", keyedInCell, []any{send("a"), ended(0, balancer.ServerError), send("d")},
+			"outside its scope"},
+		{"after the window", keyedEverywhere, []any{send("a"), 301 * ms, ended(0, balancer.ServerError),
+			send("b")}, "after its window"},
 		{"draining", idempotent, []any{off, 501 * ms, send("a")}, "draining or removed"},
 		{"removed from the list", idempotent, []any{empty, 501 * ms, send("b")}, "draining or removed"},
-		{"slow start", idempotent, []any{cold, send("a"), ended(0, balancer.Rejected), send("a"), ended(1, balancer.Rejected),
+		{"slow start", idempotent, []any{cold, send("a"), ended(0, balancer.Rejected),
+			send("a"), ended(1, balancer.Rejected),
 			send("a"), ended(2, balancer.Rejected), send("a")}, "is warming up"},
-		{"gossip where none is allowed", idempotent, []any{balancer.Gossip{Data: []byte{1}}}, "bytes of gossip"},
+		{"gossip where none is allowed", idempotent, []any{balancer.Gossip{Data: []byte{1}}},
+			"bytes of gossip"},
 		{"timer in the past", idempotent, []any{balancer.SetTimer{After: -1}}, "timer in the past"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := newAuditor(settings())
-			a.now = time.Hour
-			a.event(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(4)})
-			a.event(balancer.Request{ID: "q", Class: tt.class, Timeout: 2000 * ms})
-			for _, p := range tt.play {
-				switch p := p.(type) {
-				case time.Duration:
-					a.now += p
-				case balancer.Event:
-					a.event(p)
-				case balancer.Action:
-					a.action(p)
-				}
-			}
-			a.checkOverdue()
-			if got := strings.Join(a.violations, "; "); !strings.Contains(got, tt.want) {
+			got := strings.Join(audit(tt.class, tt.play).violations, "; ")
+			if !strings.Contains(got, tt.want) {
 				t.Errorf("faults %q, want one with %q", got, tt.want)
 			}
 		})
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -65,7 +65,8 @@
 			h.outcome("q", balancer.ServerError, 10*ms)
 		},
 		"no place": func(h *harness) {
-			h.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}})
+			h.step(balancer.EndpointList{Kind: balancer.ListComplete,
+				Endpoints: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}})
 			h.request("q", idempotent)
 		},
 	} {
@@ -104,7 +105,8 @@
 	h.request("q", idempotent)
 	h.step(balancer.StreamStarted{Request: "q"})
 	h.now += 10 * ms
-	acts := h.step(balancer.Outcome{Request: "q", Endpoint: h.sent["q"][0], Result: balancer.Reset, Done: true})
+	acts := h.step(balancer.Outcome{Request: "q", Endpoint: h.sent["q"][0], Result: balancer.Reset,
+		Done: true})
 	acts = append(acts, h.advance(3*time.Second)...)
 	if len(acts) != 0 || len(h.sent["q"]) != 1 {
 		t.Errorf("after a broken stream: %v", acts)
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -9,15 +9,16 @@
 	"ashshunt/balancer"
 )
 
-// BenchmarkStep plays a request, its outcome, and sometimes an error and a retry. The state must not grow with
-// the requests played: see the heap metric.
+// BenchmarkStep plays a request, its outcome, and sometimes an error and a retry. The state must not grow
+// with the requests played: see the heap metric.
 func BenchmarkStep(b *testing.B) {
 	lb, err := balancer.New(settings(), 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []balancer.Event{balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(14)}})
+	lb.Step(now, []balancer.Event{balancer.EndpointList{Kind: balancer.ListComplete,
+		Endpoints: endpoints(14)}})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -42,7 +43,8 @@
 			switch a := a.(type) {
 			case balancer.Send:
 				*now += 2 * ms
-				o := balancer.Outcome{Request: id, Attempt: n, Endpoint: a.Endpoint, Latency: 2 * ms, Done: true}
+				o := balancer.Outcome{Request: id, Attempt: n, Endpoint: a.Endpoint, Latency: 2 * ms,
+					Done: true}
 				if n == 0 && i%50 == 0 {
 					o.Result, o.Done = balancer.ServerError, false
 				}
@@ -65,7 +67,8 @@
 		t.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []balancer.Event{balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(14)}})
+	lb.Step(now, []balancer.Event{balancer.EndpointList{Kind: balancer.ListComplete,
+		Endpoints: endpoints(14)}})
 	for i := range 20000 {
 		playOne(lb, &now, i)
 		if n := lb.StateSize(); n > 4 {
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -89,7 +89,8 @@
 		t.Errorf("10 agents ask after only %d different waits", len(delays))
 	}
 	h := newHarness(t, settings(), 1, endpoints(2))
-	if n := asks(append(h.step(balancer.EndpointList{Kind: balancer.ListFailed}), h.advance(time.Minute)...)); n != 0 {
+	if n := asks(append(h.step(balancer.EndpointList{Kind: balancer.ListFailed}),
+		h.advance(time.Minute)...)); n != 0 {
 		t.Error("asked although the list comes unasked")
 	}
 }
@@ -105,7 +106,8 @@
 		if len(h.sent[id]) > 0 {
 			h.outcome(id, balancer.Served, 10*ms)
 		}
-		h.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "never seen", State: balancer.Removed}}})
+		h.step(balancer.EndpointList{Kind: balancer.ListDelta,
+			Endpoints: []balancer.Endpoint{{ID: "never seen", State: balancer.Removed}}})
 	}
 	if n := h.balancer.EndpointCount(); n != 1 {
 		t.Errorf("%d endpoints are kept, want 1", n)
@@ -132,9 +134,10 @@
 	return d.freeAt, true
 }
 
-// subscribeTogether starts n balancers at one moment and returns how many have the list after the span, and how
-// many calls that took. spread is the PollSpread setting; 0: there is none.
-func subscribeTogether(t *testing.T, n int, spread time.Duration, d *discoveryService, span time.Duration) (listed, calls int) {
+// subscribeTogether starts n balancers at one moment and returns how many have the list after the span, and
+// how many calls that took. spread is the PollSpread setting; 0: there is none.
+func subscribeTogether(t *testing.T, n int, spread time.Duration, d *discoveryService,
+	span time.Duration) (listed, calls int) {
 	t.Helper()
 	s := settings()
 	s.Subscribe, s.Agents, s.PollSpread, s.RefusedPollSpread = true, n, spread, 8*spread/3
@@ -179,8 +182,8 @@
 	return listed, calls
 }
 
-// Agents that start together, as at a release, must not overload a discovery of little capacity: it would work
-// on calls whose callers have given up, and serve none.
+// Agents that start together, as at a release, must not overload a discovery of little capacity: it would
+// work on calls whose callers have given up, and serve none.
 func TestSubscribingTogether(t *testing.T) {
 	s := settings()
 	for _, tt := range []struct {
@@ -199,7 +202,8 @@
 			d := &discoveryService{work: tt.work, patience: 2 * time.Second, maxQueue: 5 * time.Second}
 			listed, calls := subscribeTogether(t, tt.agents, tt.spread, d, 4*s.PollWithin)
 			if listed < tt.agents {
-				t.Errorf("%d of %d have the list after %v and %d calls", listed, tt.agents, 4*s.PollWithin, calls)
+				t.Errorf("%d of %d have the list after %v and %d calls", listed, tt.agents, 4*s.PollWithin,
+					calls)
 			}
 		})
 	}
@@ -208,8 +212,9 @@
 	if listed, _ := subscribeTogether(t, 4, 0, d, s.PollWithin/16); listed < 4 {
 		t.Errorf("%d of 4 have the list after %v", listed, s.PollWithin/16)
 	}
-	// A fleet of 350 whose watches break together has its lists in time, with one call each, from a discovery that
-	// can serve it in that time: 1.5 s of waits and 2 s of queue after the 2.5 s in which a silent watch is detected.
+	// A fleet of 350 whose watches break together has its lists in time, with one call each, from a
+	// discovery that can serve it in that time: 1.5 s of waits and 2 s of queue after the 2.5 s in which a
+	// silent watch is detected.
 	d = &discoveryService{work: 9 * ms, patience: 2 * time.Second, maxQueue: 5 * time.Second}
 	if listed, calls := subscribeTogether(t, 350, 1500*ms, d, 3500*ms); listed < 350 || calls > 350 {
 		t.Errorf("%d of 350 have the list after 3.5 s and %d calls", listed, calls)
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,14 +7,15 @@
 	"ashshunt/balancer"
 )
 
-// One balancer through a first attempt, a failure, a retry and a response. The agent owns the clock, the timers
-// and the connections.
+// One balancer through a first attempt, a failure, a retry and a response. The agent owns the clock, the
+// timers and the connections.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Agents:      1,
 		MaxAttempts: 3,
 		Classes: []balancer.Class{
-			{Objective: 200 * time.Millisecond, Deadline: time.Second, Priority: 1, Idempotency: balancer.Idempotent},
+			{Objective: 200 * time.Millisecond, Deadline: time.Second, Priority: 1,
+				Idempotency: balancer.Idempotent},
 		},
 	}, 42)
 	if err != nil {
@@ -22,14 +23,14 @@
 		return
 	}
 	now := time.Duration(0)
-	var backend string
+	var endpoint string
 	var timer int64
 	step := func(events ...balancer.Event) {
 		for _, action := range b.Step(now, events) {
 			switch a := action.(type) {
 			case balancer.Send: // start the attempt; pass its Outcome on later
 				fmt.Println("send", a.Request)
-				backend = a.Endpoint
+				endpoint = a.Endpoint
 			case balancer.SetTimer: // pass TimerFired on when it is due
 				fmt.Println("set a timer")
 				timer = a.Token
@@ -40,19 +41,22 @@
 			}
 		}
 	}
-	step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: []balancer.Endpoint{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
+	step(balancer.EndpointList{Kind: balancer.ListComplete,
+		Endpoints: []balancer.Endpoint{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
 	step(balancer.Request{ID: "r1", Class: 0, Timeout: time.Second})
 
-	first := backend
+	first := endpoint
 	now += 3 * time.Millisecond
-	step(balancer.Outcome{Request: "r1", Attempt: 0, Endpoint: backend, Result: balancer.ServerError, Latency: 3 * time.Millisecond})
+	step(balancer.Outcome{Request: "r1", Attempt: 0, Endpoint: endpoint, Result: balancer.ServerError,
+		Latency: 3 * time.Millisecond})
 
 	now += 7 * time.Millisecond
 	step(balancer.TimerFired{Token: timer})
-	fmt.Println("on another endpoint:", backend != first)
+	fmt.Println("on another endpoint:", endpoint != first)
 
 	now += 20 * time.Millisecond
-	step(balancer.Outcome{Request: "r1", Attempt: 1, Endpoint: backend, Latency: 20 * time.Millisecond, Done: true})
+	step(balancer.Outcome{Request: "r1", Attempt: 1, Endpoint: endpoint, Latency: 20 * time.Millisecond,
+		Done: true})
 	// Output:
 	// send r1
 	// set a timer
--- a/balancer/fleetsim_test.go
+++ b/balancer/fleetsim_test.go
@@ -66,9 +66,10 @@
 	return last
 }
 
-// run returns the endpoints at the end, the requests that arrived after the change, and how many of them were
-// served.
-func (f fleetSimulation) run(t *testing.T, s balancer.Settings, seed uint64) (all []*simulatedEndpoint, asked, served int) {
+// run returns the endpoints at the end, the requests that arrived after the change, and how many of them
+// were served.
+func (f fleetSimulation) run(t *testing.T, s balancer.Settings, seed uint64) (
+	all []*simulatedEndpoint, asked, served int) {
 	t.Helper()
 	f.rng = rand.New(rand.NewPCG(seed, 2))
 	f.settings = s
@@ -202,7 +203,8 @@
 
 // serve adds a request to an endpoint's queue and returns its latency.
 func (f *fleetSimulation) serve(id string) time.Duration {
-	server := f.servers[slices.IndexFunc(f.list, func(entry balancer.Endpoint) bool { return entry.ID == id })]
+	index := slices.IndexFunc(f.list, func(entry balancer.Endpoint) bool { return entry.ID == id })
+	server := f.servers[index]
 	core := 0
 	if server.coreFreeAt[1] < server.coreFreeAt[0] {
 		core = 1
@@ -221,8 +223,8 @@
 	return min(1, s.ColdCapacity+(1-s.ColdCapacity)*float64(age)/float64(s.SlowStart))
 }
 
-// overload is the most that an endpoint got within any overload window of its warm-up, over what the settings
-// allow then with a margin for chance.
+// overload is the most that an endpoint got within any overload window of its warm-up, over what the
+// settings allow then with a margin for chance.
 func (f fleetSimulation) overload(s balancer.Settings, e *simulatedEndpoint) (worst float64) {
 	first := 0
 	for i, at := range e.sent {
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -20,14 +20,18 @@
 )
 
 func settings() balancer.Settings {
-	class := func(e balancer.Idempotency, g balancer.DedupScope) balancer.Class {
-		return balancer.Class{Objective: 400 * ms, Deadline: 2000 * ms, Priority: 1, Idempotency: e, DedupScope: g, DedupWindow: 300 * ms}
+	class := func(idempotency balancer.Idempotency, scope balancer.DedupScope) balancer.Class {
+		return balancer.Class{Objective: 400 * ms, Deadline: 2000 * ms, Priority: 1,
+			Idempotency: idempotency, DedupScope: scope, DedupWindow: 300 * ms}
 	}
 	return balancer.Settings{
 		Agents: 1, MaxAttempts: 4, Tick: 5 * ms,
 		Classes: []balancer.Class{
-			class(balancer.Idempotent, 0), class(balancer.NotIdempotent, 0), class(balancer.IdempotentWithKey, balancer.DedupEverywhere),
-			class(balancer.IdempotentWithKey, balancer.DedupInZone), class(balancer.IdempotentWithKey, balancer.DedupInCell),
+			class(balancer.Idempotent, 0),
+			class(balancer.NotIdempotent, 0),
+			class(balancer.IdempotentWithKey, balancer.DedupEverywhere),
+			class(balancer.IdempotentWithKey, balancer.DedupInZone),
+			class(balancer.IdempotentWithKey, balancer.DedupInCell),
 		},
 		DrainGrace: 500 * ms, ResponseGrace: 20 * ms, ColdCapacity: 0.2, SlowStart: 10 * time.Second,
 		ColdOverloadMultiple: 2.5, ColdOverloadWindow: time.Second, PollWithin: 10 * time.Second,
@@ -123,7 +127,8 @@
 		Latency: latency, Done: res == balancer.Served})
 }
 
-// serve sends n requests one after the other, each served after the latency. It returns the requests by endpoint.
+// serve sends n requests one after the other, each served after the latency. It returns the requests by
+// endpoint.
 func (h *harness) serve(n int, class int, latency time.Duration) map[string]int {
 	h.t.Helper()
 	counts := map[string]int{}
@@ -159,8 +164,8 @@
 	return counts
 }
 
-// fleetShares is how many of 400 requests, eight from each of fifty balancers, each of a few endpoints gets. One
-// balancer alone keeps to its subset; together they use all endpoints.
+// fleetShares is how many of 400 requests, eight from each of fifty balancers, each of a few endpoints gets.
+// One balancer alone keeps to its subset; together they use all endpoints.
 func fleetShares(t *testing.T, s balancer.Settings, list []balancer.Endpoint) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
--- a/balancer/idempotency_test.go
+++ b/balancer/idempotency_test.go
@@ -60,7 +60,8 @@
 	})
 }
 
-// Where a rejected attempt may have run, a request that is not idempotent gets no second one and no rejection.
+// Where a rejected attempt may have run, a request that is not idempotent gets no second one and no
+// rejection.
 func TestRejectedMayHaveRun(t *testing.T) {
 	for _, proof := range []bool{true, false} {
 		s := settings()
@@ -144,7 +145,8 @@
 		t.Error("two was sent while an attempt of one was out")
 	}
 	h.now += 20 * ms
-	h.step(balancer.Outcome{Request: "one", Endpoint: h.sent["one"][0], Result: balancer.Served, Done: true, Latency: 20 * ms})
+	h.step(balancer.Outcome{Request: "one", Endpoint: h.sent["one"][0], Result: balancer.Served, Done: true,
+		Latency: 20 * ms})
 	if len(h.sent["two"]) != 1 {
 		t.Error("two was not sent after the outcome of one")
 	}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// Attempts that hang at an unresponsive endpoint must not use up the capacity of the others once it is ejected.
+// Attempts that hang at an unresponsive endpoint must not use up the capacity of the others once it is
+// ejected.
 func TestHangingAttemptsUseNoCapacity(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
@@ -126,7 +127,8 @@
 	h.advance(150 * ms) // 0.35 of the objective, more than six mean latencies
 	h.request("next", idempotent)
 	if s := h.sent["next"]; len(s) != 1 || s[0] == h.sent["hung"][0] {
-		t.Errorf("the next request was sent to %v, want another endpoint than the silent %v", s, h.sent["hung"])
+		t.Errorf("the next request was sent to %v, want another endpoint than the silent %v", s,
+			h.sent["hung"])
 	}
 }
 
@@ -197,8 +199,8 @@
 	}
 }
 
-// Where all deadlines are far below the objectives the usual clients are not impatient: their time-outs find an
-// endpoint that hangs.
+// Where all deadlines are far below the objectives the usual clients are not impatient: their time-outs find
+// an endpoint that hangs.
 func TestShortDeadlinesAreNotImpatience(t *testing.T) {
 	s := settings()
 	for i := range s.Classes {
@@ -212,7 +214,8 @@
 		if h.sent[id][0] == "a" {
 			hung++
 			h.now += 100 * ms
-			h.step(balancer.Outcome{Request: id, Endpoint: "a", Result: balancer.TimedOut, Latency: 100 * ms, Done: true})
+			h.step(balancer.Outcome{Request: id, Endpoint: "a", Result: balancer.TimedOut, Latency: 100 * ms,
+				Done: true})
 			continue
 		}
 		h.now += 10 * ms
@@ -269,12 +272,13 @@
 		return h.waves(400, 4, notIdempotent, 10*ms)["a"]
 	}
 	if one, more := got(1), got(3); one < 150 || more > one/2 {
-		t.Errorf("a got %d of 400 after one reset, %d after three in a row; want about half, and far less", one, more)
+		t.Errorf("a got %d of 400 after one reset, %d after three in a row; want about half, and far less",
+			one, more)
 	}
 }
 
-// Of eight endpoints, four of which answer every request with an error, one is ejected at a time, and the others
-// stay in use.
+// Of eight endpoints, four of which answer every request with an error, one is ejected at a time, and the
+// others stay in use.
 func TestEjectionForErrorsIsBounded(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(8))
 	h.waves(400, 8, notIdempotent, 10*ms)
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Many agents that each connect to every endpoint fill its connection table. An agent with little traffic uses a
-// few endpoints, one with more traffic as many as it needs.
+// Many agents that each connect to every endpoint fill its connection table. An agent with little traffic
+// uses a few endpoints, one with more traffic as many as it needs.
 func TestSubset(t *testing.T) {
 	s := settings()
 	s.IdleClose = time.Minute
@@ -229,7 +229,8 @@
 // An endpoint that gave no response leaves the subset; one that answered with an error still has a good
 // connection, and returns to the subset after its ejection.
 func TestWhatLeavesTheSubset(t *testing.T) {
-	for res, stays := range map[balancer.Result]bool{balancer.ServerError: true, balancer.TimedOut: false, balancer.Rejected: false} {
+	for res, stays := range map[balancer.Result]bool{balancer.ServerError: true, balancer.TimedOut: false,
+		balancer.Rejected: false} {
 		h := newHarness(t, settings(), 5, endpoints(20))
 		h.serve(40, idempotent, 20*ms)
 		h.request("q", notIdempotent)
@@ -244,8 +245,8 @@
 	}
 }
 
-// With cache affinity all agents send a key to the same endpoint. Endpoints without a connection count less once
-// those fail more often than connected ones.
+// With cache affinity all agents send a key to the same endpoint. Endpoints without a connection count less
+// once those fail more often than connected ones.
 func TestCacheAffinityAgreesAcrossAgents(t *testing.T) {
 	s := settings()
 	s.CacheAffinity = true
@@ -324,8 +325,8 @@
 	}
 }
 
-// Agents must not stay with the endpoints that they are connected to while others join, or a zone returns: new
-// endpoints get their share of all agents' traffic once they are warm.
+// Agents must not stay with the endpoints that they are connected to while others join, or a zone returns:
+// new endpoints get their share of all agents' traffic once they are warm.
 func TestNewEndpointsGetTheirShare(t *testing.T) {
 	s := settings()
 	s.Agents = 80
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -77,13 +77,13 @@
 	}
 }
 
-// The bucket holds 100 tokens: 20 retries at 5, or 10 at 10 after time-outs. First attempts go out when it is
-// empty; served requests bring one token each, up to the capacity.
+// The bucket holds 100 tokens: 20 retries at 5, or 10 at 10 after time-outs. First attempts go out when it
+// is empty; served requests bring one token each, up to the capacity.
 func TestRetryBucket(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 2
-	// spend fails n requests and returns how many were retried. The retry is
-	// served, unless it must not refill the bucket.
+	// spend fails n requests and returns how many were retried. The retry is served, unless it must not
+	// refill the bucket.
 	spend := func(h *harness, n int, res balancer.Result) (retried int) {
 		for range n {
 			id := fmt.Sprintf("spend-%d", len(h.sent))
@@ -131,8 +131,8 @@
 	}
 }
 
-// Waits have full jitter: between 0 and a unit (a share of the objective) that doubles with each retry up to a
-// ceiling.
+// Waits have full jitter: between 0 and a unit (a share of the objective) that doubles with each retry up to
+// a ceiling.
 func TestBackoff(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 7
@@ -206,8 +206,8 @@
 	}
 }
 
-// Clients rejected together must not return together: the retry-after hints are spread, up to what clients heed,
-// where clients are shown them.
+// Clients rejected together must not return together: the retry-after hints are spread, up to what clients
+// heed, where clients are shown them.
 func TestRetryAfterIsSpread(t *testing.T) {
 	advice := func(shown bool, most time.Duration) (waits []time.Duration) {
 		s := settings()
@@ -230,7 +230,8 @@
 	}
 	for _, most := range []time.Duration{60 * ms, time.Minute} {
 		waits, end := advice(true, most), min(most, 100*ms) // 100 ms: the longest backoff of our own
-		if low, high := slices.Min(waits), slices.Max(waits); low < 0 || low > end/4 || high > end || high < end*3/4 {
+		if low, high := slices.Min(waits), slices.Max(waits); low < 0 || low > end/4 || high > end ||
+			high < end*3/4 {
 			t.Errorf("waits from %v to %v, want them spread from 0 to %v", low, high, end)
 		}
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -103,8 +103,9 @@
 		case balancer.SetTimer:
 			d.timers = append(d.timers, pendingTimer{d.auditor.now + action.After, action.Token})
 		case balancer.Send:
-			d.inFlight = append(d.inFlight, balancer.Outcome{Request: action.Request, Endpoint: action.Endpoint,
-				Attempt: len(d.auditor.requests[action.Request].attempts) - 1})
+			d.inFlight = append(d.inFlight, balancer.Outcome{Request: action.Request,
+				Endpoint: action.Endpoint,
+				Attempt:  len(d.auditor.requests[action.Request].attempts) - 1})
 		}
 	}
 	d.auditor.checkOverdue()
@@ -140,9 +141,11 @@
 		id := fmt.Sprint("q", d.requests)
 		left := time.Duration(1+d.rng.IntN(1500)) * ms
 		d.deadlines[id] = d.auditor.now + left
-		events = append(events, balancer.Request{ID: id, Class: d.rng.IntN(len(d.auditor.settings.Classes)), Timeout: left,
-			Work: time.Duration(d.rng.IntN(3)*d.rng.IntN(200)) * ms, ClientRetry: d.rng.IntN(5) == 0,
-			Tenant: d.rng.IntN(3), Key: []string{"", fmt.Sprint("k", d.rng.IntN(d.keys))}[min(1, d.rng.IntN(9))]})
+		events = append(events, balancer.Request{ID: id, Class: d.rng.IntN(len(d.auditor.settings.Classes)),
+			Timeout: left,
+			Work:    time.Duration(d.rng.IntN(3)*d.rng.IntN(200)) * ms, ClientRetry: d.rng.IntN(5) == 0,
+			Tenant: d.rng.IntN(3), Key: []string{"", fmt.Sprint("k", d.rng.IntN(d.keys))}[min(1,
+				d.rng.IntN(9))]})
 	}
 	return events
 }
@@ -186,7 +189,8 @@
 		}
 	case 4:
 		return []balancer.Event{balancer.TimerFired{Token: d.rng.Int64N(1 << 20)},
-			balancer.Outcome{Request: fmt.Sprint("q", d.rng.IntN(d.requests+2)), Attempt: d.rng.IntN(2)*99 - 1},
+			balancer.Outcome{Request: fmt.Sprint("q", d.rng.IntN(d.requests+2)),
+				Attempt: d.rng.IntN(2)*99 - 1},
 			balancer.HealthCheckResult{Endpoint: "x"}, balancer.GossipMessage{From: 70}}
 	case 5:
 		return []balancer.Event{balancer.GossipMessage{From: d.rng.IntN(12) - 1,
@@ -256,19 +260,34 @@
 			}
 			return e
 		}}, "got no answer in time"},
-		{"no effect twice, not idempotent", distortion{settings: classes(func(c *balancer.Class) { c.Idempotency = balancer.Idempotent })}, "is not idempotent"},
-		{"no effect twice, scope", distortion{settings: classes(func(c *balancer.Class) { c.DedupScope = balancer.DedupEverywhere })}, "outside its scope"},
-		{"no effect twice, window", distortion{settings: classes(func(c *balancer.Class) { c.DedupWindow = time.Hour })}, "after its window"},
-		{"draining", distortion{event: list(func(b *balancer.Endpoint) { b.State = balancer.Serving })}, "draining or removed"},
-		{"slow start", distortion{event: list(func(b *balancer.Endpoint) { b.Started = 0 })}, "is warming up"},
-		{"order", distortion{settings: classes(func(c *balancer.Class) { c.Ordered = false })}, "sent out of turn"},
-		{"order, quiet period", distortion{settings: func(s *balancer.Settings) { s.KeyQuietPeriod = 0 }}, "in the quiet period of its key"},
-		{"rejected may have run", distortion{settings: func(s *balancer.Settings) { s.RejectedMayHaveRun = false }}, "is not idempotent and may have run"},
+		{"no effect twice, not idempotent",
+			distortion{settings: classes(func(c *balancer.Class) { c.Idempotency = balancer.Idempotent })},
+			"is not idempotent"},
+		{"no effect twice, scope",
+			distortion{settings: classes(func(c *balancer.Class) {
+				c.DedupScope = balancer.DedupEverywhere
+			})},
+			"outside its scope"},
+		{"no effect twice, window",
+			distortion{settings: classes(func(c *balancer.Class) { c.DedupWindow = time.Hour })},
+			"after its window"},
+		{"draining", distortion{event: list(func(b *balancer.Endpoint) { b.State = balancer.Serving })},
+			"draining or removed"},
+		{"slow start", distortion{event: list(func(b *balancer.Endpoint) { b.Started = 0 })},
+			"is warming up"},
+		{"order", distortion{settings: classes(func(c *balancer.Class) { c.Ordered = false })},
+			"sent out of turn"},
+		{"order, quiet period", distortion{settings: func(s *balancer.Settings) { s.KeyQuietPeriod = 0 }},
+			"in the quiet period of its key"},
+		{"rejected may have run",
+			distortion{settings: func(s *balancer.Settings) { s.RejectedMayHaveRun = false }},
+			"is not idempotent and may have run"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 60; seed++ {
-				if strings.Contains(strings.Join(playHostile(t, seed, 600, tt.distortion).violations, "\n"), tt.want) {
+				if strings.Contains(strings.Join(playHostile(t, seed, 600, tt.distortion).violations, "\n"),
+					tt.want) {
 					return
 				}
 			}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Under overload it gets more than its sure share of what a warm one serves, and stays well below the allowed
-// multiple of it.
+// Under overload it gets more than its sure share of what a warm one serves, and stays well below the
+// allowed multiple of it.
 func TestSlowStartShareUnderOverload(t *testing.T) {
 	list := endpoints(5)
 	h := newHarness(t, settings(), 9, list)
@@ -135,8 +135,8 @@
 	}
 }
 
-// A fleet that grows fivefold warms up: what it cannot take yet must not go to the warm endpoints, nor all to
-// one.
+// A fleet that grows fivefold warms up: what it cannot take yet must not go to the warm endpoints, nor all
+// to one.
 func TestGrowthDoesNotOverloadWarmEndpoints(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.serve(100, idempotent, 50*ms)
@@ -173,7 +173,8 @@
 		s.Agents = 100
 		h := newHarness(t, s, seed, endpoints(2))
 		h.serve(20, idempotent, 20*ms)
-		h.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{ID: "z", Started: h.now}}})
+		h.step(balancer.EndpointList{Kind: balancer.ListDelta,
+			Endpoints: []balancer.Endpoint{{ID: "z", Started: h.now}}})
 		h.now += 20 * ms
 		for i := range 7 {
 			h.request(fmt.Sprint("q", i), idempotent)
@@ -215,8 +216,8 @@
 	}
 }
 
-// All agents together must not overload endpoints that warm up, though none sends much, nor leave them idle while
-// the others are crowded.
+// All agents together must not overload endpoints that warm up, though none sends much, nor leave them idle
+// while the others are crowded.
 func TestSlowStartByAllAgentsTogether(t *testing.T) {
 	s := settings()
 	s.ColdOverloadMultiple, s.ColdOverloadWindow, s.ColdCapacity, s.SlowStart = 3, 1500*ms, 0.32, 8600*ms
@@ -238,7 +239,8 @@
 		for _, agents := range []int{20, 30, 350} {
 			t.Run(fmt.Sprintf("%s/%d agents", tt.name, agents), func(t *testing.T) {
 				t.Parallel()
-				f := fleetSimulation{agents: agents, endpoints: 30, restartAgents: tt.restart, load: 0.7, work: 60 * ms,
+				f := fleetSimulation{agents: agents, endpoints: 30, restartAgents: tt.restart, load: 0.7,
+					work:     60 * ms,
 					changeAt: 4 * time.Second, length: 10 * time.Second}
 				if agents > 100 {
 					f.endpoints = 60
