--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -196,7 +196,7 @@
 }
 
 // Many agents that raise their limits at once must not overshoot together.
-func TestLimitGrowsPerBackend(t *testing.T) {
+func TestLimitGrowsPerEndpoint(t *testing.T) {
 	total := func(balancers int) int {
 		s := settings()
 		s.Agents = balancers
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -81,7 +81,7 @@
 // Settings are fixed for the life of a Balancer. The zero value of a field that
 // may be absent means what its comment says; the zero value of a price, a goal or
 // a span switches off what rests on it. The interface
-// carries all that agents are told, whether or not the present module acts on it.
+// carries all that agents are configured with, whether or not the present module acts on it.
 type Settings struct {
 	Agents           int // agents that share these endpoints, this one included; at least 1
 	AgentIndex       int // this agent's number, from 0
--- a/balancer/draw.go
+++ b/balancer/draw.go
@@ -9,10 +9,10 @@
 	return h
 }
 
-// keyedDraw is a number in [0, 1) that looks random but is the same for the same backend and key at
+// keyedDraw is a number in [0, 1) that looks random but is the same for the same endpoint and key at
 // every agent.
-func keyedDraw(backend, key uint64) float64 {
-	h := backend ^ key*0x9e3779b97f4a7c15
+func keyedDraw(endpoint, key uint64) float64 {
+	h := endpoint ^ key*0x9e3779b97f4a7c15
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
 	return float64((h^h>>31)>>11) / (1 << 53)
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -16,7 +16,7 @@
 	preference float64    // its place in this agent's own order if all were alike, the least first
 	inFlight   []*attempt // oldest first
 
-	connected                 bool // as far as can be told, and not rejecting requests
+	connected                 bool // as far as is known, and not rejecting requests
 	connectionUsedAt          time.Duration
 	hasServed                 bool // since it started
 	lastServedAt              time.Duration
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -127,7 +127,7 @@
 	h.advance(150 * ms) // 0.35 of the objective, more than six mean latencies
 	h.request("next", idempotent)
 	if s := h.sent["next"]; len(s) != 1 || s[0] == h.sent["hung"][0] {
-		t.Errorf("the next request was sent to %v, want another endpoint than the silent %v", s,
+		t.Errorf("the next request was sent to %v, want another endpoint than the unresponsive %v", s,
 			h.sent["hung"])
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -11,7 +11,7 @@
 // An endpoint that warms up gets no more than its warm-up fraction times what a warm one serves.
 func TestSlowStartShare(t *testing.T) {
 	list := endpoints(5)
-	list[0].Started = time.Hour // the rig's clock starts here
+	list[0].Started = time.Hour // the harness's clock starts here
 	h := newHarness(t, settings(), 9, list)
 	counts := h.waves(1000, 10, idempotent, 20*ms) // the first 4 s of 10: warmth 0.2 to 0.52
 	if warm := (1000 - counts["a"]) / 4; float64(counts["a"]) > 0.52*float64(warm)+2 {
