--- /dev/null
+++ b/cmd/ashshunt/descriptors_test.go
@@ -0,0 +1,120 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"ashshunt/internal/testutil"
+)
+
+// descriptorLimit is how many file descriptors the agent of this test may hold.
+const descriptorLimit = 64
+
+// Clients must not take all descriptors while discovery is down, neither silent ones nor such that stay after one
+// request: the watch at its return, the endpoints and the next client still get theirs.
+func TestIdleClientsLeaveDescriptors(t *testing.T) {
+	for _, test := range []struct{ name, limits string }{
+		{"limit in the configuration", fmt.Sprintf(`"limits":{"sockets":%d},`, descriptorLimit)},
+		{"limit of the system alone", ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			endpoint := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
+				_, _ = io.WriteString(w, "done") // an error means that the agent has gone
+			})
+			var discoveryUp atomic.Bool
+			discovery := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+				if discoveryUp.Load() { // else it is silent
+					writeList(w, fmt.Sprintf(`{"id":"s0","addr":%q,"state":"SERVING"}`, endpoint))
+				}
+				<-r.Context().Done()
+			})
+			file := newConfigFile(t)
+			file.write(t, configText(discovery, test.limits, 3000))
+			limited := exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, descriptorLimit), os.Args[0])
+			process := startCommand(t, file, limited)
+			addr := process.addr(t)
+			go process.discardLog() // until the agent ends
+			stop := startIdleClients(addr, 3*descriptorLimit)
+			defer stop()
+			discoveryUp.Store(true)
+			expectServed(t, addr)
+		})
+	}
+}
+
+// startIdleClients runs clients that keep their connection, half of them silent and half after one request, and open a
+// new one when it ends. It returns once each has connected, and a function that ends them.
+func startIdleClients(addr net.Addr, count int) (stop func()) {
+	stopped := make(chan struct{})
+	var connected, ended sync.WaitGroup
+	connected.Add(count)
+	for i := range count {
+		text := ""
+		if i%2 == 0 {
+			text = requestText(i, 3000)
+		}
+		ended.Go(func() {
+			first := sync.OnceFunc(connected.Done)
+			defer first()
+			for open := true; open; {
+				open = keepConnection(addr, text, first, stopped)
+			}
+		})
+	}
+	connected.Wait()
+	return func() {
+		close(stopped)
+		ended.Wait()
+	}
+}
+
+// keepConnection opens a connection, writes text to it and keeps it until it ends. It reports whether it may be
+// opened again.
+func keepConnection(addr net.Addr, text string, connected func(), stopped <-chan struct{}) bool {
+	client, err := net.Dial("tcp", addr.String())
+	if err != nil {
+		return false
+	}
+	defer func() { _ = client.Close() }()
+	_, _ = io.WriteString(client, text) // fails if the agent was first to close
+	connected()
+	closed := make(chan struct{})
+	go func() {
+		_, _ = io.Copy(io.Discard, client) // however it ends
+		close(closed)
+	}()
+	select {
+	case <-closed:
+		return true
+	case <-stopped:
+		return false
+	}
+}
+
+// expectServed sends requests until one is served.
+func expectServed(t *testing.T, addr net.Addr) {
+	t.Helper()
+	const firstNumber = 1000 // beyond those of the idle clients
+	for number, end := firstNumber, time.Now().Add(testutil.Timeout); ; number++ {
+		client := testutil.Dial(t, addr, requestText(number, 3000))
+		response, err := http.ReadResponse(bufio.NewReader(client), nil)
+		_ = client.Close() // however it ended
+		if err == nil && response.StatusCode == http.StatusOK {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatalf("nobody is served after discovery is back: %v, %v", response, err)
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+}
--- /dev/null
+++ b/cmd/ashshunt/signals_test.go
@@ -0,0 +1,133 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+
+	"ashshunt/internal/testutil"
+)
+
+// signalSelf sends a signal to the tests' own process.
+func signalSelf(t *testing.T, signal syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(os.Getpid(), signal); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// SIGHUP reads the configuration anew: a bad one changes nothing, a new address of discovery is watched, and signals
+// that overlap do no harm.
+func TestReload(t *testing.T) {
+	file := newConfigFile(t)
+	writeConfig := func(discovery string) {
+		file.write(t, fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
+		 "limits":{"memory_mb":192,"sockets":1024},"known":{"version":3,"full":true,"servers":[]},
+		 "settings":{"Balancers":1,"Me":0,"TickMs":1,"MembershipMode":"subscribe","Contract":{"ColdFrom":1,"AskWithinMs":640},
+		 "Profiles":[{"Name":"a","AimMs":100,"DeadlineMs":500,"Worth":1,"Semantics":"once"}]}}`, discovery))
+	}
+	first, firstWatches := newDiscovery(t)
+	second, secondWatches := newDiscovery(t)
+	writeConfig(first)
+	t.Setenv(configVariable, string(file))
+	ended := make(chan error, 1)
+	go func() { ended <- run() }()
+	expectWatch(t, firstWatches, "follow=1&since=3")
+	file.write(t, "{")
+	signalSelf(t, syscall.SIGHUP)
+	writeConfig(second)
+	for range 5 {
+		signalSelf(t, syscall.SIGHUP)
+	}
+	expectWatch(t, secondWatches, "follow=1")
+	writeConfig(first)
+	signalSelf(t, syscall.SIGHUP)
+	expectWatch(t, firstWatches, "follow=1")
+	signalSelf(t, syscall.SIGTERM)
+	if err := testutil.Receive(t, ended); err != nil {
+		t.Error(err)
+	}
+	if len(firstWatches)+len(secondWatches) != 0 {
+		t.Error("an address was watched twice")
+	}
+}
+
+// A SIGTERM that comes before the agent serves must not end it as if killed. A configuration that has not come as a
+// whole holds the start where the signals come.
+func TestSignalsRightAfterTheStart(t *testing.T) {
+	file := newConfigFile(t)
+	if err := syscall.Mkfifo(string(file), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	process := startAgent(t, file)
+	writer, err := os.OpenFile(string(file), os.O_WRONLY, 0) // once the agent reads
+	if err != nil {
+		t.Fatal(err)
+	}
+	process.signal(t, syscall.SIGTERM)
+	process.signal(t, syscall.SIGTERM)
+	if _, err := writer.WriteString(configText("127.0.0.1:1", "", 300)); err != nil {
+		t.Fatal(err)
+	}
+	if err := writer.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := process.Wait(); err != nil {
+		t.Errorf("stopped at its start, it ends with %v", err)
+	}
+}
+
+// Signals that come during a shutdown change nothing for the requests in flight: not a new configuration, good or bad,
+// nor a second SIGTERM.
+func TestSignalsDuringAShutdown(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }()
+	first, _ := newDiscovery(t)
+	second, watches := newDiscovery(t)
+	file := newConfigFile(t)
+	config := func(discovery string) string {
+		known := fmt.Sprintf(`"known":{"version":9,"full":true,"servers":[
+		 {"id":"s0","addr":%q,"zone":"","kind":"","cell":1,"state":"SERVING","weight":1,"started_ms":0}]},`, listener.Addr())
+		return configText(discovery, known, 20000)
+	}
+	file.write(t, config(first))
+	process := startAgent(t, file)
+	client := testutil.Dial(t, process.addr(t), requestText(1, 15000))
+	server, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = server.Close() }()
+	if _, err := http.ReadRequest(bufio.NewReader(server)); err != nil {
+		t.Fatal(err)
+	}
+	process.signal(t, syscall.SIGTERM)
+	process.expectLine(t, `msg="shutting down"`)
+	invalidSettings := strings.Replace(config(second), `"Balancers":1`, `"Balancers":0`, 1)
+	for _, invalid := range []string{"{", invalidSettings} {
+		file.write(t, invalid)
+		process.signal(t, syscall.SIGHUP)
+		process.expectLine(t, "invalid configuration, keeping the old one")
+	}
+	file.write(t, config(second))
+	process.signal(t, syscall.SIGHUP)
+	expectWatch(t, watches, "follow=1")
+	process.signal(t, syscall.SIGTERM)
+	testutil.Respond(server, http.StatusOK, "", "done")
+	response := testutil.ReadResponse(t, bufio.NewReader(client))
+	if response.StatusCode != http.StatusOK || !response.Close {
+		t.Errorf("status %d, close %v", response.StatusCode, response.Close)
+	}
+	process.discardLog()
+	if err := process.Wait(); err != nil {
+		t.Errorf("it ends with %v", err)
+	}
+}
