--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -76,66 +76,92 @@
 	}
 }
 
-// sendLate is a module that learns of a disconnect and sends the request all the same, which the loop has to hold back.
-func sendLate(submitted chan<- balancer.Request, abandoned chan<- balancer.Abandoned,
-	outcomes chan<- balancer.Outcome) scriptedModule {
-	return func(_ time.Duration, event balancer.Event) []balancer.Action {
-		switch event := event.(type) {
-		case balancer.Request:
-			if event.ID == id {
-				submitted <- event
-			}
-		case balancer.Abandoned:
-			if event.Request == id {
-				abandoned <- event
-				return []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}, balancer.LogMessage{Text: "sent late"}}
-			}
-		case balancer.Outcome:
-			outcomes <- event
+// lateSender is an agent whose module learns of a disconnect and sends the request all the same, which the loop has to
+// hold back.
+type lateSender struct {
+	*Agent
+	server    *testutil.Server
+	logged    *testutil.Log
+	submitted chan balancer.Request
+	abandoned chan balancer.Abandoned
+	outcomes  chan balancer.Outcome
+}
+
+func startLateSender(t *testing.T) *lateSender {
+	t.Helper()
+	s := &lateSender{
+		server:    testutil.NewServer(t, testutil.Echo),
+		submitted: make(chan balancer.Request, 1),
+		abandoned: make(chan balancer.Abandoned, 1),
+		outcomes:  make(chan balancer.Outcome, 10),
+	}
+	s.Agent, s.logged = startScripted(t, newConfig(t, s.server), s.step)
+	return s
+}
+
+// step is the script of the module.
+func (s *lateSender) step(_ time.Duration, event balancer.Event) []balancer.Action {
+	switch event := event.(type) {
+	case balancer.Request:
+		if event.ID == id {
+			s.submitted <- event
 		}
-		return nil
+	case balancer.Abandoned:
+		if event.Request == id {
+			s.abandoned <- event
+			return []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}, balancer.LogMessage{Text: "sent late"}}
+		}
+	case balancer.Outcome:
+		s.outcomes <- event
 	}
+	return nil
+}
+
+// submit connects a client and waits until the module knows its request.
+func (s *lateSender) submit(t *testing.T) net.Conn {
+	t.Helper()
+	client := testutil.Dial(t, s.Addr(), testutil.Get(id))
+	testutil.Receive(t, s.submitted)
+	return client
+}
+
+// awaitLateSend waits until the module has sent the request of a client that had disconnected.
+func (s *lateSender) awaitLateSend(t *testing.T) {
+	t.Helper()
+	testutil.Eventually(t, "the late send", func() bool { return s.logged.Contains("sent late") })
 }
 
 // The module learns of a disconnect, and nothing goes out after it.
 func TestDisconnect(t *testing.T) {
 	t.Parallel()
-	server := testutil.NewServer(t, testutil.Echo)
-	submitted, abandoned := make(chan balancer.Request, 1), make(chan balancer.Abandoned, 1)
-	outcomes := make(chan balancer.Outcome, 10)
-	a, logged := startScripted(t, newConfig(t, server), sendLate(submitted, abandoned, outcomes))
-	client := testutil.Dial(t, a.Addr(), testutil.Get(id))
-	testutil.Receive(t, submitted)
+	s := startLateSender(t)
+	client := s.submit(t)
 	if err := client.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if event := testutil.Receive(t, abandoned); event.Request != id {
+	if event := testutil.Receive(t, s.abandoned); event.Request != id {
 		t.Errorf("abandoned: %q", event.Request)
 	}
-	testutil.Eventually(t, "the step to end", func() bool { return logged.Contains("sent late") })
-	expectNothingReceived(t, server)
+	s.awaitLateSend(t)
+	expectNothingReceived(t, s.server)
 }
 
 // Where a request waits for a backoff or a timer, the module learns of the disconnect however it came, nothing goes out
 // for the request, and no response is made up.
 func TestDisconnectDuringBackoff(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
-		server := testutil.NewServer(t, testutil.Echo)
-		submitted, abandoned := make(chan balancer.Request, 1), make(chan balancer.Abandoned, 1)
-		outcomes := make(chan balancer.Outcome, 10)
-		a, logged := startScripted(t, newConfig(t, server), sendLate(submitted, abandoned, outcomes))
-		client := testutil.Dial(t, a.Addr(), testutil.Get(id))
-		testutil.Receive(t, submitted)
+		s := startLateSender(t)
+		client := s.submit(t)
 		disconnect(client)
-		testutil.Eventually(t, "the module to learn of it", func() bool { return logged.Contains("sent late") })
+		s.awaitLateSend(t)
 		select {
-		case outcome := <-outcomes:
+		case outcome := <-s.outcomes:
 			if outcome.Result != balancer.NotSent {
 				t.Errorf("result %d of an attempt after the client had disconnected", outcome.Result)
 			}
 		default: // not even tried
 		}
-		expectNothingReceived(t, server)
+		expectNothingReceived(t, s.server)
 		if text, _ := io.ReadAll(client); strings.Contains(string(text), " 200 ") {
 			t.Errorf("the client that only ended its sending got %q", text)
 		}
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -18,23 +18,37 @@
 	otherID = "00000000000000a2"
 )
 
-// fakeLoop is an event loop that answers each request by itself.
+// fakeLoop is an event loop whose answers come from the test.
 type fakeLoop struct {
-	answer    func(*Request)
-	submitted atomic.Int32
-	ready     chan struct{}
-	done      chan struct{}
+	answer     func(*Request)
+	submitted  atomic.Int32
+	received   chan *Request
+	abandoned  chan *Request
+	ready      chan struct{}
+	done       chan struct{}
+	noEndpoint atomic.Bool
+}
+
+func newFakeLoop(answer func(*Request)) *fakeLoop {
+	return &fakeLoop{
+		answer:    answer,
+		received:  make(chan *Request, 100),
+		abandoned: make(chan *Request, 100),
+		ready:     make(chan struct{}),
+		done:      make(chan struct{}),
+	}
 }
 
 func (l *fakeLoop) Submit(r *Request) {
 	l.submitted.Add(1)
+	l.received <- r
 	go l.answer(r)
 }
 
-func (l *fakeLoop) Abandon(*Request)         {}
+func (l *fakeLoop) Abandon(r *Request)       { l.abandoned <- r }
 func (l *fakeLoop) Ready() <-chan struct{}   { return l.ready }
 func (l *fakeLoop) Done() <-chan struct{}    { return l.done }
-func (l *fakeLoop) HasServingEndpoint() bool { return true }
+func (l *fakeLoop) HasServingEndpoint() bool { return !l.noEndpoint.Load() }
 
 // echo answers with the body of the request.
 func echo(r *Request) {
@@ -48,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := &fakeLoop{answer: answer, ready: make(chan struct{}), done: make(chan struct{})}
+	loop := newFakeLoop(answer)
 	close(loop.ready)
 	server := NewServer(listener, c, clock.New(), loop, testutil.NewLogger(&testutil.Log{}))
 	if prepare != nil {
