--- a/cmd/ashshunt/signals_test.go
+++ b/cmd/ashshunt/signals_test.go
@@ -22,7 +22,7 @@
 }
 
 // SIGHUP reads the configuration anew: a bad one changes nothing, a new address of discovery is watched, and signals
-// that overlap do no harm.
+// that overlap change nothing either.
 func TestReload(t *testing.T) {
 	file := newConfigFile(t)
 	writeConfig := func(discovery string) {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("the endpoint got %s %s %v", forwarded.Method, forwarded.RequestURI, forwarded.Header)
 	}
 	if left := forwarded.Header.Get("X-Budget-Ms"); len(left) != 4 || left > "7000" {
-		t.Errorf("the endpoint was told that the agent waits %s ms", left)
+		t.Errorf("the endpoint got a timeout of %s ms", left)
 	}
 	if status := healthStatus(t, a); status != http.StatusOK {
 		t.Errorf("health status %d", status)
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -11,7 +11,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// holdingServer keeps each request open until it is told what to do with it.
+// holdingServer keeps each request open until the test ends it.
 type holdingServer struct {
 	*testutil.Server
 	end chan bool // ends one request: by a response, or else by breaking its connection
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -9,7 +9,7 @@
 
 // Request is a client's request that was read whole and found well-formed.
 type Request struct {
-	Event          balancer.Request // what the decision module is told of it
+	Event          balancer.Request // what the decision module gets of it
 	IdempotencyKey string
 	Method         string
 	Host           string
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -22,7 +22,7 @@
 	// ReadBody is how long a request's body may take to come, once its head is there.
 	ReadBody time.Duration
 	// Idle ends a connection that has had no request for so long. Clients hold a third of the descriptors at most:
-	// those that ask once and stay would leave the others none.
+	// those that stay after one request would keep the others out.
 	Idle time.Duration
 	// ReclaimIdle is how long a connection must have been without an open request before it may be closed to free
 	// its descriptor for another one.
