--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -87,8 +87,7 @@
 }
 
 // The size of a fleet is not bounded, and costs no connection or goroutine for endpoints that get no request.
-func TestLargeFleet(t *testing.T) {
-	t.Parallel()
+func TestLargeFleet(t *testing.T) { // alone: it counts the goroutines of the whole process
 	server, service := testutil.NewServer(t, testutil.Echo), testutil.NewDiscovery(t)
 	const size = 2000
 	entriesFrom := func(first int) []string {
@@ -111,7 +110,7 @@
 	if n := a.loop.upstream.OpenConnections(); n > 1 {
 		t.Errorf("%d connections for one request", n)
 	}
-	if n := runtime.NumGoroutine() - before; n > size/2 { // other tests run beside this one
+	if n := runtime.NumGoroutine() - before; n > size/2 {
 		t.Errorf("%d goroutines for one agent and one request", n)
 	}
 }
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -20,7 +20,12 @@
 	attemptCtx, cancel := context.WithCancel(ctx)
 	r.attemptCancels = append(r.attemptCancels, cancel)
 	r.inFlight++
-	outcome := balancer.Outcome{Request: action.Request, Attempt: number, Endpoint: action.Endpoint, Result: balancer.NotSent}
+	outcome := balancer.Outcome{
+		Request:  action.Request,
+		Attempt:  number,
+		Endpoint: action.Endpoint,
+		Result:   balancer.NotSent,
+	}
 	end := l.attemptEnd(now, r, action.Timeout)
 	if r.answered || number >= max(1, l.settings.MaxAttempts) || now >= end {
 		l.finishAttempt(r, outcome, nil)
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -38,7 +38,8 @@
 	shuttingDown atomic.Bool
 }
 
-func newHandler(c *config.Config, clock clock.Clock, loop EventLoop, timeouts *Timeouts, nearLimit func() bool) *handler {
+func newHandler(c *config.Config, clock clock.Clock, loop EventLoop, timeouts *Timeouts,
+	nearLimit func() bool) *handler {
 	h := &handler{
 		loop:      loop,
 		clock:     clock,
