--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -50,7 +50,6 @@
 	b.queue = slices.DeleteFunc(b.queue, func(queued *request) bool { return queued == r })
 }
 
-// dispatchQueue sends what is queued while there is capacity, and gives up what cannot be served in time.
 func (b *Balancer) dispatchQueue() {
 	b.updatePriorities()
 	for b.activeInFlight() < b.inFlightLimit() && !b.isThrottled() {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -33,7 +33,7 @@
 	retryTokens      float64
 	limit            concurrencyLimit
 	traffic          recentTraffic
-	warmWork         float64 // decayed work that a warm endpoint did for this agent, ns ...
+	warmWork         float64 // work that a warm endpoint lately did for this agent, ns
 	warmWorkAt       time.Duration
 	latencyDeviation float64 // mean deviation of latency from its class's mean, over that mean
 	failureRate      float64 // share of recent attempts that ended by an error or a broken connection
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -53,7 +53,6 @@
 	r.class.arrived++
 }
 
-// expectedLatency is the mean latency, in ns, for a request of this class and expected work.
 func (b *Balancer) expectedLatency(r *request) float64 {
 	if r.work > 0 && r.class.meanWork > 0 {
 		return r.class.meanLatency * r.work / r.class.meanWork
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -35,16 +35,18 @@
 // An idle endpoint is picked at random, by weight: its listed size, over the cube of its slowness,
 // less where crossing zones has a price. If there is none, the least loaded one is. An agent keeps to
 // a subset, the first few in a random order of its own, since connections from every agent to every
-// endpoint would exhaust the connection tables; the order gives newcomers a place like any other.
+// endpoint would exhaust the connection tables; the order gives new endpoints a place like any other.
 // Connected endpoints are preferred. With cache affinity the draw comes from the request's key, the
-// same at every agent, so that a key meets the endpoint that has cached it.
+// same at every agent, so that a key meets the endpoint that has cached it; the subset does not matter
+// then, unless endpoints without a connection respond on time less often than connected ones.
 //
 // # Retries and hedging (retry.go)
 //
 // A token bucket bounds retries, so that they cannot multiply the load of a fleet at fault: a retry
 // costs tokens, twice as many after a time-out, and each served request brings one back. The waits
 // grow exponentially with full jitter. A request whose attempt had no response for longer than nearly
-// all take is hedged: it is retried while the first attempt stays in flight.
+// all take is hedged: it is retried while the first attempt stays in flight. Under a concurrency limit
+// there is no hedging, since a second attempt would take the capacity of another request.
 //
 // # Idempotency and order (idempotency.go)
 //
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -87,7 +87,6 @@
 
 func (ep *endpoint) isGone() bool { return ep.State == Removed && len(ep.inFlight) == 0 }
 
-// dropRemoved forgets the endpoints that are gone.
 func (b *Balancer) dropRemoved() {
 	b.endpoints = slices.DeleteFunc(b.endpoints, (*endpoint).isGone)
 	maps.DeleteFunc(b.endpointByID, func(_ string, ep *endpoint) bool { return ep.isGone() })
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -27,7 +27,9 @@
 }
 
 func (b *Balancer) observeOutcome(r *request, a *attempt, outcome Outcome) {
-	impatient := b.isImpatient(r, a)
+	// What a client gets that waits only a moment says nothing of the endpoint.
+	usual := float64(min(r.class.Objective, r.class.Deadline))
+	impatient := r.deadline-a.sentAt < time.Duration(unresponsiveShare*usual)
 	if impatient && outcome.Result == TimedOut {
 		return
 	}
@@ -49,12 +51,6 @@
 	}
 }
 
-// isImpatient reports whether the client waits only a moment: what it gets says nothing of the endpoint.
-func (b *Balancer) isImpatient(r *request, a *attempt) bool {
-	usual := float64(min(r.class.Objective, r.class.Deadline))
-	return r.deadline-a.sentAt < time.Duration(unresponsiveShare*usual)
-}
-
 func (b *Balancer) observeOnTime(r *request, a *attempt, result Result) {
 	onTime := 0.0
 	if result == Served && b.now <= r.objectiveAt {
@@ -150,8 +146,7 @@
 }
 
 // isAlive reports whether an endpoint lives although a connection to it failed: a process that dies takes all
-// its connections along, but attempts sent before the first failure are still in flight. A machine that
-// vanishes leaves its connections open, so a dial without any answer is no sign of life.
+// its connections along, but older attempts are still in flight. An unanswered dial is no sign of life.
 func (b *Balancer) isAlive(ep *endpoint, outcome Outcome) bool {
 	unanswered := outcome.Result == ConnectFailed && outcome.Latency > b.settings.ConnectTimeout/2
 	hasOlder := len(ep.inFlight) > 0 && ep.inFlight[0].sentAt < ep.firstFailureAt
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -137,8 +137,7 @@
 	return -math.Log(max(u, 1e-12)) / c.weight
 }
 
-// idleTier is the tier of an idle candidate, by its position in the order of preference. With cache affinity
-// the subset does not matter while new connections do as well.
+// idleTier is the tier of an idle candidate, by its position in the order of preference.
 func (b *Balancer) idleTier(r *request, c candidate, position int) int {
 	subset := minSubset + subsetPerAttempt*b.traffic.peakInFlight
 	trustsNew := b.settings.CacheAffinity && r.class.newOnTime >= r.class.connectedOnTime-significantGap
@@ -172,3 +171,20 @@
 	}
 	return load, slowness
 }
+
+// hash spreads an identifier over 64 bits (FNV-1a), the same at every agent.
+func hash(id string) uint64 {
+	h := uint64(14695981039346656037)
+	for i := range len(id) {
+		h = (h ^ uint64(id[i])) * 1099511628211
+	}
+	return h
+}
+
+// keyedDraw is a random number in [0, 1), the same at every agent for an endpoint and a key.
+func keyedDraw(endpoint, key uint64) float64 {
+	h := endpoint ^ key*0x9e3779b97f4a7c15
+	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
+	h = (h ^ h>>27) * 0x94d049bb133111eb
+	return float64((h^h>>31)>>11) / (1 << 53)
+}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -46,15 +46,13 @@
 	}
 }
 
-// scheduleHedge sets the time of a hedged request: when an attempt is likelier lost than slow, and another
-// one can still be served within the objective.
+// scheduleHedge sets the time of a hedged request, if it can still be served within the objective.
 func (b *Balancer) scheduleHedge(r *request) {
 	r.timer = 0 // voids the one that it was queued with
 	latency := b.expectedLatency(r)
 	wait := latency * (1 + hedgeDeviations*b.latencyDeviation)
 	inTime := b.now+time.Duration(wait+latency) <= r.objectiveAt
 	allowed := b.settings.AllowHedging && r.inFlight == 1 && len(r.attempts) < b.settings.MaxAttempts
-	// Under a limit a second attempt would take the capacity of another request.
 	if inTime && allowed && b.minLimitBelow(unlimitedBelow) && r.class.Idempotency != NotIdempotent {
 		b.setRequestTimer(r, b.now+time.Duration(wait))
 	}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -7,7 +7,6 @@
 
 const maxWarmingCost = 2.0 // mean latencies: no heavier request goes to an endpoint that warms up
 
-// startWarmUp notes the start of an endpoint's process, which became known now.
 func (b *Balancer) startWarmUp(ep *endpoint, at time.Duration) {
 	ep.startedAt, ep.warmingUp, ep.hasServed, ep.connected = at, true, false, false
 	ep.slowness, ep.slownessSamples = 0, 0
