--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -4,6 +4,8 @@
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"github.com/cespare/xxhash/v2"
 )
 
 // Balancer decides for one agent. See the package comment for its use.
@@ -96,7 +98,7 @@
 	r := &request{id: event.ID, class: class, objectiveAt: b.now + min(class.Objective, event.Timeout),
 		deadline: b.now + event.Timeout, clientRetry: event.ClientRetry, work: float64(event.Work)}
 	if event.Key != "" {
-		r.keyHash = hash(event.Key)
+		r.keyHash = xxhash.Sum64String(event.Key)
 	}
 	b.observeArrival(r, event)
 	b.requests[r.id] = r
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -6,6 +6,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"github.com/cespare/xxhash/v2"
 )
 
 const pollSpreadPerAgent = 1.0 / 128 // of PollWithin: what one call may take of discovery's capacity
@@ -73,7 +75,7 @@
 		return
 	}
 	if ep == nil {
-		ep = &endpoint{hash: hash(entry.ID), preference: b.rng.ExpFloat64()}
+		ep = &endpoint{hash: xxhash.Sum64String(entry.ID), preference: b.rng.ExpFloat64()}
 		ep.classEjections = make([]classEjection, len(b.classes))
 		b.endpointByID[entry.ID] = ep
 		b.endpoints = append(b.endpoints, ep)
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -2,8 +2,11 @@
 
 import (
 	"cmp"
+	"encoding/binary"
 	"math"
 	"slices"
+
+	"github.com/cespare/xxhash/v2"
 )
 
 const (
@@ -172,19 +175,10 @@
 	return load, slowness
 }
 
-// hash spreads an identifier over 64 bits (FNV-1a), the same at every agent.
-func hash(id string) uint64 {
-	h := uint64(14695981039346656037)
-	for i := range len(id) {
-		h = (h ^ uint64(id[i])) * 1099511628211
-	}
-	return h
-}
-
 // keyedDraw is a random number in [0, 1), the same at every agent for an endpoint and a key.
-func keyedDraw(endpoint, key uint64) float64 {
-	h := endpoint ^ key*0x9e3779b97f4a7c15
-	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
-	h = (h ^ h>>27) * 0x94d049bb133111eb
-	return float64((h^h>>31)>>11) / (1 << 53)
+func keyedDraw(endpointHash, keyHash uint64) float64 {
+	var pair [16]byte
+	binary.LittleEndian.PutUint64(pair[:8], endpointHash)
+	binary.LittleEndian.PutUint64(pair[8:], keyHash)
+	return float64(xxhash.Sum64(pair[:])>>11) / (1 << 53)
 }
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -297,32 +297,44 @@
 	}
 }
 
-// Crossing zones weighs by its price, unless too few requests are served on time.
+// Crossing zones weighs by its price, unless too few requests are served on time. Each figure is that of several sets of
+// keys, since the key draws the endpoint.
 func TestCrossZonePrice(t *testing.T) {
-	far := func(price float64, latency time.Duration) (n int) {
-		s := settings()
-		s.Agents, s.CrossZonePrice, s.CacheAffinity = 40, price, true
-		h := newHarness(t, s, 1, endpoints(4)) // two in the agent's zone, two in another
-		for i := range 400 {
-			id := fmt.Sprint("q", i)
-			h.keyed(id, idempotent, id)
-			h.advance(latency)
-			if len(h.sent[id]) > 0 {
-				if h.sent[id][0] > "b" {
-					n++
-				}
-				h.outcome(id, balancer.Served, latency)
-			}
+	const sets, requests = 20, 400
+	crossings := func(price float64, latency time.Duration) (crossed int) {
+		for set := range sets {
+			crossed += crossingsOfSet(t, set, requests, price, latency)
 		}
-		return n
+		return crossed
 	}
-	free, dear := far(0, 20*ms), far(0.1, 20*ms)
-	if free < 100 || dear > free/4 {
-		t.Errorf("%d of 400 crossed where it is free, %d where it is dear", free, dear)
+	free, dear := crossings(0, 20*ms), crossings(0.1, 20*ms)
+	if free < 100*sets || dear > free/4 {
+		t.Errorf("%d of %d crossed where it is free, %d where it is dear", free, sets*requests, dear)
 	}
-	if late := far(0.1, 600*ms); late < 5 {
-		t.Errorf("%d crossed while all came late", late)
+	if late := crossings(0.1, 600*ms); late < 5*sets {
+		t.Errorf("%d of %d crossed while all came late", late, sets*requests)
+	}
+}
+
+// crossingsOfSet counts the requests of one set of keys that are sent to another zone.
+func crossingsOfSet(t *testing.T, set, requests int, price float64, latency time.Duration) (crossed int) {
+	t.Helper()
+	s := settings()
+	s.Agents, s.CrossZonePrice, s.CacheAffinity = 40, price, true
+	h := newHarness(t, s, 1, endpoints(4)) // two in the agent's zone, two in another
+	for i := range requests {
+		id := fmt.Sprint("set", set, "q", i)
+		h.keyed(id, idempotent, id)
+		h.advance(latency)
+		if len(h.sent[id]) == 0 {
+			continue
+		}
+		if h.sent[id][0] > "b" {
+			crossed++
+		}
+		h.outcome(id, balancer.Served, latency)
 	}
+	return crossed
 }
 
 // Agents must not stay with the endpoints that they are connected to while others join, or a zone returns:
