--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -14,12 +15,15 @@
 	"ashshunt/internal/upstream"
 )
 
-// disconnects are the ways in which a client disconnects. net/http sees no end behind bytes that follow the request.
-var disconnects = []struct {
+// disconnect is a way in which a client disconnects.
+type disconnect struct {
 	name   string
 	behind string // sent behind the request first
 	end    func(conn *net.TCPConn) error
-}{
+}
+
+// disconnects are all such ways. net/http sees no end behind bytes that follow the request.
+var disconnects = []disconnect{
 	{"close", "", (*net.TCPConn).Close},
 	{"reset", "", reset},
 	{"end of sending", "", (*net.TCPConn).CloseWrite},
@@ -37,25 +41,28 @@
 	return conn.Close()
 }
 
+// of disconnects a client.
+func (d disconnect) of(t *testing.T, conn net.Conn) {
+	sent := make(chan struct{})
+	go func() {
+		defer close(sent)
+		_, _ = io.WriteString(conn, d.behind) // a flood may never be taken as a whole
+	}()
+	select {
+	case <-sent:
+	case <-time.After(50 * time.Millisecond):
+	}
+	if err := d.end(conn.(*net.TCPConn)); err != nil {
+		t.Log("disconnect:", err) // the agent may have been first
+	}
+}
+
 // forEachDisconnect runs a test for each way to disconnect, which it gets as a function.
 func forEachDisconnect(t *testing.T, run func(t *testing.T, disconnect func(net.Conn))) {
-	for _, test := range disconnects {
-		t.Run(test.name, func(t *testing.T) {
+	for _, way := range disconnects {
+		t.Run(way.name, func(t *testing.T) {
 			t.Parallel()
-			run(t, func(conn net.Conn) {
-				sent := make(chan struct{})
-				go func() {
-					defer close(sent)
-					_, _ = io.WriteString(conn, test.behind) // a flood may never be taken as a whole
-				}()
-				select {
-				case <-sent:
-				case <-time.After(50 * time.Millisecond):
-				}
-				if err := test.end(conn.(*net.TCPConn)); err != nil {
-					t.Log("disconnect:", err) // the agent may have been first
-				}
-			})
+			run(t, func(conn net.Conn) { way.of(t, conn) })
 		})
 	}
 }
@@ -272,22 +279,43 @@
 	})
 }
 
-// A request whose body stops is not forwarded, however its client disconnects.
+// A request whose body is over the limit and stops is not forwarded, however its client disconnects.
 func TestDisconnectWithinTheBody(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
-		server := testutil.NewServer(t, testutil.Echo)
-		a := startAgent(t, newConfig(t, server))
-		client := testutil.Dial(t, a.Addr(), testutil.Post(id, "Content-Length: 3000000\r\n")+"half")
-		disconnect(client)
-		if status := requestStatus(t, a, "GET", "/look", testutil.ID(1), "7000"); status != http.StatusOK {
-			t.Errorf("next request: status %d", status)
-		}
-		if r := testutil.Receive(t, server.Received); r.Header.Get("X-Call-Id") == id {
-			t.Error("an incomplete request was forwarded")
-		}
+		expectIncompleteNotForwarded(t, 3000000, disconnect)
 	})
 }
 
+// A request whose body is within the limit and stops is not forwarded either: its body is read, but never whole.
+func TestDisconnectWhileTheBodyIsRead(t *testing.T) {
+	const bodyLength = 60000 // more than follows at the disconnect, but for the flood, which would complete the body
+	for _, way := range disconnects {
+		if len(way.behind) >= bodyLength {
+			continue
+		}
+		t.Run(way.name, func(t *testing.T) {
+			t.Parallel()
+			expectIncompleteNotForwarded(t, bodyLength, func(conn net.Conn) { way.of(t, conn) })
+		})
+	}
+}
+
+// expectIncompleteNotForwarded sends the head of a request with the beginning of its body, disconnects, and expects
+// that just the next client's request is forwarded.
+func expectIncompleteNotForwarded(t *testing.T, bodyLength int, disconnect func(net.Conn)) {
+	t.Helper()
+	server := testutil.NewServer(t, testutil.Echo)
+	a := startAgent(t, newConfig(t, server))
+	head := testutil.Post(id, fmt.Sprintf("Content-Length: %d\r\n", bodyLength))
+	disconnect(testutil.Dial(t, a.Addr(), head+"half"))
+	if status := requestStatus(t, a, "GET", "/look", testutil.ID(1), "7000"); status != http.StatusOK {
+		t.Errorf("next request: status %d", status)
+	}
+	if r := testutil.Receive(t, server.Received); r.Header.Get("X-Call-Id") == id {
+		t.Error("an incomplete request was forwarded")
+	}
+}
+
 // An attempt in flight as its client disconnects is neither retried nor kept.
 func TestDisconnectWithAnAttemptInFlight(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
