--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -28,6 +28,7 @@
 	trafficWindow     = 20.0 // objectives over which both are counted
 )
 
+// concurrencyLimit is the adaptive limit on attempts in flight.
 type concurrencyLimit struct {
 	perEndpoint        float64 // attempts in flight, for all agents together
 	meanRatio, samples float64 // mean of latency over objective ...
@@ -35,6 +36,7 @@
 	decreasedAt        time.Duration
 }
 
+// recentTraffic are decayed counts over trafficWindow.
 type recentTraffic struct {
 	sent, onTime, peakInFlight float64 // requests, those served within their objective, attempts in flight
 	decayedAt                  time.Duration
@@ -177,6 +179,7 @@
 	}
 }
 
+// inFlightLimit is this agent's part, by head count, of the limit; infinite where that would be too small.
 func (b *Balancer) inFlightLimit() float64 {
 	if b.minLimitBelow(unlimitedBelow) {
 		return math.Inf(1)
@@ -184,6 +187,7 @@
 	return max(1, b.limit.perEndpoint*b.fleet.capacity/float64(b.settings.Agents))
 }
 
+// isThrottled reports whether too few of the requests sent recently were served on time.
 func (b *Balancer) isThrottled() bool {
 	return b.minLimitBelow(1) && b.traffic.sent >= throttleRatio*b.traffic.onTime+throttleAllowance
 }
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -14,6 +14,7 @@
 	maxWaitShare     = 0.75           // of the objective: the most that is set aside for a response
 )
 
+// classState is a class and what was learnt of its requests.
 type classState struct {
 	Class
 	index           int
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -12,6 +12,7 @@
 
 const pollSpreadPerAgent = 1.0 / 128 // of PollWithin: what one call may take of discovery's capacity
 
+// endpoint is an entry of the list and what was learnt of it.
 type endpoint struct {
 	Endpoint
 	hash       uint64
@@ -38,6 +39,7 @@
 	permitAt  time.Duration // when it may get its next request while it warms up
 }
 
+// fleetSummary sums up the endpoints, in each step anew.
 type fleetSummary struct {
 	serving  int     // endpoints that the list says are serving
 	warm     int     // of these, not warming up
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// mayAttempt reports whether a first or further attempt of r may go to an endpoint.
 func (b *Balancer) mayAttempt(r *request, ep *endpoint) bool {
 	if r.ended || r.streaming || len(r.attempts) >= b.settings.MaxAttempts {
 		return false
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -21,6 +21,7 @@
 	classEjectionTime = 8.0  // objectives for which an endpoint is first ejected for one class
 )
 
+// classEjection keeps an endpoint from one class.
 type classEjection struct {
 	until    time.Duration
 	timeouts float64 // in a row
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -19,6 +19,7 @@
 	fullLoad         = 2     // attempts at a connected endpoint before a new connection is opened
 )
 
+// candidate is an endpoint that may be picked.
 type candidate struct {
 	endpoint       *endpoint
 	load, slowness float64
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -27,6 +27,7 @@
 	backingOff, queued, streaming, ended bool
 }
 
+// attempt is one request to one endpoint.
 type attempt struct {
 	endpoint          *endpoint
 	sentAt            time.Duration
@@ -78,6 +79,7 @@
 	b.closeRequest(r)
 }
 
+// closeRequest ends a request, and forgets it once its attempts have ended too.
 func (b *Balancer) closeRequest(r *request) {
 	if !r.ended {
 		b.openRequests--
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -18,6 +18,7 @@
 	hedgeDeviations = 5.0 // mean deviations over the mean latency, after which a request is hedged
 )
 
+// retry schedules the next attempt after a backoff, or gives the request up; the token bucket pays for it.
 func (b *Balancer) retry(r *request, result Result) {
 	cost := retryTokenCost
 	if result == TimedOut {
