--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -9,6 +9,7 @@
 	"ashshunt/balancer"
 	"ashshunt/internal/clock"
 	"ashshunt/internal/config"
+	"ashshunt/internal/protocol"
 	"ashshunt/internal/socket"
 )
 
@@ -58,7 +59,7 @@
 
 // ServeHTTP implements http.Handler.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == healthPath {
+	if r.URL.Path == protocol.HealthPath {
 		h.serveHealth(w)
 		return
 	}
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -6,8 +6,6 @@
 	"time"
 )
 
-const healthPath = "/healthz"
-
 // serveHealth answers whether the agent is ready. It closes the connection: whoever asks for this asks once, and
 // would otherwise keep a descriptor for good.
 func (h *handler) serveHealth(w http.ResponseWriter) {
--- a/internal/frontend/health_test.go
+++ b/internal/frontend/health_test.go
@@ -4,13 +4,14 @@
 	"net/http"
 	"testing"
 
+	"ashshunt/internal/protocol"
 	"ashshunt/internal/testutil"
 )
 
 // healthStatus is what a server's health endpoint answers.
 func healthStatus(t *testing.T, server *Server) int {
 	t.Helper()
-	response, _ := testutil.Do(t, server.Addr(), "GET", healthPath, "")
+	response, _ := testutil.Do(t, server.Addr(), "GET", protocol.HealthPath, "")
 	if !response.Close {
 		t.Error("the connection is kept after a health check")
 	}
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -12,13 +12,12 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/protocol"
 )
 
 const (
 	// maxTimeout is the longest that a client may be willing to wait.
 	maxTimeout = time.Hour
-	// maxBodyBytes bounds a request's body.
-	maxBodyBytes = 64 << 10
 	// maxIdempotencyKey bounds an Idempotency-Key.
 	maxIdempotencyKey = 255
 	// maxWorkMicros bounds a client's guess at the work; what is beyond it is no guess.
@@ -28,7 +27,9 @@
 )
 
 // singleHeaders are the headers that a request carries once at most: which of two counts would be anyone's guess.
-var singleHeaders = []string{"X-Call-Id", "X-Budget-Ms", "Idempotency-Key", "X-Caller", "X-Route-Hash"}
+var singleHeaders = []string{
+	protocol.HeaderRequestID, protocol.HeaderTimeout, protocol.HeaderIdempotencyKey, protocol.HeaderTenant, protocol.HeaderKey,
+}
 
 // RequestError says what is wrong with a request.
 type RequestError struct {
@@ -61,7 +62,7 @@
 		return &RequestError{Status: http.StatusHTTPVersionNotSupported, Reason: "HTTP/1.1 wanted"}
 	case len(r.TransferEncoding) > 0 || r.ContentLength < 0:
 		return &RequestError{Status: http.StatusLengthRequired, Reason: "Content-Length wanted, and no Transfer-Encoding"}
-	case r.ContentLength > maxBodyBytes:
+	case r.ContentLength > protocol.MaxBodySize:
 		return &RequestError{Status: http.StatusRequestEntityTooLarge, Reason: "too large a body"}
 	}
 	return nil
@@ -82,9 +83,9 @@
 	if idempotency == balancer.Idempotent && r.ContentLength != 0 {
 		return nil, badRequest("a body with GET")
 	}
-	id := r.Header.Get("X-Call-Id")
+	id := r.Header.Get(protocol.HeaderRequestID)
 	if !validRequestID(id) {
-		return nil, badRequest("X-Call-Id: 16 hex digits wanted")
+		return nil, badRequest(protocol.HeaderRequestID + ": 16 hex digits wanted")
 	}
 	timeout, err := parseTimeout(r)
 	if err != nil {
@@ -103,9 +104,9 @@
 		ID:          id,
 		Class:       class,
 		Tenant:      h.parseTenant(r),
-		Key:         r.Header.Get("X-Route-Hash"),
+		Key:         r.Header.Get(protocol.HeaderKey),
 		Timeout:     min(timeout, h.settings.Classes[class].Deadline), // no client of the class waits longer
-		ClientRetry: r.Header.Get("X-Again") == "1",
+		ClientRetry: r.Header.Get(protocol.HeaderClientRetry) == protocol.Yes,
 		Work:        parseWork(r),
 	}
 	request.IdempotencyKey = key
@@ -151,10 +152,10 @@
 }
 
 func parseTimeout(r *http.Request) (time.Duration, error) {
-	milliseconds, err := strconv.ParseUint(r.Header.Get("X-Budget-Ms"), 10, 32)
+	milliseconds, err := strconv.ParseUint(r.Header.Get(protocol.HeaderTimeout), 10, 32)
 	timeout := time.Duration(milliseconds) * time.Millisecond
 	if err != nil || timeout <= 0 || timeout > maxTimeout {
-		return 0, &RequestError{Status: http.StatusBadRequest, Reason: "X-Budget-Ms: whole milliseconds wanted", Err: err}
+		return 0, &RequestError{Status: http.StatusBadRequest, Reason: protocol.HeaderTimeout + ": whole milliseconds wanted", Err: err}
 	}
 	return timeout, nil
 }
@@ -162,22 +163,22 @@
 // parseIdempotencyKey returns the key of a request whose class wants one. Endpoints know a retry by its key alone:
 // without one, a second attempt might run again.
 func parseIdempotencyKey(r *http.Request, idempotency balancer.Idempotency) (string, error) {
-	key := r.Header.Get("Idempotency-Key")
+	key := r.Header.Get(protocol.HeaderIdempotencyKey)
 	wanted := idempotency == balancer.IdempotentWithKey
 	if wanted != (key != "") || len(key) > maxIdempotencyKey {
-		return "", badRequest("Idempotency-Key: wanted for a keyed class alone")
+		return "", badRequest(protocol.HeaderIdempotencyKey + ": wanted for a keyed class alone")
 	}
 	return key, nil
 }
 
 // parseTenant returns the index of the tenant; one that is unknown counts as the first.
 func (h *handler) parseTenant(r *http.Request) int {
-	return max(0, slices.Index(h.tenants, r.Header.Get("X-Caller")))
+	return max(0, slices.Index(h.tenants, r.Header.Get(protocol.HeaderTenant)))
 }
 
 // parseWork returns the client's guess at the work; 0: there is none that can be used.
 func parseWork(r *http.Request) time.Duration {
-	micros, err := strconv.ParseFloat(r.Header.Get("X-Call-Cost"), 64)
+	micros, err := strconv.ParseFloat(r.Header.Get(protocol.HeaderWork), 64)
 	if err == nil && micros > 0 && micros < maxWorkMicros {
 		return time.Duration(micros * float64(time.Microsecond))
 	}
--- a/internal/frontend/parse_test.go
+++ b/internal/frontend/parse_test.go
@@ -10,6 +10,7 @@
 	"strings"
 	"testing"
 
+	"ashshunt/internal/protocol"
 	"ashshunt/internal/testutil"
 )
 
@@ -21,7 +22,7 @@
 	valid := []string{"X-Call-Id", id, "X-Budget-Ms", "700"}
 	withTimeout := func(timeout string) []string { return []string{"X-Call-Id", id, "X-Budget-Ms", timeout} }
 	withID := func(id string) []string { return []string{"X-Call-Id", id, "X-Budget-Ms", "700"} }
-	largeBody := strings.Repeat("x", maxBodyBytes+1)
+	largeBody := strings.Repeat("x", protocol.MaxBodySize+1)
 	tests := []struct {
 		name, method, path, body string
 		headers                  []string
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -15,6 +15,7 @@
 
 	"ashshunt/balancer"
 	"ashshunt/internal/endpoint"
+	"ashshunt/internal/protocol"
 )
 
 const (
@@ -119,13 +120,13 @@
 	if failure != nil {
 		return failure.result, failure.response()
 	}
-	path := "/healthz"
+	path := protocol.HealthPath
 	if c.loadReports != balancer.LoadReportsNone {
-		path = "/load"
+		path = protocol.LoadReportPath
 	}
 	result, response := c.exchange(ctx, conn, newHealthCheckRequest(path, conn.RemoteAddr().String()), deadline)
-	if path == "/load" && response.Err == nil && response.Header.Get(loadReportHeader) == "" {
-		response.Header.Set(loadReportHeader, string(response.Body))
+	if path == protocol.LoadReportPath && response.Err == nil && response.Header.Get(protocol.HeaderLoadReport) == "" {
+		response.Header.Set(protocol.HeaderLoadReport, string(response.Body))
 	}
 	return result, response
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/protocol"
 )
 
 // minIdleBeforeBreak is how long a connection must have been idle for a break at its next request to be put down to
@@ -37,10 +38,10 @@
 func newForwardedRequest(request *Request, deadline time.Time) *http.Request {
 	timeoutMs := max(1, time.Until(deadline).Milliseconds())
 	httpRequest := newHTTPRequest(request.Method, request.Target, request.Host)
-	httpRequest.Header["X-Call-Id"] = []string{request.ID}
-	httpRequest.Header["X-Budget-Ms"] = []string{strconv.FormatInt(timeoutMs, 10)}
+	httpRequest.Header[protocol.HeaderRequestID] = []string{request.ID}
+	httpRequest.Header[protocol.HeaderTimeout] = []string{strconv.FormatInt(timeoutMs, 10)}
 	if request.IdempotencyKey != "" {
-		httpRequest.Header["Idempotency-Key"] = []string{request.IdempotencyKey}
+		httpRequest.Header[protocol.HeaderIdempotencyKey] = []string{request.IdempotencyKey}
 	}
 	if len(request.Body) > 0 {
 		httpRequest.Body = io.NopCloser(bytes.NewReader(request.Body))
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/protocol"
 	"ashshunt/internal/socket"
 	"ashshunt/internal/testutil"
 )
@@ -94,8 +95,8 @@
 		{"length and encoding", respondAndHang(bothFramings), testutil.Timeout, balancer.ServerError},
 		{"a negative length", respondAndHang(okHead + "Content-Length: -2\r\n\r\n"), testutil.Timeout, balancer.ServerError},
 		{"no length", respondAndHang(okHead + "\r\nbody"), testutil.Timeout, balancer.ServerError},
-		{"too large a body", respond(200, strings.Repeat("x", maxBodySize+1)), testutil.Timeout, balancer.ServerError},
-		{"the largest body", respond(200, strings.Repeat("x", maxBodySize)), testutil.Timeout, balancer.Served},
+		{"too large a body", respond(200, strings.Repeat("x", protocol.MaxBodySize+1)), testutil.Timeout, balancer.ServerError},
+		{"the largest body", respond(200, strings.Repeat("x", protocol.MaxBodySize)), testutil.Timeout, balancer.Served},
 		{"silence", testutil.Hang, time.Second, balancer.TimedOut},
 	}
 	for _, tt := range tests {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -13,15 +13,16 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"ashshunt/internal/protocol"
 )
 
 const (
-	maxBodySize         = 64 << 10        // bytes of a body
-	maxHeadSize         = 16 << 10        // bytes of a response's head
-	maxInformational    = 8               // 1xx responses ahead of the final one
-	maxEncodedBodySize  = 2 * maxBodySize // bytes of a body with the framing of its chunks
-	maxQuoted           = 40              // characters of a response that an error quotes
-	lengthOfChunkedBody = -1              // bodyLength of a body that comes in chunks
+	maxHeadSize         = 16 << 10                 // bytes of a response's head
+	maxInformational    = 8                        // 1xx responses ahead of the final one
+	maxEncodedBodySize  = 2 * protocol.MaxBodySize // bytes of a body with the framing of its chunks
+	maxQuoted           = 40                       // characters of a response that an error quotes
+	lengthOfChunkedBody = -1                       // bodyLength of a body that comes in chunks
 )
 
 // ErrMalformedResponse marks a response that can't be used. Its request may have run.
@@ -39,7 +40,7 @@
 // rejected reports whether the endpoint says that it has not run the request.
 func (r Response) rejected() bool {
 	unavailable := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout
-	return unavailable && r.Header.Get("X-Rejected") == "1"
+	return unavailable && r.Header.Get(protocol.HeaderRejected) == protocol.Yes
 }
 
 // responseReader reads one response off a connection and bounds the time and the bytes that it may take.
@@ -195,7 +196,7 @@
 		return lengthOfChunkedBody, nil
 	}
 	length, err := strconv.ParseUint(lengths[0], 10, 31)
-	if err != nil || length > maxBodySize {
+	if err != nil || length > protocol.MaxBodySize {
 		return 0, fmt.Errorf("length %.*q", maxQuoted, lengths[0])
 	}
 	return int(length), nil
@@ -211,11 +212,11 @@
 }
 
 func readChunkedBody(in *bufio.Reader) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(in), maxBodySize+1))
+	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(in), protocol.MaxBodySize+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxBodySize {
+	if len(body) > protocol.MaxBodySize {
 		return nil, errors.New("body too long")
 	}
 	// The chunks end with a trailer, empty as a rule.
