--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -53,9 +53,10 @@
 func (b *Balancer) collectCandidates(r *request) (ejected *endpoint) {
 	newcomerLoad, leastHarm := b.meanLoad(), math.Inf(1)
 	maxLoad := max(fullLoad, maxEndpointShare*b.limit.perEndpoint/float64(b.settings.Agents))
+	crossZoneFactor := b.crossZoneFactor()
 	b.candidates = b.candidates[:0]
 	for _, ep := range b.endpoints {
-		load, _ := b.loadAndSlowness(ep)
+		load, slowness := b.loadAndSlowness(ep)
 		if load >= maxLoad || !b.isEligible(r, ep) {
 			continue
 		}
@@ -68,7 +69,7 @@
 		if !ep.hasServed {
 			load = newcomerLoad
 		}
-		b.candidates = append(b.candidates, b.newCandidate(ep, load))
+		b.candidates = append(b.candidates, b.newCandidate(ep, load, slowness, crossZoneFactor))
 	}
 	return ejected
 }
@@ -79,12 +80,11 @@
 	return available && b.mayAttempt(r, ep) && b.hasSlowStartPermit(ep, r)
 }
 
-func (b *Balancer) newCandidate(ep *endpoint, load float64) candidate {
-	_, slowness := b.loadAndSlowness(ep)
+func (b *Balancer) newCandidate(ep *endpoint, load, slowness, crossZoneFactor float64) candidate {
 	size := cmp.Or(max(0, ep.Weight), 1) // without weights all are alike
 	weight := size * b.warmUpFraction(ep) / (slowness * slowness * slowness)
-	if ep.Zone != b.settings.Zone && !b.crossesFreely() {
-		weight /= 1 + crossZoneWeight*b.settings.CrossZonePrice
+	if ep.Zone != b.settings.Zone {
+		weight /= crossZoneFactor
 	}
 	preference := ep.preference / weight
 	if b.isConnected(ep) {
@@ -105,26 +105,39 @@
 	return sum / float64(max(count, 1))
 }
 
-// crossesFreely reports whether the fleet is so crowded that crossing zones is worth its price.
-func (b *Balancer) crossesFreely() bool {
+// crossZoneFactor is how much less an endpoint of another zone weighs: no less where the fleet is so crowded
+// that crossing zones is worth its price.
+func (b *Balancer) crossZoneFactor() float64 {
+	crowded := b.now-b.limit.decreasedAt <= b.settings.SlowStart
 	if b.minLimitBelow(1) {
-		return b.traffic.sent > crowdedRatio*b.traffic.onTime+throttleAllowance
+		crowded = b.traffic.sent > crowdedRatio*b.traffic.onTime+throttleAllowance
 	}
-	return b.now-b.limit.decreasedAt <= b.settings.SlowStart
+	if crowded {
+		return 1
+	}
+	return 1 + crossZoneWeight*b.settings.CrossZonePrice
 }
 
 // chooseIdleAndBusy draws an idle candidate of each tier by weight, and takes the least loaded busy one.
 func (b *Balancer) chooseIdleAndBusy(r *request) (idle [tierCount]*endpoint, busy *endpoint) {
 	leastScore, leastWait := math.Inf(1), [tierCount]float64{math.Inf(1), math.Inf(1), math.Inf(1)}
+	subset, trustsNew := minSubset+subsetPerAttempt*b.traffic.peakInFlight, b.trustsNewConnections(r)
 	for position, c := range b.candidates {
-		if c.load >= 1 && b.isConnected(c.endpoint) {
+		connected := b.isConnected(c.endpoint)
+		if c.load >= 1 && connected {
 			load := (c.load + 1) * c.slowness / b.warmUpFraction(c.endpoint)
 			if score := load * (1 + 0.01*b.rng.Float64()); score < leastScore { // the draw breaks ties
 				busy, leastScore = c.endpoint, score
 			}
 			continue
 		}
-		tier := b.idleTier(r, c, position)
+		joins := c.endpoint.warmingUp && (connected || 2*subset < float64(b.fleet.serving))
+		tier := tierOther
+		if float64(position) < subset || trustsNew || joins {
+			tier = tierSubset
+		} else if connected {
+			tier = tierConnected
+		}
 		if wait := b.drawWait(r, c); wait < leastWait[tier] {
 			idle[tier], leastWait[tier] = c.endpoint, wait
 		}
@@ -141,19 +154,10 @@
 	return -math.Log(max(u, 1e-12)) / c.weight
 }
 
-// idleTier is the tier of an idle candidate, by its position in the order of preference.
-func (b *Balancer) idleTier(r *request, c candidate, position int) int {
-	subset := minSubset + subsetPerAttempt*b.traffic.peakInFlight
-	trustsNew := b.settings.CacheAffinity && r.class.newOnTime >= r.class.connectedOnTime-significantGap
-	connected := b.isConnected(c.endpoint)
-	joins := c.endpoint.warmingUp && (connected || 2*subset < float64(b.fleet.serving))
-	switch {
-	case float64(position) < subset || trustsNew || joins:
-		return tierSubset
-	case connected:
-		return tierConnected
-	}
-	return tierOther
+// trustsNewConnections reports whether the subset does not matter: with cache affinity it does not while
+// requests over new connections are served on time as often as others.
+func (b *Balancer) trustsNewConnections(r *request) bool {
+	return b.settings.CacheAffinity && r.class.newOnTime >= r.class.connectedOnTime-significantGap
 }
 
 func (b *Balancer) isConnected(ep *endpoint) bool {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -16,8 +16,8 @@
 // warmUpFraction is the share of its full capacity that an endpoint surely has by now.
 func (b *Balancer) warmUpFraction(ep *endpoint) float64 {
 	age := b.now - ep.startedAt
-	ep.warmingUp = ep.warmingUp && age < b.settings.SlowStart
-	if !ep.warmingUp {
+	if !ep.warmingUp || age >= b.settings.SlowStart {
+		ep.warmingUp = false
 		return 1
 	}
 	least := b.settings.ColdCapacity
