--- a/check.sh
+++ b/check.sh
@@ -41,6 +41,15 @@
 		exit 1
 	fi
 done
+for file in balancer/*.go; do
+	case "$file" in
+	*_test.go | balancer/api.go | balancer/settings.go | balancer/doc.go) continue ;; # tests, interface, comments
+	esac
+	case " $policy " in
+	*" $file "*) ;;
+	*) echo "deploy/balancer.toml: policy does not name $file" >&2; exit 1 ;;
+	esac
+done
 lines=$(cat $policy | grep -c '[^[:space:]]')
 if [ "$lines" -gt "$policy_limit" ]; then
 	echo "the policy files have $lines lines that are not blank, $policy_limit allowed" >&2
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -1,15 +1,16 @@
-package clock
+package clock_test
 
 import (
 	"testing"
 	"time"
 
+	"ashshunt/internal/clock"
 	"ashshunt/internal/testutil"
 )
 
 // A known start time never reads as "long ago", and converts to the same value each time.
 func TestStartTimes(t *testing.T) {
-	now := New()
+	now := clock.New()
 	if got := now.FromUnixMillis(0); got != 0 {
 		t.Errorf("long ago became %v", got)
 	}
@@ -22,3 +23,13 @@
 		t.Error("one start time became two")
 	}
 }
+
+func TestMilliseconds(t *testing.T) {
+	for ms, want := range map[float64]time.Duration{
+		0: 0, 1.5: 1500 * time.Microsecond, 250.1: 250100 * time.Microsecond, -1: -time.Millisecond,
+	} {
+		if got := clock.Milliseconds(ms); got != want {
+			t.Errorf("%v ms became %v, want %v", ms, got, want)
+		}
+	}
+}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,11 +2,10 @@
 
 import (
 	"encoding/json"
-	"math"
 	"strconv"
-	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/clock"
 )
 
 // Names are the words of the settings object for what the decision module knows by position.
@@ -50,7 +49,7 @@
 		Tiers:             len(o.Tiers),
 		PriorityByWork:    o.CountedBy == "work",
 		Subscribe:         o.MembershipMode == "subscribe",
-		Tick:              milliseconds(o.TickMs),
+		Tick:              clock.Milliseconds(o.TickMs),
 		MarksRetry:        o.Clients.MarksRetry,
 		CacheAffinity:     o.FamilyInfo.WarmKeys,
 		PassesDeadline:    o.FamilyInfo.PassesDeadline,
@@ -97,13 +96,13 @@
 		return balancer.Class{}, err
 	}
 	return balancer.Class{
-		Objective:        milliseconds(p.AimMs),
-		Deadline:         milliseconds(p.DeadlineMs),
+		Objective:        clock.Milliseconds(p.AimMs),
+		Deadline:         clock.Milliseconds(p.DeadlineMs),
 		Priority:         p.Worth,
 		LatePriority:     p.LateValue,
 		Idempotency:      idempotency,
 		DedupScope:       scope,
-		DedupWindow:      milliseconds(p.WindowMs),
+		DedupWindow:      clock.Milliseconds(p.WindowMs),
 		Ordered:          p.KeepOrder,
 		ObjectiveStretch: p.AimStretch,
 		Streamed:         p.Stream,
@@ -117,25 +116,25 @@
 	s.AllowCancel = l.Cancel
 	s.AllowGossip = l.Peers
 	s.SendRetryAfter = l.RetryAfter
-	s.MaxRetryAfter = milliseconds(l.MaxRetryAfterMs)
-	s.ConnectTimeout = milliseconds(l.ConnectTimeoutMs)
-	s.IdleClose = milliseconds(l.IdleCloseMs)
+	s.MaxRetryAfter = clock.Milliseconds(l.MaxRetryAfterMs)
+	s.ConnectTimeout = clock.Milliseconds(l.ConnectTimeoutMs)
+	s.IdleClose = clock.Milliseconds(l.IdleCloseMs)
 	s.MaxOpen = l.MaxOpen
 	s.StreamsPerConn = l.StreamsPerConn
-	s.CPUPerSecond = milliseconds(l.CPUUsPerS / 1000)
-	s.CPUPerRequest = milliseconds(l.CPUUsPerRequest / 1000)
+	s.CPUPerSecond = clock.Milliseconds(l.CPUUsPerS / 1000)
+	s.CPUPerRequest = clock.Milliseconds(l.CPUUsPerRequest / 1000)
 }
 
 func (c *contract) apply(s *balancer.Settings) {
-	s.DrainGrace = milliseconds(c.DrainGraceMs)
-	s.ResponseGrace = milliseconds(c.GraceToAnswerMs)
-	s.PollWithin = milliseconds(c.AskWithinMs)
+	s.DrainGrace = clock.Milliseconds(c.DrainGraceMs)
+	s.ResponseGrace = clock.Milliseconds(c.GraceToAnswerMs)
+	s.PollWithin = clock.Milliseconds(c.AskWithinMs)
 	s.ColdCapacity = c.ColdFrom
-	s.SlowStart = milliseconds(c.RampTimeMs)
+	s.SlowStart = clock.Milliseconds(c.RampTimeMs)
 	s.ColdOverloadMultiple = c.FallMultiple
-	s.ColdOverloadWindow = milliseconds(c.FallMs)
+	s.ColdOverloadWindow = clock.Milliseconds(c.FallMs)
 	s.RejectedMayHaveRun = c.BusyIsNoProof
-	s.KeyQuietPeriod = milliseconds(c.KeyRestMs)
+	s.KeyQuietPeriod = clock.Milliseconds(c.KeyRestMs)
 }
 
 func (p *prices) apply(s *balancer.Settings) {
@@ -197,8 +196,3 @@
 	}
 	return value, nil
 }
-
-// milliseconds converts a number of milliseconds to the nearest nanosecond.
-func milliseconds(ms float64) time.Duration {
-	return time.Duration(math.Round(ms * 1e6))
-}
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -5,9 +5,9 @@
 	"math"
 	"strconv"
 	"strings"
-	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/clock"
 )
 
 // notReported marks a value that a load report does not hold.
@@ -68,7 +68,7 @@
 		ErrorsPerSec: value("errors_per_s"),
 	}
 	if ms, ok := values["recent_ms"]; ok {
-		report.Service = time.Duration(math.Round(ms * float64(time.Millisecond)))
+		report.Service = clock.Milliseconds(ms)
 	}
 	return report
 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -3,10 +3,9 @@
 import (
 	"encoding/hex"
 	"encoding/json"
-	"math"
-	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/clock"
 	"ashshunt/internal/config"
 	"ashshunt/internal/loadreport"
 )
@@ -148,7 +147,7 @@
 	}
 	return balancer.Endpoint{
 		ID: item.Backend, State: state, Zone: item.Dc, Cell: item.Block,
-		Kind: item.Sku, Weight: item.Rating, Started: duration(item.LaunchedMs),
+		Kind: item.Sku, Weight: item.Rating, Started: clock.Milliseconds(item.LaunchedMs),
 	}, nil
 }
 
@@ -191,11 +190,11 @@
 		return Event{}, missing("Job", "TierClass", "GraceMs")
 	}
 	request := balancer.Request{
-		ID: *m.Job, Class: *m.TierClass, Timeout: duration(*m.GraceMs), Key: m.Item, Tenant: m.Project,
+		ID: *m.Job, Class: *m.TierClass, Timeout: clock.Milliseconds(*m.GraceMs), Key: m.Item, Tenant: m.Project,
 		ClientRetry: m.StateBits&bitClientRetry != 0, Write: m.StateBits&bitWrite != 0,
 	}
 	if m.StateBits&bitWorkHint != 0 {
-		request.Work = duration(m.WorkHintMs)
+		request.Work = clock.Milliseconds(m.WorkHintMs)
 	}
 	return Event{Event: request}, nil
 }
@@ -210,7 +209,7 @@
 	}
 	return Event{Event: balancer.Outcome{
 		Request: *m.Job, Attempt: *m.SendNo, Endpoint: *m.Backend, Result: result,
-		Latency: duration(*m.WaitTimeMs), Done: m.Ended, LoadReport: loadreport.FromValues(m.Usage),
+		Latency: clock.Milliseconds(*m.WaitTimeMs), Done: m.Ended, LoadReport: loadreport.FromValues(m.Usage),
 	}}, nil
 }
 
@@ -224,7 +223,7 @@
 	}
 	return Event{Event: balancer.HealthCheckResult{
 		Endpoint: *m.Backend, Result: result,
-		Latency: duration(*m.WaitTimeMs), LoadReport: loadreport.FromValues(m.Usage),
+		Latency: clock.Milliseconds(*m.WaitTimeMs), LoadReport: loadreport.FromValues(m.Usage),
 	}}, nil
 }
 
@@ -268,8 +267,3 @@
 	}
 	return value, nil
 }
-
-// duration translates milliseconds, which may have a fraction.
-func duration(ms float64) time.Duration {
-	return time.Duration(math.Round(ms * float64(time.Millisecond)))
-}
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -6,6 +6,8 @@
 	"encoding/json"
 	"errors"
 	"io"
+
+	"ashshunt/internal/clock"
 )
 
 // bufferSize is the size of the buffers for input and output; lines may be longer.
@@ -81,7 +83,7 @@
 	if m.ClockMs == nil {
 		return nil, &LineError{Line: r.line, Message: m.Kind, Err: missing("ClockMs")}
 	}
-	return &Batch{Now: duration(*m.ClockMs)}, nil
+	return &Batch{Now: clock.Milliseconds(*m.ClockMs)}, nil
 }
 
 // addTo appends the event that m holds, or keeps the endpoint list that it defines.
