--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -150,8 +150,8 @@
 		ep = &auditedEndpoint{}
 		a.endpoints[entry.ID] = ep
 	}
-	if entry.Started > ep.Started {
-		ep.started, ep.sends = entry.Started, nil
+	if entry.StartedAt > ep.StartedAt {
+		ep.started, ep.sends = entry.StartedAt, nil
 	}
 	if entry.State == balancer.Serving {
 		ep.notServingSince = 0
@@ -283,10 +283,10 @@
 // bounds the other. The slack is one mean request, and one of twice the mean that may go out on the last
 // permit.
 func (a *auditor) checkSlowStart(ep *auditedEndpoint) {
-	if a.isWarm(ep) || a.settings.SlowStart == 0 {
+	if a.isWarm(ep) || a.settings.SlowStartDuration == 0 {
 		return
 	}
-	window := max(a.settings.ColdOverloadWindow, 1)
+	window := max(a.settings.SlowStartOverloadWindow, 1)
 	most, warm := 0.0, false
 	for _, other := range a.endpoints {
 		if other != ep && a.isWarm(other) {
@@ -297,16 +297,16 @@
 	if !warm {
 		return // there is no measure: a balancer goes by its part of the least limit
 	}
-	age := max(0, float64(a.now-ep.started)/float64(a.settings.SlowStart))
-	fraction := a.settings.ColdCapacity + (1-a.settings.ColdCapacity)*age
-	if got := ep.workWithin(a.now, window); got > a.settings.ColdOverloadMultiple*fraction*most+3 {
+	age := max(0, float64(a.now-ep.started)/float64(a.settings.SlowStartDuration))
+	fraction := a.settings.SlowStartMinCapacity + (1-a.settings.SlowStartMinCapacity)*age
+	if got := ep.workWithin(a.now, window); got > a.settings.SlowStartOverloadMultiple*fraction*most+3 {
 		a.violation("%s is warming up (%v) and got the work of %.1f mean requests in %v, "+
 			"the busiest warm one %.1f in three times that", ep.ID, a.now-ep.started, got, window, most)
 	}
 }
 
 func (a *auditor) isWarm(ep *auditedEndpoint) bool {
-	return ep.started == 0 || a.now-ep.started >= a.settings.SlowStart
+	return ep.started == 0 || a.now-ep.started >= a.settings.SlowStartDuration
 }
 
 func (ep *auditedEndpoint) workWithin(now, span time.Duration) (sum float64) {
@@ -359,7 +359,7 @@
 		Endpoints: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}}
 	empty := balancer.EndpointList{Kind: balancer.ListComplete}
 	cold := balancer.EndpointList{Kind: balancer.ListDelta,
-		Endpoints: []balancer.Endpoint{{ID: "a", Started: time.Hour}}}
+		Endpoints: []balancer.Endpoint{{ID: "a", StartedAt: time.Hour}}}
 	tests := []struct {
 		name  string
 		class int
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -97,8 +97,8 @@
 	if entry.State != Serving {
 		b.touch(ep)
 	}
-	if entry.Started > ep.Started {
-		b.startWarmUp(ep, min(max(entry.Started, ep.startedAt), b.now))
+	if entry.StartedAt > ep.StartedAt {
+		b.startWarmUp(ep, min(max(entry.StartedAt, ep.startedAt), b.now))
 		ep.ejectionLevel, ep.ejectedUntil, ep.unreachable = 0, 0, false
 	}
 	b.relist(ep, entry)
@@ -110,7 +110,7 @@
 // addEndpoint adds an endpoint of which nothing is known but that it is listed.
 func (b *Balancer) addEndpoint(entry Endpoint) *endpoint {
 	ep := &endpoint{Endpoint: entry, hash: xxhash.Sum64String(entry.ID), preference: b.rng.ExpFloat64()}
-	ep.Started = 0 // applyEntry compares
+	ep.StartedAt = 0 // applyEntry compares
 	ep.classEjections = make([]classEjection, len(b.classes))
 	b.endpointByID[entry.ID] = ep
 	b.endpoints = append(b.endpoints, ep)
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -47,7 +47,7 @@
 		h.step(balancer.EndpointList{Kind: balancer.ListDelta,
 			Endpoints: []balancer.Endpoint{{ID: "a", State: balancer.Removed}}})
 		h.step(balancer.EndpointList{Kind: balancer.ListDelta,
-			Endpoints: []balancer.Endpoint{{ID: "a", Started: h.now}}})
+			Endpoints: []balancer.Endpoint{{ID: "a", StartedAt: h.now}}})
 		h.serve(400, idempotent, 20*ms)
 		h.advance(10 * time.Second)
 		if n := h.serve(200, idempotent, 20*ms)["a"]; n < 50 {
--- a/balancer/fleetsim_test.go
+++ b/balancer/fleetsim_test.go
@@ -158,8 +158,8 @@
 	t.Helper()
 	affected := f.started + f.removed
 	for i, server := range f.servers[:affected] {
-		if f.list[i].Started = at; i >= f.started {
-			f.list[i].Started, f.list[i].State = 0, balancer.Removed
+		if f.list[i].StartedAt = at; i >= f.started {
+			f.list[i].StartedAt, f.list[i].State = 0, balancer.Removed
 		}
 		server.Endpoint, server.coreFreeAt = f.list[i], [2]time.Duration{}
 	}
@@ -210,9 +210,9 @@
 		core = 1
 	}
 	work := float64(f.work) * f.rng.ExpFloat64()
-	if server.Started > 0 {
+	if server.StartedAt > 0 {
 		server.sent = append(server.sent, f.now)
-		work /= warmUpFraction(f.settings, f.now-server.Started)
+		work /= warmUpFraction(f.settings, f.now-server.StartedAt)
 	}
 	server.coreFreeAt[core] = max(f.now, server.coreFreeAt[core]) + time.Duration(work)
 	return server.coreFreeAt[core] - f.now
@@ -220,7 +220,7 @@
 
 // warmUpFraction is the least share of its capacity that an endpoint has at an age.
 func warmUpFraction(s balancer.Settings, age time.Duration) float64 {
-	return min(1, s.ColdCapacity+(1-s.ColdCapacity)*float64(age)/float64(s.SlowStart))
+	return min(1, s.SlowStartMinCapacity+(1-s.SlowStartMinCapacity)*float64(age)/float64(s.SlowStartDuration))
 }
 
 // overload is the most that an endpoint got within any overload window of its warm-up, over what the
@@ -228,11 +228,11 @@
 func (f fleetSimulation) overload(s balancer.Settings, e *simulatedEndpoint) (worst float64) {
 	first := 0
 	for i, at := range e.sent {
-		for at-e.sent[first] > s.ColdOverloadWindow {
+		for at-e.sent[first] > s.SlowStartOverloadWindow {
 			first++
 		}
-		fraction := warmUpFraction(s, e.sent[first]-e.Started)
-		n := s.ColdOverloadMultiple * fraction * 2 * s.ColdOverloadWindow.Seconds() / f.work.Seconds()
+		fraction := warmUpFraction(s, e.sent[first]-e.StartedAt)
+		n := s.SlowStartOverloadMultiple * fraction * 2 * s.SlowStartOverloadWindow.Seconds() / f.work.Seconds()
 		worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -33,8 +33,8 @@
 			class(balancer.IdempotentWithKey, balancer.DedupInZone),
 			class(balancer.IdempotentWithKey, balancer.DedupInCell),
 		},
-		DrainGrace: 500 * ms, ResponseGrace: 20 * ms, ColdCapacity: 0.2, SlowStart: 10 * time.Second,
-		ColdOverloadMultiple: 2.5, ColdOverloadWindow: time.Second, PollWithin: 10 * time.Second,
+		DrainGrace: 500 * ms, ResponseGrace: 20 * ms, SlowStartMinCapacity: 0.2, SlowStartDuration: 10 * time.Second,
+		SlowStartOverloadMultiple: 2.5, SlowStartOverloadWindow: time.Second, PollWithin: 10 * time.Second,
 		WeightOverall: 0.6, WeightWorstWindow: 0.2, WeightWorstClass: 0.2,
 	}
 }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -87,7 +87,7 @@
 // crossZoneFactor is how much less an endpoint of another zone weighs: no less where the fleet is so crowded
 // that crossing zones is worth its price.
 func (b *Balancer) crossZoneFactor() float64 {
-	crowded := b.now-b.limit.decreasedAt <= b.settings.SlowStart
+	crowded := b.now-b.limit.decreasedAt <= b.settings.SlowStartDuration
 	if b.minLimitBelow(1) {
 		crowded = b.traffic.sent > crowdedRatio*b.traffic.onTime+throttleAllowance
 	}
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -384,9 +384,9 @@
 	h := newHarness(t, s, seed, list)
 	h.serve(40, idempotent, 50*ms)
 	for i := range 20 {
-		list = append(list, balancer.Endpoint{ID: newcomerID(i), Started: h.now})
+		list = append(list, balancer.Endpoint{ID: newcomerID(i), StartedAt: h.now})
 	}
 	h.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: list})
-	h.advance(s.SlowStart)
+	h.advance(s.SlowStartDuration)
 	return h.serve(requests, idempotent, 50*ms)
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -72,7 +72,7 @@
 	s.MaxAttempts = rng.IntN(6)
 	s.CrossZonePrice = float64(rng.IntN(2)) * 0.02
 	if rng.IntN(4) == 0 {
-		s.SlowStart, s.ColdOverloadWindow, s.PollWithin, s.Tick = 0, 0, 0, 0
+		s.SlowStartDuration, s.SlowStartOverloadWindow, s.PollWithin, s.Tick = 0, 0, 0, 0
 	}
 	s.Classes = s.Classes[:1+rng.IntN(len(s.Classes))]
 	for i := range s.Classes {
@@ -203,7 +203,7 @@
 	entry := &d.list[d.rng.IntN(len(d.list))]
 	entry.State = balancer.EndpointState(d.rng.IntN(3))
 	if d.rng.IntN(2) == 0 {
-		entry.State, entry.Started = balancer.Serving, d.auditor.now
+		entry.State, entry.StartedAt = balancer.Serving, d.auditor.now
 	}
 	return balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{*entry}}
 }
@@ -273,7 +273,7 @@
 			"after its window"},
 		{"draining", distortion{event: list(func(b *balancer.Endpoint) { b.State = balancer.Serving })},
 			"draining or removed"},
-		{"slow start", distortion{event: list(func(b *balancer.Endpoint) { b.Started = 0 })},
+		{"slow start", distortion{event: list(func(b *balancer.Endpoint) { b.StartedAt = 0 })},
 			"is warming up"},
 		{"order", distortion{settings: classes(func(c *balancer.Class) { c.Ordered = false })},
 			"sent out of turn"},
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -1,152 +1,170 @@
 package balancer
 
-import (
-	"fmt"
-	"time"
+import "time"
+
+// Idempotency says what repeating a request does.
+type Idempotency uint8
+
+// The kinds of idempotency.
+const (
+	Idempotent        Idempotency = iota // may be repeated and rejected at will
+	IdempotentWithKey                    // endpoints of one scope drop a repeat within a window
+	NotIdempotent                        // may be repeated only when no attempt can have run
 )
 
-// SettingError reports a setting whose value makes no sense.
-type SettingError struct {
-	Field string // the path within Settings, such as "Agents" or "Classes[0].Objective"
-	Value any
-}
+// DedupScope says which endpoints drop repeats of a request that is IdempotentWithKey.
+type DedupScope uint8
 
-func (e *SettingError) Error() string {
-	return fmt.Sprintf("settings: %s: %v makes no sense", e.Field, e.Value)
-}
+// The scopes of deduplication.
+const (
+	DedupEverywhere DedupScope = iota // every endpoint
+	DedupInZone                       // the endpoints of the first attempt's zone
+	DedupInCell                       // the endpoints of the first attempt's cell
+)
 
-// withDefaults returns the settings with the values that absent ones stand for.
-func (s Settings) withDefaults() Settings {
-	s.MaxAttempts = max(1, s.MaxAttempts)
-	if s.ColdCapacity == 0 {
-		s.ColdCapacity = 1
-	}
-	return s
+// Class describes one class of requests.
+type Class struct {
+	Objective    time.Duration // latency objective: a response within it earns the full priority weight; over 0
+	Deadline     time.Duration // the time that a client waits, over all its tries; over 0
+	Priority     float64       // weight of a request, or of a unit of work if Settings.PriorityByWork
+	LatePriority float64       // share of that weight that a response between objective and deadline earns
+	Idempotency  Idempotency
+	DedupScope   DedupScope    // for IdempotentWithKey
+	DedupWindow  time.Duration // for IdempotentWithKey: how long after the first send a repeat is dropped
+	// Ordered requests with the same key run one at a time, in the order of their arrival. All ordered classes
+	// share one key space.
+	Ordered          bool
+	ObjectiveStretch float64 // the objective grows by this multiple of the request's work; 0: it does not
+	Streamed         bool    // the response is streamed: StreamStarted comes
 }
 
-// check returns a *SettingError for the first setting that makes no sense.
-func (s *Settings) check() error {
-	groups := []func() error{s.checkAgents, s.checkCounts, s.checkPrices, s.checkTenants, s.checkTimes}
-	for _, check := range groups {
-		if err := check(); err != nil {
-			return err
-		}
-	}
-	for i := range s.Classes {
-		if err := s.Classes[i].check(fmt.Sprintf("Classes[%d].", i)); err != nil {
-			return err
-		}
-	}
-	return nil
+// Tenant is one of the parties that share the service.
+type Tenant struct {
+	Share float64 // fraction of the service allotted to it
+	Quota float64 // requests per second, over all agents, that are within its share
 }
 
-// checkAgents checks who the agents are and what they may do.
-func (s *Settings) checkAgents() error {
-	switch {
-	case len(s.Classes) == 0:
-		return &SettingError{"Classes", "none"}
-	case s.Agents < 1:
-		return &SettingError{"Agents", s.Agents}
-	case s.AgentIndex < 0 || s.AgentIndex >= s.Agents:
-		return &SettingError{"AgentIndex", s.AgentIndex}
-	case s.MaxAttempts < 0:
-		return &SettingError{"MaxAttempts", s.MaxAttempts}
-	case !isFraction(s.ColdCapacity):
-		return &SettingError{"ColdCapacity", s.ColdCapacity}
-	case !isNotNegative(s.ColdOverloadMultiple):
-		return &SettingError{"ColdOverloadMultiple", s.ColdOverloadMultiple}
-	case s.Weights > WeightsLive:
-		return &SettingError{"Weights", s.Weights}
-	case s.LoadReports > LoadReportsWithHealthChecks:
-		return &SettingError{"LoadReports", s.LoadReports}
-	}
-	return nil
-}
+// Weights says what Endpoint.Weight means.
+type Weights uint8
 
-func (s *Settings) checkCounts() error {
-	return checkNotNegative([]namedValue[int]{
-		{"Zones", s.Zones}, {"Kinds", s.Kinds}, {"Tier", s.Tier}, {"Tiers", s.Tiers}, {"Zone", s.Zone},
-		{"MaxOpen", s.MaxOpen}, {"StreamsPerConn", s.StreamsPerConn},
-	})
-}
+// The meanings of weights.
+const (
+	WeightsNone    Weights = iota // always 1
+	WeightsNominal                // the registered size
+	WeightsRough                  // about the size
+	WeightsLive                   // the size over 1 + requests in flight per core, some time ago
+)
 
-func (s *Settings) checkPrices() error {
-	return checkNotNegative([]namedValue[float64]{
-		{"WeightOverall", s.WeightOverall}, {"WeightWorstWindow", s.WeightWorstWindow},
-		{"WeightWorstClass", s.WeightWorstClass}, {"WeightWorstTenant", s.WeightWorstTenant},
-		{"OverQuotaPriority", s.OverQuotaPriority}, {"CrossZonePrice", s.CrossZonePrice},
-		{"WastePrice", s.WastePrice}, {"LateFailPrice", s.LateFailPrice},
-		{"HealthCheckPrice", s.HealthCheckPrice}, {"GossipPrice", s.GossipPrice},
-		{"HandshakePrice", s.HandshakePrice}, {"ConnectionPrice", s.ConnectionPrice},
-		{"PollPrice", s.PollPrice}, {"MigrationPrice", s.MigrationPrice}, {"OriginPrice", s.OriginPrice},
-		{"FleetPrice", s.FleetPrice},
-	})
-}
+// LoadReportSource says what load reports come with.
+type LoadReportSource uint8
 
-func (s *Settings) checkTenants() error {
-	for i, tenant := range s.Tenants {
-		if !isNotNegative(tenant.Share) {
-			return &SettingError{fmt.Sprintf("Tenants[%d].Share", i), tenant.Share}
-		}
-		if !isNotNegative(tenant.Quota) {
-			return &SettingError{fmt.Sprintf("Tenants[%d].Quota", i), tenant.Quota}
-		}
-	}
-	return nil
-}
+// The sources of load reports.
+const (
+	LoadReportsNone             LoadReportSource = iota
+	LoadReportsWithResponses                     // with outcomes and health check results
+	LoadReportsWithHealthChecks                  // with health check results alone
+)
 
-func (s *Settings) checkTimes() error {
-	return checkNotNegative([]namedValue[time.Duration]{
-		{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
-		{"IdleClose", s.IdleClose}, {"DrainGrace", s.DrainGrace}, {"ResponseGrace", s.ResponseGrace},
-		{"PollWithin", s.PollWithin}, {"PollSpread", s.PollSpread},
-		{"RefusedPollSpread", s.RefusedPollSpread},
-		{"SlowStart", s.SlowStart}, {"ColdOverloadWindow", s.ColdOverloadWindow},
-		{"KeyQuietPeriod", s.KeyQuietPeriod}, {"CPUPerSecond", s.CPUPerSecond},
-		{"CPUPerRequest", s.CPUPerRequest},
-	})
-}
+// LoadReportFields is the set of values that load reports hold.
+type LoadReportFields uint8
 
-// check returns a *SettingError whose field is under the path.
-func (c *Class) check(path string) error {
-	switch {
-	case c.Objective <= 0:
-		return &SettingError{path + "Objective", c.Objective}
-	case c.Deadline <= 0:
-		return &SettingError{path + "Deadline", c.Deadline}
-	case !isNotNegative(c.Priority):
-		return &SettingError{path + "Priority", c.Priority}
-	case !isNotNegative(c.LatePriority):
-		return &SettingError{path + "LatePriority", c.LatePriority}
-	case !isNotNegative(c.ObjectiveStretch):
-		return &SettingError{path + "ObjectiveStretch", c.ObjectiveStretch}
-	case c.Idempotency > NotIdempotent:
-		return &SettingError{path + "Idempotency", c.Idempotency}
-	case c.DedupScope > DedupInCell:
-		return &SettingError{path + "DedupScope", c.DedupScope}
-	case c.DedupWindow < 0:
-		return &SettingError{path + "DedupWindow", c.DedupWindow}
-	}
-	return nil
-}
+// The values that load reports may hold.
+const (
+	FieldInFlight LoadReportFields = 1 << iota
+	FieldQueue
+	FieldUtilization
+	FieldService
+	FieldThroughput
+	FieldErrors
+)
 
-// namedValue is the value of a setting.
-type namedValue[T int | float64 | time.Duration] struct {
-	field string
-	value T
-}
+// Settings are fixed for the life of a Balancer. The zero value of a field that may be absent means what its
+// comment says; the zero value of a price, a goal or a span switches off what rests on it.
+//
+// Settings carries every setting that agents are given, so that all of them are checked when they are read.
+// Balancer does not act on the last group.
+type Settings struct {
+	// Who the agents are.
 
-// checkNotNegative returns a *SettingError for the first value that is negative or not a number.
-func checkNotNegative[T int | float64 | time.Duration](values []namedValue[T]) error {
-	for _, v := range values {
-		if !isNotNegative(v.value) {
-			return &SettingError{v.field, v.value}
-		}
-	}
-	return nil
-}
+	Agents     int // agents that share these endpoints, this one included; at least 1
+	AgentIndex int // this agent's number, from 0
+	Zone       int // this agent's zone
+
+	// The requests and how they are valued.
+
+	Classes           []Class // at least one
+	PriorityByWork    bool    // priorities count per unit of work, not per request
+	WeightOverall     float64 // weight of the priority served in all, in the operator's goal
+	WeightWorstWindow float64 // ... of the priority served in the worst window of time
+	WeightWorstClass  float64 // ... of the priority served of the worst class
+	CrossZonePrice    float64 // cost of a request that crosses zones, as a share of the result
+
+	// What an agent may do.
+
+	MaxAttempts    int           // attempts that one request may get; 0: 1
+	AllowHedging   bool          // two attempts of one request may be in flight together
+	AllowCancel    bool          // Cancel actions are allowed
+	SendRetryAfter bool          // clients are shown Reject.RetryAfter
+	MaxRetryAfter  time.Duration // the longest Retry-After that a client heeds
+	MaxOpen        int           // requests that an agent may hold open; 0: no limit
+	Tick           time.Duration // shortest time between two steps; 0: none
+
+	// How endpoints and their connections behave.
+
+	ConnectTimeout     time.Duration // a connection that is not made in this time fails
+	IdleClose          time.Duration // a connection unused for this long closes; 0: never
+	CacheAffinity      bool          // an endpoint that lately served a key serves it again with less work
+	RejectedMayHaveRun bool          // an attempt that ended as Rejected may have run
+	KeyQuietPeriod     time.Duration // Ordered: a key rests for this long after a time-out, reset or cancel
 
-// isNotNegative is false of NaN.
-func isNotNegative[T int | float64 | time.Duration](v T) bool { return v >= 0 }
+	// The endpoint list.
 
-func isFraction(v float64) bool { return v >= 0 && v <= 1 }
+	Subscribe         bool          // the list must be subscribed to; else it comes unasked
+	PollWithin        time.Duration // Subscribe: poll at least this often while not subscribed
+	PollSpread        time.Duration // Subscribe: poll within this time of a start or failure; 0: PollWithin
+	RefusedPollSpread time.Duration // Subscribe: poll within this time of a refusal; 0: PollWithin
+
+	// Slow start: an endpoint starts with SlowStartMinCapacity of its capacity and has all of it after
+	// SlowStartDuration. One that is sent more than SlowStartOverloadMultiple of its current capacity within
+	// SlowStartOverloadWindow is overloaded and fails.
+
+	SlowStartMinCapacity      float64 // share of the full capacity; 0: 1
+	SlowStartDuration         time.Duration
+	SlowStartOverloadMultiple float64
+	SlowStartOverloadWindow   time.Duration
+
+	// Checked and passed on, but not acted on by Balancer.
+
+	Zones             int              // number of zones; 0: unknown
+	Kinds             int              // number of machine kinds; 0: unknown
+	Tier              int              // the tier of endpoints that this agent sends to, from 0
+	Tiers             int              // number of tiers; 0: unknown
+	Tenants           []Tenant         // none: requests belong to no tenant
+	Weights           Weights          // what Endpoint.Weight means
+	LoadReports       LoadReportSource // what load reports come with
+	LoadReportFields  LoadReportFields // the values that load reports hold
+	MarksRetry        bool             // clients mark their retries, as Request.ClientRetry
+	PassesDeadline    bool             // endpoints pass on the time left to the next tier
+	AllowHealthChecks bool             // HealthCheck actions are allowed
+	AllowGossip       bool             // Gossip actions are allowed
+	StreamsPerConn    int              // attempts that one connection carries at once; 0: unknown
+	CPUPerSecond      time.Duration    // CPU that an agent has in each second; 0: no limit
+	CPUPerRequest     time.Duration    // mean CPU for a request with its outcomes; 0: no limit
+	DrainGrace        time.Duration    // how long sends to a draining endpoint are still tolerated
+	ResponseGrace     time.Duration    // how long after its deadline a final answer still counts
+	WeightWorstTenant float64          // weight of the priority served of the worst tenant within its share
+	OverQuotaPriority float64          // weight of a request beyond its tenant's share, against one within
+
+	// Further prices, as a share of the result, that Balancer does not weigh.
+
+	WastePrice       float64 // work of endpoints that served no response, as much as was requested
+	LateFailPrice    float64 // all priority left unserved only after its objective
+	HealthCheckPrice float64 // a health check for each request
+	GossipPrice      float64 // a message of 256 bytes for each request, for each receiver
+	HandshakePrice   float64 // a new connection for each request
+	ConnectionPrice  float64 // 100 open connections for each endpoint
+	PollPrice        float64 // 100 list lines for each request
+	MigrationPrice   float64 // a migration for each request
+	OriginPrice      float64 // a fetch from the origin for each request
+	FleetPrice       float64 // as many endpoints running as at the start
+}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -11,7 +11,7 @@
 // An endpoint that warms up gets no more than its warm-up fraction times what a warm one serves.
 func TestSlowStartShare(t *testing.T) {
 	list := endpoints(5)
-	list[0].Started = time.Hour // the harness's clock starts here
+	list[0].StartedAt = time.Hour // the harness's clock starts here
 	h := newHarness(t, settings(), 9, list)
 	counts := h.waves(1000, 10, idempotent, 20*ms) // the first 4 s of 10: warmth 0.2 to 0.52
 	if warm := (1000 - counts["a"]) / 4; float64(counts["a"]) > 0.52*float64(warm)+2 {
@@ -64,7 +64,7 @@
 			was := out
 			out = nil
 			for i, id := range was {
-				if h.sent[id][0] == "a" && list[0].Started > 0 {
+				if h.sent[id][0] == "a" && list[0].StartedAt > 0 {
 					answer(id, 5*ms)
 				} else if i == 0 {
 					answer(id, 50*ms)
@@ -81,7 +81,7 @@
 		note(h.request(fmt.Sprint("first", i), idempotent))
 	}
 	drive(400)
-	list[0].Started = h.now
+	list[0].StartedAt = h.now
 	h.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: list[:1]})
 	clear(counts)
 	drive(400)
@@ -102,7 +102,7 @@
 		send(fmt.Sprint("w", i), 20*ms)
 	}
 	h.step(balancer.EndpointList{Kind: balancer.ListDelta,
-		Endpoints: []balancer.Endpoint{{ID: "cold", Started: h.now}}})
+		Endpoints: []balancer.Endpoint{{ID: "cold", StartedAt: h.now}}})
 	for i := range 6 {
 		h.request(fmt.Sprint("busy", i), idempotent) // the warm ones are not idle
 	}
@@ -151,7 +151,7 @@
 	h.serve(100, idempotent, 50*ms)
 	grown := endpoints(20)
 	for i := 4; i < 20; i++ {
-		grown[i].Started = h.now
+		grown[i].StartedAt = h.now
 	}
 	h.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: grown})
 	warm := map[string]int{}
@@ -183,7 +183,7 @@
 		h := newHarness(t, s, seed, endpoints(2))
 		h.serve(20, idempotent, 20*ms)
 		h.step(balancer.EndpointList{Kind: balancer.ListDelta,
-			Endpoints: []balancer.Endpoint{{ID: "z", Started: h.now}}})
+			Endpoints: []balancer.Endpoint{{ID: "z", StartedAt: h.now}}})
 		h.now += 20 * ms
 		for i := range 7 {
 			h.request(fmt.Sprint("q", i), idempotent)
@@ -206,7 +206,7 @@
 	h.serve(100, notIdempotent, 10*ms)
 	list := endpoints(4)
 	for i := range list {
-		list[i].Started = h.now
+		list[i].StartedAt = h.now
 	}
 	h.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: list})
 	h.advance(3 * time.Second) // what was served before counts no longer
@@ -229,7 +229,7 @@
 // while the others are crowded.
 func TestSlowStartByAllAgentsTogether(t *testing.T) {
 	s := settings()
-	s.ColdOverloadMultiple, s.ColdOverloadWindow, s.ColdCapacity, s.SlowStart = 3, 1500*ms, 0.32, 8600*ms
+	s.SlowStartOverloadMultiple, s.SlowStartOverloadWindow, s.SlowStartMinCapacity, s.SlowStartDuration = 3, 1500*ms, 0.32, 8600*ms
 	for _, tt := range []struct {
 		name          string
 		started, gone float64 // parts of the endpoints; of started ones at least one
@@ -282,9 +282,9 @@
 	h := newHarness(t, s, 1, endpoints(4))
 	h.waves(40, 4, idempotent, 30*ms)
 	restarted := endpoints(1)[0]
-	restarted.Started = h.now + time.Hour
+	restarted.StartedAt = h.now + time.Hour
 	h.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{restarted}})
-	h.advance(s.SlowStart)
+	h.advance(s.SlowStartDuration)
 	if counts := h.waves(400, 4, idempotent, 30*ms); counts["a"] < 50 {
 		t.Errorf("after its slow start it got %d of 400", counts["a"])
 	}
--- a/balancer/untouched_test.go
+++ b/balancer/untouched_test.go
@@ -14,7 +14,7 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		s := settings()
-		s.SlowStart = time.Second
+		s.SlowStartDuration = time.Second
 		h := newHarness(t, s, seed, nil)
 		for i := range 400 {
 			h.step(randomList(rng, h.now))
@@ -48,7 +48,7 @@
 			entry.Weight = float64(rng.IntN(4))
 		}
 		if rng.IntN(10) == 0 {
-			entry.Started = now
+			entry.StartedAt = now
 		}
 		list.Endpoints = append(list.Endpoints, entry)
 	}
--- /dev/null
+++ b/balancer/validation.go
@@ -0,0 +1,152 @@
+package balancer
+
+import (
+	"fmt"
+	"time"
+)
+
+// SettingError reports a setting whose value makes no sense.
+type SettingError struct {
+	Field string // the path within Settings, such as "Agents" or "Classes[0].Objective"
+	Value any
+}
+
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("settings: %s: %v makes no sense", e.Field, e.Value)
+}
+
+// withDefaults returns the settings with the values that absent ones stand for.
+func (s Settings) withDefaults() Settings {
+	s.MaxAttempts = max(1, s.MaxAttempts)
+	if s.SlowStartMinCapacity == 0 {
+		s.SlowStartMinCapacity = 1
+	}
+	return s
+}
+
+// check returns a *SettingError for the first setting that makes no sense.
+func (s *Settings) check() error {
+	groups := []func() error{s.checkAgents, s.checkCounts, s.checkPrices, s.checkTenants, s.checkTimes}
+	for _, check := range groups {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	for i := range s.Classes {
+		if err := s.Classes[i].check(fmt.Sprintf("Classes[%d].", i)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkAgents checks who the agents are and what they may do.
+func (s *Settings) checkAgents() error {
+	switch {
+	case len(s.Classes) == 0:
+		return &SettingError{"Classes", "none"}
+	case s.Agents < 1:
+		return &SettingError{"Agents", s.Agents}
+	case s.AgentIndex < 0 || s.AgentIndex >= s.Agents:
+		return &SettingError{"AgentIndex", s.AgentIndex}
+	case s.MaxAttempts < 0:
+		return &SettingError{"MaxAttempts", s.MaxAttempts}
+	case !isFraction(s.SlowStartMinCapacity):
+		return &SettingError{"SlowStartMinCapacity", s.SlowStartMinCapacity}
+	case !isNotNegative(s.SlowStartOverloadMultiple):
+		return &SettingError{"SlowStartOverloadMultiple", s.SlowStartOverloadMultiple}
+	case s.Weights > WeightsLive:
+		return &SettingError{"Weights", s.Weights}
+	case s.LoadReports > LoadReportsWithHealthChecks:
+		return &SettingError{"LoadReports", s.LoadReports}
+	}
+	return nil
+}
+
+func (s *Settings) checkCounts() error {
+	return checkNotNegative([]namedValue[int]{
+		{"Zones", s.Zones}, {"Kinds", s.Kinds}, {"Tier", s.Tier}, {"Tiers", s.Tiers}, {"Zone", s.Zone},
+		{"MaxOpen", s.MaxOpen}, {"StreamsPerConn", s.StreamsPerConn},
+	})
+}
+
+func (s *Settings) checkPrices() error {
+	return checkNotNegative([]namedValue[float64]{
+		{"WeightOverall", s.WeightOverall}, {"WeightWorstWindow", s.WeightWorstWindow},
+		{"WeightWorstClass", s.WeightWorstClass}, {"WeightWorstTenant", s.WeightWorstTenant},
+		{"OverQuotaPriority", s.OverQuotaPriority}, {"CrossZonePrice", s.CrossZonePrice},
+		{"WastePrice", s.WastePrice}, {"LateFailPrice", s.LateFailPrice},
+		{"HealthCheckPrice", s.HealthCheckPrice}, {"GossipPrice", s.GossipPrice},
+		{"HandshakePrice", s.HandshakePrice}, {"ConnectionPrice", s.ConnectionPrice},
+		{"PollPrice", s.PollPrice}, {"MigrationPrice", s.MigrationPrice}, {"OriginPrice", s.OriginPrice},
+		{"FleetPrice", s.FleetPrice},
+	})
+}
+
+func (s *Settings) checkTenants() error {
+	for i, tenant := range s.Tenants {
+		if !isNotNegative(tenant.Share) {
+			return &SettingError{fmt.Sprintf("Tenants[%d].Share", i), tenant.Share}
+		}
+		if !isNotNegative(tenant.Quota) {
+			return &SettingError{fmt.Sprintf("Tenants[%d].Quota", i), tenant.Quota}
+		}
+	}
+	return nil
+}
+
+func (s *Settings) checkTimes() error {
+	return checkNotNegative([]namedValue[time.Duration]{
+		{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
+		{"IdleClose", s.IdleClose}, {"DrainGrace", s.DrainGrace}, {"ResponseGrace", s.ResponseGrace},
+		{"PollWithin", s.PollWithin}, {"PollSpread", s.PollSpread},
+		{"RefusedPollSpread", s.RefusedPollSpread},
+		{"SlowStartDuration", s.SlowStartDuration}, {"SlowStartOverloadWindow", s.SlowStartOverloadWindow},
+		{"KeyQuietPeriod", s.KeyQuietPeriod}, {"CPUPerSecond", s.CPUPerSecond},
+		{"CPUPerRequest", s.CPUPerRequest},
+	})
+}
+
+// check returns a *SettingError whose field is under the path.
+func (c *Class) check(path string) error {
+	switch {
+	case c.Objective <= 0:
+		return &SettingError{path + "Objective", c.Objective}
+	case c.Deadline <= 0:
+		return &SettingError{path + "Deadline", c.Deadline}
+	case !isNotNegative(c.Priority):
+		return &SettingError{path + "Priority", c.Priority}
+	case !isNotNegative(c.LatePriority):
+		return &SettingError{path + "LatePriority", c.LatePriority}
+	case !isNotNegative(c.ObjectiveStretch):
+		return &SettingError{path + "ObjectiveStretch", c.ObjectiveStretch}
+	case c.Idempotency > NotIdempotent:
+		return &SettingError{path + "Idempotency", c.Idempotency}
+	case c.DedupScope > DedupInCell:
+		return &SettingError{path + "DedupScope", c.DedupScope}
+	case c.DedupWindow < 0:
+		return &SettingError{path + "DedupWindow", c.DedupWindow}
+	}
+	return nil
+}
+
+// namedValue is the value of a setting.
+type namedValue[T int | float64 | time.Duration] struct {
+	field string
+	value T
+}
+
+// checkNotNegative returns a *SettingError for the first value that is negative or not a number.
+func checkNotNegative[T int | float64 | time.Duration](values []namedValue[T]) error {
+	for _, v := range values {
+		if !isNotNegative(v.value) {
+			return &SettingError{v.field, v.value}
+		}
+	}
+	return nil
+}
+
+// isNotNegative is false of NaN.
+func isNotNegative[T int | float64 | time.Duration](v T) bool { return v >= 0 }
+
+func isFraction(v float64) bool { return v >= 0 && v <= 1 }
--- a/balancer/settings_test.go
+++ b/balancer/validation_test.go
@@ -20,7 +20,7 @@
 		{"negative number", func(s *balancer.Settings) { s.AgentIndex = -1 }, "AgentIndex: -1"},
 		{"attempt limit below zero", func(s *balancer.Settings) { s.MaxAttempts = -2 }, "MaxAttempts: -2"},
 		{"drain grace below zero", func(s *balancer.Settings) { s.DrainGrace = -ms }, "DrainGrace: -1ms"},
-		{"cold share above one", func(s *balancer.Settings) { s.ColdCapacity = 1.5 }, "ColdCapacity: 1.5"},
+		{"cold share above one", func(s *balancer.Settings) { s.SlowStartMinCapacity = 1.5 }, "SlowStartMinCapacity: 1.5"},
 		{"unknown effect", func(s *balancer.Settings) { s.Classes[2].Idempotency = 9 },
 			"Classes[2].Idempotency: 9"},
 		{"unknown group", func(s *balancer.Settings) { s.Classes[1].DedupScope = 7 },
--- a/check.sh
+++ b/check.sh
@@ -41,7 +41,7 @@
 done
 for file in balancer/*.go; do
 	case "$file" in
-	*_test.go | balancer/api.go | balancer/settings.go | balancer/doc.go) continue ;; # tests, interface, comments
+	*_test.go | balancer/events.go | balancer/actions.go | balancer/settings.go | balancer/validation.go | balancer/doc.go) continue ;; # interface
 	esac
 	case " $policy " in
 	*" $file "*) ;;
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -110,7 +110,7 @@
 		ConnectTimeout: c.Settings.ConnectTimeout,
 		DrainGrace:     c.Settings.DrainGrace,
 		Seed:           c.Seed,
-		SlowStart:      discovery.SlowStart{Duration: c.Settings.SlowStart, ColdCapacity: c.Settings.ColdCapacity},
+		SlowStart:      discovery.SlowStart{Duration: c.Settings.SlowStartDuration, MinCapacity: c.Settings.SlowStartMinCapacity},
 	}
 }
 
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -43,7 +43,7 @@
 	now := 24 * time.Hour
 	list := balancer.EndpointList{Kind: balancer.ListCached}
 	for i := range 8 {
-		list.Endpoints = append(list.Endpoints, balancer.Endpoint{ID: strconv.Itoa(i), Started: time.Duration(i) * 3 * time.Hour})
+		list.Endpoints = append(list.Endpoints, balancer.Endpoint{ID: strconv.Itoa(i), StartedAt: time.Duration(i) * 3 * time.Hour})
 	}
 	module.Step(now, []balancer.Event{list})
 	results := []balancer.Result{balancer.Served, balancer.TimedOut, balancer.ConnectFailed, balancer.Rejected,
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -138,10 +138,10 @@
 	s.DrainGrace = duration(c.DrainGraceMs)
 	s.ResponseGrace = duration(c.GraceToAnswerMs)
 	s.PollWithin = duration(c.AskWithinMs)
-	s.ColdCapacity = c.ColdFrom
-	s.SlowStart = duration(c.RampTimeMs)
-	s.ColdOverloadMultiple = c.FallMultiple
-	s.ColdOverloadWindow = duration(c.FallMs)
+	s.SlowStartMinCapacity = c.ColdFrom
+	s.SlowStartDuration = duration(c.RampTimeMs)
+	s.SlowStartOverloadMultiple = c.FallMultiple
+	s.SlowStartOverloadWindow = duration(c.FallMs)
 	s.RejectedMayHaveRun = c.BusyIsNoProof
 	s.KeyQuietPeriod = duration(c.KeyRestMs)
 }
--- a/internal/discovery/convert.go
+++ b/internal/discovery/convert.go
@@ -20,13 +20,13 @@
 	event := balancer.EndpointList{Kind: kind, Endpoints: make([]balancer.Endpoint, 0, len(list.Entries))}
 	for _, entry := range list.Entries {
 		event.Endpoints = append(event.Endpoints, balancer.Endpoint{
-			ID:      entry.ID,
-			State:   entry.BalancerState(),
-			Zone:    slices.Index(c.zones, entry.Zone),
-			Cell:    entry.Cell,
-			Kind:    slices.Index(c.kinds, entry.Kind),
-			Weight:  entry.Weight,
-			Started: c.starts.of(entry.ID),
+			ID:        entry.ID,
+			State:     entry.BalancerState(),
+			Zone:      slices.Index(c.zones, entry.Zone),
+			Cell:      entry.Cell,
+			Kind:      slices.Index(c.kinds, entry.Kind),
+			Weight:    entry.Weight,
+			StartedAt: c.starts.of(entry.ID),
 		})
 	}
 	return event
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -32,7 +32,7 @@
 		ConnectTimeout: c.Settings.ConnectTimeout,
 		DrainGrace:     c.Settings.DrainGrace,
 		Seed:           c.Seed,
-		SlowStart:      SlowStart{Duration: c.Settings.SlowStart, ColdCapacity: c.Settings.ColdCapacity},
+		SlowStart:      SlowStart{Duration: c.Settings.SlowStartDuration, MinCapacity: c.Settings.SlowStartMinCapacity},
 	}, events
 }
 
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -12,18 +12,18 @@
 
 // SlowStart says how endpoints warm up.
 type SlowStart struct {
-	Duration     time.Duration // after which an endpoint is warm
-	ColdCapacity float64       // share of its capacity that it starts with
+	Duration    time.Duration // after which an endpoint is warm
+	MinCapacity float64       // share of its capacity that it starts with
 }
 
 // listDelay is how much older than a list proves an endpoint is taken to be, if this machine's clock agrees. Where a list
 // comes sooner and that clock is ahead, the endpoint passes for too old by this much: that must not double the share of
 // its capacity that it is taken to have.
 func (s SlowStart) listDelay() time.Duration {
-	if s.ColdCapacity <= 0 || s.ColdCapacity >= 1 {
+	if s.MinCapacity <= 0 || s.MinCapacity >= 1 {
 		return usualListDelay
 	}
-	doubled := s.ColdCapacity / (1 - s.ColdCapacity) * float64(s.Duration)
+	doubled := s.MinCapacity / (1 - s.MinCapacity) * float64(s.Duration)
 	return time.Duration(min(float64(usualListDelay), doubled))
 }
 
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	for _, ep := range event.Endpoints {
 		if ep.ID == id {
-			return ep.Started
+			return ep.StartedAt
 		}
 	}
 	t.Fatalf("no endpoint %s in %+v", id, event)
@@ -92,7 +92,7 @@
 	options, _ := newOptions(t, testutil.Config(t, "127.0.0.1:1", entries...))
 	event := New(options).Known()
 	for _, ep := range event.Endpoints {
-		if age := options.Clock.Now() - ep.Started; age < time.Minute {
+		if age := options.Clock.Now() - ep.StartedAt; age < time.Minute {
 			t.Errorf("%s started %v ago", ep.ID, age)
 		}
 	}
@@ -104,11 +104,11 @@
 		slowStart SlowStart
 		want      time.Duration
 	}{
-		{SlowStart{Duration: 8600 * time.Millisecond, ColdCapacity: 0.32}, usualListDelay},
-		{SlowStart{Duration: 9 * time.Second, ColdCapacity: 0.1}, time.Second},
-		{SlowStart{Duration: time.Second, ColdCapacity: 0.5}, time.Second},
+		{SlowStart{Duration: 8600 * time.Millisecond, MinCapacity: 0.32}, usualListDelay},
+		{SlowStart{Duration: 9 * time.Second, MinCapacity: 0.1}, time.Second},
+		{SlowStart{Duration: time.Second, MinCapacity: 0.5}, time.Second},
 		{SlowStart{}, usualListDelay},
-		{SlowStart{Duration: time.Second, ColdCapacity: 1}, usualListDelay},
+		{SlowStart{Duration: time.Second, MinCapacity: 1}, usualListDelay},
 	} {
 		if got := test.slowStart.listDelay(); got != test.want {
 			t.Errorf("%+v: %v, want %v", test.slowStart, got, test.want)
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -147,7 +147,7 @@
 	}
 	return balancer.Endpoint{
 		ID: item.Backend, State: state, Zone: item.Dc, Cell: item.Block,
-		Kind: item.Sku, Weight: item.Rating, Started: clock.Milliseconds(item.LaunchedMs),
+		Kind: item.Sku, Weight: item.Rating, StartedAt: clock.Milliseconds(item.LaunchedMs),
 	}, nil
 }
 
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -21,7 +21,7 @@
 		`{"Backend":"10.0.0.1:80","Availability":"on","Rating":1.5,"Block":2,"LaunchedMs":900,"Sku":1,"Dc":1},` +
 		`{"Backend":"10.0.0.2:80","Availability":"fading"},{"Backend":"10.0.0.3:80","Availability":"off"}]}`
 	entries := []balancer.Endpoint{
-		{ID: "10.0.0.1:80", Weight: 1.5, Cell: 2, Started: 900 * ms, Kind: 1, Zone: 1},
+		{ID: "10.0.0.1:80", Weight: 1.5, Cell: 2, StartedAt: 900 * ms, Kind: 1, Zone: 1},
 		{ID: "10.0.0.2:80", State: balancer.Draining}, {ID: "10.0.0.3:80", State: balancer.Removed}}
 	tests := []struct {
 		line string
