--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -4,9 +4,9 @@
 
 // Action is something that the agent must do now, in the order given.
 //
-// Agents and the simulator's wire carry out every kind. Balancer itself returns Send, Cancel, Reject, Fail, SetTimer
-// and Subscribe; the other kinds are part of the wire's form and are there for other policies behind the same
-// interface.
+// Agents and the simulator's wire carry out every kind. Balancer itself returns Send, Cancel, Reject, Fail,
+// SetTimer and Subscribe; the other kinds are part of the wire's form and are there for other policies behind
+// the same interface.
 type Action interface{ action() }
 
 func (Send) action()          {}
--- /dev/null
+++ b/balancer/attempt.go
@@ -0,0 +1,88 @@
+package balancer
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// overdueObjectiveShare is the least time without a response, as a share of the objective, that makes an
+	// attempt overdue.
+	overdueObjectiveShare = 0.35
+	// overdueLatencies is the same in expected latencies, which are long where all endpoints are crowded.
+	overdueLatencies = 6.0
+	// minExpectedLatencyNs keeps divisions by an expected latency finite.
+	minExpectedLatencyNs = 1.0
+)
+
+// attempt is one try of a request at one endpoint.
+type attempt struct {
+	endpoint          *endpoint
+	sentAt            time.Duration
+	expectedLatencyNs float64       // at least minExpectedLatencyNs
+	overdueAfter      time.Duration // without a response for longer, its endpoint may be unresponsive
+	inFlight          bool
+	newConnection     bool // the endpoint was not connected
+}
+
+func newAttempt(r *request, ep *endpoint, now time.Duration, newConnection bool) *attempt {
+	expectedNs := r.expectedLatencyNs()
+	overdueNs := max(overdueObjectiveShare*float64(r.class.Objective), overdueLatencies*expectedNs)
+	return &attempt{
+		endpoint:          ep,
+		sentAt:            now,
+		expectedLatencyNs: max(expectedNs, minExpectedLatencyNs),
+		overdueAfter:      time.Duration(overdueNs),
+		inFlight:          true,
+		newConnection:     newConnection,
+	}
+}
+
+func (a *attempt) isOverdue(now time.Duration) bool { return now-a.sentAt > a.overdueAfter }
+
+// latencyRatio is a latency over the expected one.
+func (a *attempt) latencyRatio(latency time.Duration) float64 {
+	return float64(latency) / a.expectedLatencyNs
+}
+
+// hadLittleTime reports whether the client of an attempt waited for a moment only: what it got says nothing
+// of the endpoint.
+func (a *attempt) hadLittleTime(r *request) bool {
+	usual := float64(min(r.class.Objective, r.class.Deadline))
+	return r.deadline-a.sentAt < time.Duration(overdueObjectiveShare*usual)
+}
+
+// send starts an attempt. Nothing else does: the rules for attempts are checked here once more.
+func (b *Balancer) send(r *request, ep *endpoint) {
+	allowed := b.attemptRules.allow(r, ep, b.now) && r.isNextOfKey(b.now)
+	if ep.State != Serving || !allowed || b.now >= r.deadline {
+		b.answerUnserved(r)
+		return
+	}
+	notAfter := r.repeatWindowEnd()
+	a := newAttempt(r, ep, b.now, !ep.isConnected(b.now, b.settings.IdleClose))
+	r.addAttempt(a)
+	b.endpoints.markObserved(ep)
+	ep.inFlight = append(ep.inFlight, a)
+	b.attemptsInFlight++
+	if len(r.attempts) == 1 {
+		b.traffic.sent++
+	}
+	if ep.warmUp.active {
+		b.slowStart.scheduleNextPermit(ep, b.now, a.expectedLatencyNs, b.fleet)
+	}
+	b.act(Send{Request: r.id, Endpoint: ep.ID, NotAfter: notAfter})
+	b.scheduleHedge(r)
+}
+
+// endAttempt takes an attempt out of the counts of those in flight.
+func (b *Balancer) endAttempt(r *request, a *attempt, result Result) {
+	ran := !result.NeverRan() || result == Rejected && b.settings.RejectedMayHaveRun
+	r.endAttempt(a, ran)
+	b.attemptsInFlight--
+	isEnded := func(other *attempt) bool { return other == a }
+	a.endpoint.inFlight = slices.DeleteFunc(a.endpoint.inFlight, isEnded)
+	if result == TimedOut || result == Reset || result == Cancelled {
+		r.keyQuietUntil = b.now + b.settings.KeyQuietPeriod
+	}
+}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -2,197 +2,173 @@
 
 import (
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 )
 
 // Balancer decides for one agent. See the package comment for its use.
+//
+// It holds the parts that decide, one for each concern. A part owns its state, which its own methods change;
+// Balancer dispatches the events to the parts and collects the actions. All random choices come from one
+// generator, in the order of the events, so that the same settings, seed and events give the same actions.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
-	now      time.Duration
-	actions  []Action // of the current step
-
-	classes      []*classState
-	requests     map[string]*request
-	timers       map[int64]*request // by token
-	lastTimer    int64              // the last token given out
-	openRequests int                // requests without a final answer
-	inFlight     int                // attempts without an outcome
-	queue        []*request         // the admission queue, oldest first
-	keyQueues    map[string]*keyQueue
-	quietKeys    []*keyQueue // those in a quiet period, which may be over, in the order of its end
-
-	endpoints      []*endpoint // in the order in which they were first listed
-	touched        []*endpoint // those that are looked at one by one
-	untouched      untouchedEndpoints
-	endpointByID   map[string]*endpoint
-	fleet          fleetSummary
-	subscribeTimer int64 // its token
-	listFailures   int   // in a row
-
-	// Of one pick; kept for their memory alone.
-	candidates      []candidate
-	connectedOthers []candidate // outside the subset
-	others          []otherCandidate
-
-	retryTokens      float64
-	limit            concurrencyLimit
-	traffic          recentTraffic
-	warmWork         float64 // work that a warm endpoint lately did for this agent, ns
-	warmWorkAt       time.Duration
-	latencyDeviation float64 // mean deviation of latency from its class's mean, over that mean
-	failureRate      float64 // share of recent attempts that ended by an error or a broken connection
+	now      time.Duration // of the current step
+	actions  []Action      // of the current step
+
+	requests         map[string]*request // those that are open or have attempts in flight, by ID
+	openRequests     int                 // requests without a final answer
+	attemptsInFlight int                 // attempts without an outcome
+	timers           timerTable
+
+	classes   classList
+	endpoints endpointSet
+	fleet     fleetSummary
+
+	queue        admissionQueue
+	keyQueues    keyQueues
+	traffic      trafficStats
+	limiter      concurrencyLimiter
+	picker       picker
+	attemptRules attemptRules
+	retryTokens  tokenBucket
+	hedger       hedger
+	outliers     outlierDetector
+	slowStart    slowStart
+	subscriber   subscriber
 }
 
-// New returns a balancer with no state. All its random choices come from seed.
+// New returns a balancer with no state. All its random choices come from seed. The error is a *SettingError.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{settings: s.withDefaults(), rng: rand.New(rand.NewPCG(seed, 0)),
-		endpointByID: map[string]*endpoint{}, requests: map[string]*request{},
-		keyQueues: map[string]*keyQueue{}, timers: map[int64]*request{},
-		limit:       concurrencyLimit{perEndpoint: minLimitPerEndpoint, baseRatio: targetRatio / targetRise},
-		retryTokens: retryTokenCapacity, latencyDeviation: 1}
-	for _, class := range s.Classes {
-		b.classes = append(b.classes, &classState{Class: class, index: len(b.classes),
-			meanLatency: float64(class.Objective) / 4, newOnTime: 1, connectedOnTime: 1})
+	b := &Balancer{
+		settings:  s.withDefaults(),
+		rng:       rand.New(rand.NewPCG(seed, 0)),
+		requests:  map[string]*request{},
+		timers:    newTimerTable(),
+		endpoints: newEndpointSet(s.Zone),
+		keyQueues: newKeyQueues(),
+	}
+	for i, class := range s.Classes {
+		b.classes = append(b.classes, newClassStats(class, i))
+	}
+	b.traffic = newTrafficStats(b.classes.reference().Objective)
+	b.limiter = newConcurrencyLimiter(s.Agents)
+	b.retryTokens = newTokenBucket()
+	b.hedger = newHedger()
+	b.attemptRules = attemptRules{
+		maxAttempts:    b.settings.MaxAttempts,
+		allowHedging:   s.AllowHedging,
+		connectTimeout: s.ConnectTimeout,
+	}
+	b.outliers = outlierDetector{rng: b.rng, connectTimeout: s.ConnectTimeout, classes: b.classes}
+	b.slowStart = newSlowStart(&b.settings, b.rng)
+	b.subscriber = subscriber{settings: &b.settings, rng: b.rng}
+	b.picker = picker{
+		settings:  &b.settings,
+		rng:       b.rng,
+		rules:     &b.attemptRules,
+		limiter:   &b.limiter,
+		traffic:   &b.traffic,
+		slowStart: &b.slowStart,
+		endpoints: &b.endpoints,
 	}
 	return b, nil
 }
 
-// Step takes what has happened by now, in order, and returns what to do.
+// Step takes what has happened by now, in order, and returns what to do, in order. now must not run
+// backwards.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now = max(now, b.now)
 	b.actions = nil
-	b.expireQuietKeys()
-	b.decayTraffic()
+	b.keyQueues.expire(b.now)
+	b.traffic.decay(b.now)
 	b.measureFleet()
 	for _, event := range events {
-		switch event := event.(type) {
-		case Request:
-			b.onRequest(event)
-		case Outcome:
-			b.onOutcome(event)
-		case TimerFired:
-			b.onTimer(event.Token)
-		case EndpointList:
-			b.onEndpointList(event)
-			b.measureFleet()
-		case StreamStarted:
-			if r := b.requests[event.Request]; r != nil && !r.ended {
-				r.streaming = true
-			}
-		case Abandoned:
-			if r := b.requests[event.Request]; r != nil {
-				b.closeRequest(r)
-			}
-		}
+		b.dispatch(event)
 	}
 	b.dispatchQueue()
 	return b.actions
 }
 
+// dispatch takes in one event. Health check results and gossip are ignored, since the balancer asks for
+// neither.
+func (b *Balancer) dispatch(event Event) {
+	switch event := event.(type) {
+	case Request:
+		b.onRequest(event)
+	case Outcome:
+		b.onOutcome(event)
+	case TimerFired:
+		b.onTimer(event.Token)
+	case EndpointList:
+		b.onEndpointList(event)
+		b.measureFleet()
+	case StreamStarted:
+		b.onStreamStarted(event)
+	case Abandoned:
+		b.onAbandoned(event)
+	}
+}
+
+// act adds an action to those of the current step.
+func (b *Balancer) act(action Action) { b.actions = append(b.actions, action) }
+
+// onRequest takes in a new request. One with an unknown class, or whose ID is in use, is ignored.
 func (b *Balancer) onRequest(event Request) {
 	if event.Class < 0 || event.Class >= len(b.classes) || b.requests[event.ID] != nil {
 		return
 	}
 	class := b.classes[event.Class]
-	r := &request{id: event.ID, class: class, objectiveAt: b.now + min(class.Objective, event.Timeout),
-		deadline: b.now + event.Timeout, clientRetry: event.ClientRetry, work: float64(event.Work)}
+	r := &request{
+		id:            event.ID,
+		class:         class,
+		objectiveAt:   b.now + min(class.Objective, event.Timeout),
+		deadline:      b.now + event.Timeout,
+		isClientRetry: event.ClientRetry,
+		workNs:        float64(event.Work),
+	}
 	if event.Key != "" {
 		r.keyHash = xxhash.Sum64String(event.Key)
 	}
 	b.observeArrival(r, event)
 	b.requests[r.id] = r
 	b.openRequests++
-	b.joinKeyQueue(r, event.Key)
-	b.enqueue(r)
-}
-
-func (b *Balancer) onOutcome(event Outcome) {
-	r, n := b.requests[event.Request], event.Attempt
-	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].inFlight {
-		return
-	}
-	a := r.attempts[n]
-	b.endAttempt(r, a, event.Result)
-	b.observeOutcome(r, a, event)
-	if event.Result == Served && !r.ended {
-		b.onServed(r)
-	}
-	if a.endpoint.isGone() {
-		b.forget(a.endpoint)
-	}
-	if event.Done || event.Result == Served || r.ended {
-		b.closeRequest(r)
-		return
-	}
-	r.lastFailed = a.endpoint
-	if r.inFlight == 0 && !r.backingOff && !r.queued {
-		b.retry(r, event.Result)
+	if event.Key != "" && class.Ordered {
+		b.keyQueues.join(r, event.Key)
 	}
+	b.queue.push(r)
 }
 
-func (b *Balancer) endAttempt(r *request, a *attempt, result Result) {
-	a.inFlight = false
-	r.inFlight--
-	b.inFlight--
-	a.endpoint.inFlight = slices.DeleteFunc(a.endpoint.inFlight, func(o *attempt) bool { return o == a })
-	if result == TimedOut || result == Reset || result == Cancelled {
-		r.quietUntil = b.now + b.settings.KeyQuietPeriod
-	}
-	if result.NeverRan() && (result != Rejected || !b.settings.RejectedMayHaveRun) {
-		if r.mayHaveRun--; r.mayHaveRun == 0 {
-			r.firstMayHaveRun = nil
-		}
+// observeArrival lets the request's class learn from it.
+func (b *Balancer) observeArrival(r *request, event Request) {
+	class := r.class
+	if class.observeTimeout(event.Timeout, b.settings.Tick, event.ClientRetry) {
+		r.isClientRetry = true
+		r.objectiveAt -= max(0, class.Deadline-event.Timeout)
 	}
+	class.observeWork(r.workNs)
+	b.classes.observeArrival(class)
 }
 
-func (b *Balancer) onServed(r *request) {
-	b.retryTokens = min(retryTokenCapacity, b.retryTokens+successTokenRefill)
-	if b.now <= r.objectiveAt {
-		r.class.onTime++
-		b.traffic.onTime++
-	}
-	for i, other := range r.attempts {
-		if other.inFlight && b.settings.AllowCancel {
-			b.actions = append(b.actions, Cancel{Request: r.id, Attempt: i})
-		}
+func (b *Balancer) onStreamStarted(event StreamStarted) {
+	if r := b.requests[event.Request]; r != nil && !r.hasEnded() {
+		r.isStreaming = true
 	}
 }
 
-func (b *Balancer) onTimer(token int64) {
-	if token == b.subscribeTimer && token != 0 {
-		b.subscribeTimer = 0
-		b.actions = append(b.actions, Subscribe{})
-		return
-	}
-	r := b.timers[token]
-	delete(b.timers, token)
-	if r == nil || r.ended || token != r.timer {
-		return
-	}
-	r.timer = 0 // a request that stays queued for longer than was expected gets another one
-	switch {
-	case r.backingOff:
-		r.backingOff = false
-		b.enqueue(r)
-	case r.inFlight > 0 && !r.queued && !r.streaming:
-		b.hedge(r)
+func (b *Balancer) onAbandoned(event Abandoned) {
+	if r := b.requests[event.Request]; r != nil {
+		b.closeRequest(r)
 	}
 }
 
-func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
-	r.timer = b.setTimer(at - b.now)
-	b.timers[r.timer] = r
-}
-
-func (b *Balancer) setTimer(wait time.Duration) int64 {
-	b.lastTimer++
-	b.actions = append(b.actions, SetTimer{After: wait, Token: b.lastTimer})
-	return b.lastTimer
+// pick chooses the endpoint of a request's next attempt; nil: none may be used now.
+func (b *Balancer) pick(r *request) *endpoint {
+	b.traffic.observeInFlight(b.activeInFlight())
+	return b.picker.pick(r, b.now, b.fleet)
 }
--- /dev/null
+++ b/balancer/class.go
@@ -0,0 +1,160 @@
+package balancer
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+const (
+	// smoothing is the weight of a new sample in a moving average: about the last 20 samples count.
+	smoothing = 0.1
+	// slowSmoothing is the weight in a moving average that has to change slowly.
+	slowSmoothing = smoothing / 10
+	// arrivalDecay is the share that decayed counts lose with each arrival: the last few hundred arrivals
+	// count.
+	arrivalDecay = smoothing / 20
+
+	// initialLatencyShare is the mean latency before any response, as a share of the objective.
+	initialLatencyShare = 0.25
+	// medianLatencyShare is the median latency over the mean: that of an exponential distribution.
+	medianLatencyShare = 0.7
+	// maxResponseShare is the most time that is set aside for a response, as a share of the objective.
+	maxResponseShare = 0.75
+	// significantOnTimeGap is a difference between two shares of requests on time that is not chance.
+	significantOnTimeGap = 0.1
+
+	// retryTimeoutTicks is the deviation from the usual timeout, in ticks, that tells a client's retry.
+	retryTimeoutTicks = 2
+	// timeoutStepsPerTick divides a tick into the steps in which the usual timeout follows the arrivals.
+	timeoutStepsPerTick = 4
+)
+
+// classStats is a class of requests and what has been learned of its requests.
+type classStats struct {
+	Class
+	index              int           // position in Settings.Classes
+	meanLatencyNs      float64       // of served requests
+	latencyObservedAt  time.Duration // when meanLatencyNs was last updated
+	meanWorkNs         float64       // of the requests that tell their expected work
+	usualTimeout       time.Duration // of clients' first tries
+	arrived            float64       // decayed count of requests
+	servedOnTime       float64       // decayed count of requests served within their objective
+	onTimeNewConn      float64       // share of attempts served on time over new connections
+	onTimeExistingConn float64       // share of attempts served on time over existing connections
+	priorityPerWork    float64       // what a unit of work adds to the operator's goal, in this step
+}
+
+func newClassStats(class Class, index int) *classStats {
+	return &classStats{
+		Class:              class,
+		index:              index,
+		meanLatencyNs:      initialLatencyShare * float64(class.Objective),
+		onTimeNewConn:      1,
+		onTimeExistingConn: 1,
+	}
+}
+
+// onTimeShare is the share of recent requests that were served within their objective.
+func (c *classStats) onTimeShare() float64 { return (c.servedOnTime + 1) / (c.arrived + 1) }
+
+// observeTimeout learns the usual timeout from a new request and reports whether the request is a client's
+// retry: a client gives its first tries the usual timeout, and its last try all that is left of its deadline.
+func (c *classStats) observeTimeout(timeout, tick time.Duration, markedRetry bool) (isRetry bool) {
+	c.usualTimeout = cmp.Or(c.usualTimeout, timeout)
+	difference := timeout - c.usualTimeout
+	if !markedRetry {
+		// Steps of constant size lead to the median.
+		step := tick / timeoutStepsPerTick
+		c.usualTimeout += min(max(difference, -step), step)
+	}
+	return difference.Abs() > retryTimeoutTicks*tick
+}
+
+// observeWork learns from the expected work of a new request.
+func (c *classStats) observeWork(workNs float64) {
+	if workNs > 0 {
+		c.meanWorkNs = movingAverage(c.meanWorkNs, workNs)
+	}
+}
+
+// observeLatency learns from the latency of a served request, scaled to a request of mean work, and returns
+// how much the scaled latency deviates from the mean, as a multiple of the mean.
+func (c *classStats) observeLatency(now, latency time.Duration, workNs float64) (deviation float64) {
+	sampleNs := float64(latency)
+	if workNs > 0 && c.meanWorkNs > 0 {
+		sampleNs *= c.meanWorkNs / workNs
+	}
+	deviation = sampleNs/c.meanLatencyNs - 1
+	c.meanLatencyNs = movingAverage(c.meanLatencyNs, max(sampleNs, 1))
+	c.latencyObservedAt = now
+	return deviation
+}
+
+// observeAttempt learns whether attempts over new connections are served on time as often as others.
+func (c *classStats) observeAttempt(onTime, newConnection bool) {
+	sample := 0.0
+	if onTime {
+		sample = 1
+	}
+	if newConnection {
+		c.onTimeNewConn += smoothing * (sample - c.onTimeNewConn)
+		return
+	}
+	c.onTimeExistingConn += smoothing * (sample - c.onTimeExistingConn)
+	// New connections may be too rare to update their own share, which therefore follows the other slowly.
+	c.onTimeNewConn += slowSmoothing * (sample - c.onTimeNewConn)
+}
+
+// newConnectionsAreOnTime reports whether attempts over new connections are served on time as often as
+// others.
+func (c *classStats) newConnectionsAreOnTime() bool {
+	return c.onTimeNewConn >= c.onTimeExistingConn-significantOnTimeGap
+}
+
+// expectedLatencyNs is the expected latency of a request with the given expected work (0: unknown).
+func (c *classStats) expectedLatencyNs(workNs float64) float64 {
+	if workNs > 0 && c.meanWorkNs > 0 {
+		return c.meanLatencyNs * workNs / c.meanWorkNs
+	}
+	return c.meanLatencyNs
+}
+
+// objectiveRatio is a latency over the objective.
+func (c *classStats) objectiveRatio(latency time.Duration) float64 {
+	return float64(latency) / float64(c.Objective)
+}
+
+// latencyIsRecent reports whether a latency was observed recently enough to predict the next ones.
+func (c *classStats) latencyIsRecent(now time.Duration) bool {
+	return now-c.latencyObservedAt <= time.Duration(trafficWindowObjectives*float64(c.Objective))
+}
+
+// classList holds all classes, in the order of the settings. There is at least one.
+type classList []*classStats
+
+// reference is the class whose objective and latency give the time scale of what concerns all classes.
+func (l classList) reference() *classStats { return l[0] }
+
+// observeArrival counts a request of a class.
+func (l classList) observeArrival(class *classStats) {
+	for _, c := range l {
+		c.arrived *= 1 - arrivalDecay
+		c.servedOnTime *= 1 - arrivalDecay
+	}
+	class.arrived++
+}
+
+// worst is the class with the lowest share of requests on time.
+func (l classList) worst() *classStats { return slices.MinFunc(l, compareOnTimeShare) }
+
+// best is the class with the highest share of requests on time.
+func (l classList) best() *classStats { return slices.MaxFunc(l, compareOnTimeShare) }
+
+func compareOnTimeShare(x, y *classStats) int { return cmp.Compare(x.onTimeShare(), y.onTimeShare()) }
+
+// movingAverage returns the exponential moving average after a sample. A mean of 0 has had no sample yet.
+func movingAverage(mean, sample float64) float64 {
+	mean = cmp.Or(mean, sample)
+	return mean + smoothing*(sample-mean)
+}
--- /dev/null
+++ b/balancer/concurrency.go
@@ -0,0 +1,116 @@
+package balancer
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// minLimitPerEndpoint is the least, and the first, limit for an endpoint: attempts in flight of all
+	// agents.
+	minLimitPerEndpoint = 4.0
+	// unlimitedBelow is the share of the least limit, in attempts, below which an agent has no limit.
+	unlimitedBelow = 0.6
+	// limitDecreaseFactor multiplies the limit at each decrease.
+	limitDecreaseFactor = 0.9
+	// limitIncrease is added to the limit for an endpoint, in attempts, over one round of responses.
+	limitIncrease = 0.7
+	// bindingShare is the share of the limit that must be in flight for the limit to grow.
+	bindingShare = 0.9
+
+	// maxTargetRatio is the latency ratio above which the limit falls in any case.
+	maxTargetRatio = 0.35
+	// minTargetRatio is the latency ratio up to which the limit never falls: the delay does no harm.
+	minTargetRatio = 0.15
+	// targetOverBaseline is the multiple of the baseline ratio above which the limit falls, between these
+	// two.
+	targetOverBaseline = 3.0
+
+	// maxRatioSample is the most that one response counts for.
+	maxRatioSample = 2.0
+	// maxSampleOverBaseline is the most that one response counts for, as a multiple of the baseline ratio ...
+	maxSampleOverBaseline = 4.0
+	// minSampleBound is the least value of that bound.
+	minSampleBound = 2 * minTargetRatio
+	// initialRatioSamples is the number of responses that set the baseline before the limit is adjusted.
+	initialRatioSamples = 1 / smoothing
+	// baselineRiseDivisor is how many times slower the baseline rises than it falls.
+	baselineRiseDivisor = 100
+)
+
+// concurrencyLimiter is the adaptive limit on attempts in flight: additive increase while it binds and
+// latencies are low, multiplicative decrease when they are high. A latency ratio is latency over objective.
+//
+// All agents keep a limit for an endpoint, and each agent takes its part of it by head count, since agents
+// share nothing.
+type concurrencyLimiter struct {
+	agents        float64
+	perEndpoint   float64 // attempts in flight, of all agents together
+	meanRatio     float64 // mean latency ratio
+	baselineRatio float64 // mean latency ratio without queueing: follows meanRatio down fast and up slowly
+	samples       float64 // latency ratios observed
+	decreasedAt   time.Duration
+}
+
+func newConcurrencyLimiter(agents int) concurrencyLimiter {
+	return concurrencyLimiter{
+		agents:        float64(agents),
+		perEndpoint:   minLimitPerEndpoint,
+		baselineRatio: maxTargetRatio / targetOverBaseline,
+	}
+}
+
+// limit is this agent's part of the limit, in attempts. It is infinite where the part is so small that
+// requests would queue behind any slow one; the throttle acts instead.
+func (l *concurrencyLimiter) limit(fleet fleetSummary) float64 {
+	if l.leastLimitIsBelow(unlimitedBelow, fleet) {
+		return math.Inf(1)
+	}
+	return max(1, l.perEndpoint*fleet.capacity/l.agents)
+}
+
+// endpointShares is a multiple of this agent's part of the limit for one endpoint, in attempts.
+func (l *concurrencyLimiter) endpointShares(multiple float64) float64 {
+	return multiple * l.perEndpoint / l.agents
+}
+
+// leastLimitIsBelow reports whether this agent's part of the least limit is under a number of attempts.
+func (l *concurrencyLimiter) leastLimitIsBelow(attempts float64, fleet fleetSummary) bool {
+	return minLimitPerEndpoint*float64(fleet.serving) < attempts*l.agents
+}
+
+// observe learns from the latency ratio of a response, or of an attempt that had none, and adjusts the limit.
+// meanLatencyNs is the shortest time between two decreases.
+func (l *concurrencyLimiter) observe(
+	now time.Duration, ratio, inFlight, meanLatencyNs float64, fleet fleetSummary,
+) {
+	l.samples++
+	if l.samples <= initialRatioSamples {
+		l.meanRatio += (min(ratio, maxRatioSample) - l.meanRatio) / l.samples
+		l.baselineRatio = l.meanRatio
+		return
+	}
+	limit := l.limit(fleet)
+	l.updateRatios(ratio, limit)
+	target := min(maxTargetRatio, max(targetOverBaseline*l.baselineRatio, minTargetRatio))
+	switch {
+	case l.meanRatio > target && now-l.decreasedAt > time.Duration(meanLatencyNs):
+		l.perEndpoint = max(minLimitPerEndpoint, l.perEndpoint*limitDecreaseFactor)
+		l.decreasedAt = now
+	case l.meanRatio < target && inFlight+1 >= limit*bindingShare:
+		l.perEndpoint += limitIncrease / limit
+	}
+}
+
+// updateRatios moves the mean and the baseline. The mean spans what is in flight at once, since one heavy
+// request says only that it was heavy.
+func (l *concurrencyLimiter) updateRatios(ratio, limit float64) {
+	weight := min(smoothing, 1/limit)
+	bound := max(maxSampleOverBaseline*l.baselineRatio, minSampleBound)
+	l.meanRatio += weight * (min(ratio, bound, maxRatioSample) - l.meanRatio)
+	change := l.meanRatio - l.baselineRatio
+	if change > 0 {
+		change /= baselineRiseDivisor
+	}
+	l.baselineRatio += weight * smoothing * change
+}
--- /dev/null
+++ b/balancer/ejection.go
@@ -0,0 +1,76 @@
+package balancer
+
+import "time"
+
+const (
+	// maxEjectionLevel bounds the length of ejections: the longest is 2^(maxEjectionLevel-1) times the first.
+	maxEjectionLevel = 5.0
+	// ejectionRecovery is the number of levels that a served attempt takes back: one error in five still
+	// raises them.
+	ejectionRecovery = 0.25
+	// probationMultiple is the multiple of its ejection for which an endpoint gets no request that is not
+	// idempotent.
+	probationMultiple = 2
+)
+
+// ejectionState is the health of one endpoint: failures in a row, and the ejections that came of them.
+type ejectionState struct {
+	consecutiveFailures int
+	firstFailureAt      time.Duration // the first of these
+	unreachable         bool          // connections failed or broke since it last served
+	level               float64       // each ejection raises it, each served attempt lowers it
+	ejectedAt           time.Duration
+	ejectedUntil        time.Duration
+	avoidedUntil        time.Duration // it shed a request or refused a connection a moment ago
+	byClass             []classEjection
+}
+
+// classEjection keeps an endpoint from the requests of one class.
+type classEjection struct {
+	until    time.Duration
+	timeouts float64 // in a row
+}
+
+func (e *ejectionState) isEjected(now time.Duration) bool { return now < e.ejectedUntil }
+
+// observeServed notes a served attempt of a class.
+func (e *ejectionState) observeServed(class *classStats) {
+	e.unreachable = false
+	e.consecutiveFailures = 0
+	e.level = max(0, e.level-ejectionRecovery)
+	e.byClass[class.index] = classEjection{}
+}
+
+// observeFailure notes a failed attempt and reports whether it is the first in a row.
+func (e *ejectionState) observeFailure(now time.Duration) (isFirst bool) {
+	e.consecutiveFailures++
+	if e.consecutiveFailures > 1 {
+		return false
+	}
+	e.firstFailureAt = now
+	return true
+}
+
+// observeStart ends an ejection, which was that of the process before.
+func (e *ejectionState) observeStart() {
+	e.level, e.ejectedUntil, e.unreachable = 0, 0, false
+}
+
+// mayProbe reports whether an endpoint that recovers from an ejection may get a request of a class. A request
+// that is not idempotent has to wait for as long again as the ejection took.
+func (e *ejectionState) mayProbe(class *classStats, now time.Duration) bool {
+	if class.Idempotency != NotIdempotent {
+		return true
+	}
+	return now >= probationMultiple*e.ejectedUntil-e.ejectedAt
+}
+
+// isHealthyFor reports whether an endpoint may get a request of a class as ordinary traffic. After an
+// ejection it gets one attempt at a time until it has recovered.
+func (ep *endpoint) isHealthyFor(class *classStats, now time.Duration) bool {
+	e := &ep.ejection
+	if e.isEjected(now) || ep.isUnresponsive(now) || now < e.byClass[class.index].until {
+		return false
+	}
+	return e.level == 0 || e.mayProbe(class, now) && len(ep.inFlight) == 0
+}
--- /dev/null
+++ b/balancer/endpoint.go
@@ -0,0 +1,119 @@
+package balancer
+
+import (
+	"cmp"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// endpoint is an entry of the endpoint list and what has been learned of it.
+type endpoint struct {
+	Endpoint
+	hash       uint64     // of its ID
+	rank       float64    // random place in this agent's order if all were alike, the least first
+	inFlight   []*attempt // oldest first
+	isObserved bool       // something has been learned of it; else it is as it was first listed
+
+	connection connectionState
+	responses  responseStats
+	ejection   ejectionState
+	warmUp     warmUp
+}
+
+// newEndpoint returns an endpoint of which nothing is known but that it is listed.
+func newEndpoint(entry Endpoint, rank float64, classes int) *endpoint {
+	ep := &endpoint{Endpoint: entry, hash: xxhash.Sum64String(entry.ID), rank: rank}
+	ep.StartedAt = 0 // its start, if the list tells one, is still to be taken in
+	ep.ejection.byClass = make([]classEjection, classes)
+	return ep
+}
+
+// isGone reports whether it was removed and none of its attempts is in flight.
+func (ep *endpoint) isGone() bool { return ep.State == Removed && len(ep.inFlight) == 0 }
+
+// size is the listed size; without sizes all endpoints are alike.
+func (ep *endpoint) size() float64 { return cmp.Or(max(0, ep.Weight), 1) }
+
+// isConnected reports whether a new attempt probably finds an open connection.
+func (ep *endpoint) isConnected(now, idleClose time.Duration) bool {
+	return len(ep.inFlight) > 0 || ep.connection.mayBeOpen(now, idleClose)
+}
+
+// isUnresponsive reports whether it has served nothing since its oldest attempt, which is overdue, was sent.
+func (ep *endpoint) isUnresponsive(now time.Duration) bool {
+	if len(ep.inFlight) == 0 {
+		return false
+	}
+	oldest := ep.inFlight[0]
+	return ep.responses.lastServedAt < oldest.sentAt && oldest.isOverdue(now)
+}
+
+// isUsable reports whether its capacity counts as part of the fleet's.
+func (ep *endpoint) isUsable(now time.Duration) bool {
+	healthy := !ep.ejection.unreachable && !ep.ejection.isEjected(now) && !ep.isUnresponsive(now)
+	return ep.State == Serving && healthy
+}
+
+// connectionState is what is known of the agent's connections to an endpoint.
+type connectionState struct {
+	connected          bool // the latest attempt left a connection that may be used again
+	lastUsedAt         time.Duration
+	latestAnsweredSend time.Duration // send time of the latest attempt that was answered
+}
+
+// mayBeOpen reports whether an idle connection is probably still open.
+func (c *connectionState) mayBeOpen(now, idleClose time.Duration) bool {
+	return c.connected && (idleClose == 0 || now-c.lastUsedAt < idleClose)
+}
+
+// observe learns from the end of an attempt.
+func (c *connectionState) observe(now time.Duration, a *attempt, answered bool) {
+	c.connected = answered
+	c.lastUsedAt = now
+	if answered {
+		c.latestAnsweredSend = max(c.latestAnsweredSend, a.sentAt)
+	}
+}
+
+const (
+	// latencyRatioPrior is the number of responses that the ratio of 1 counts for at a new endpoint.
+	latencyRatioPrior = 2.0
+	// maxLatencyRatioSample is the most that one response can say of an endpoint's latency ratio.
+	maxLatencyRatioSample = 8.0
+)
+
+// responseStats is what an endpoint's responses say of it.
+type responseStats struct {
+	hasServed    bool // since it started
+	lastServedAt time.Duration
+	latencyRatio float64 // mean of its latencies over the expected ones; 0: none observed
+	samples      float64 // latencies that the mean rests on
+}
+
+// ratio is how many times the expected latency it takes.
+func (s *responseStats) ratio() float64 { return cmp.Or(s.latencyRatio, 1) }
+
+// observeServed notes a response.
+func (s *responseStats) observeServed(now time.Duration) {
+	s.lastServedAt, s.hasServed = now, true
+}
+
+// observeRatio learns from one latency over the expected one.
+func (s *responseStats) observeRatio(sample float64) {
+	s.samples++
+	s.latencyRatio = s.ratio()
+	weight := max(smoothing, 1/(s.samples+latencyRatioPrior))
+	s.latencyRatio += weight * (min(sample, maxLatencyRatioSample) - s.latencyRatio)
+}
+
+// observeNoResponse lets the next responses count for more, and forgets that the endpoint was faster than
+// others.
+func (s *responseStats) observeNoResponse() {
+	s.latencyRatio, s.samples = max(s.latencyRatio, 1), 0
+}
+
+// observeStart forgets what the process before said.
+func (s *responseStats) observeStart() {
+	s.hasServed, s.latencyRatio, s.samples = false, 0, 0
+}
--- /dev/null
+++ b/balancer/endpointset.go
@@ -0,0 +1,118 @@
+package balancer
+
+import "slices"
+
+// endpointSet holds the endpoints that are listed or still have attempts in flight.
+type endpointSet struct {
+	byID       map[string]*endpoint
+	all        []*endpoint // in the order in which they were first listed
+	observed   []*endpoint // those of which something has been learned, in that order; a step looks at each
+	unobserved unobservedEndpoints
+}
+
+func newEndpointSet(ownZone int) endpointSet {
+	return endpointSet{byID: map[string]*endpoint{}, unobserved: unobservedEndpoints{zone: ownZone}}
+}
+
+func (s *endpointSet) add(ep *endpoint) {
+	s.byID[ep.ID] = ep
+	s.all = append(s.all, ep)
+	s.unobserved.add(ep)
+}
+
+// markObserved moves an endpoint to those that each step looks at.
+func (s *endpointSet) markObserved(ep *endpoint) {
+	if ep.isObserved {
+		return
+	}
+	s.unobserved.remove(ep)
+	ep.isObserved = true
+	s.observed = append(s.observed, ep)
+}
+
+// update takes over what the list now says of an endpoint.
+func (s *endpointSet) update(ep *endpoint, entry Endpoint) {
+	changesPlace := !ep.isObserved && (entry.Zone != ep.Zone || entry.Weight != ep.Weight)
+	if changesPlace {
+		s.unobserved.remove(ep)
+	}
+	ep.Endpoint = entry
+	if changesPlace {
+		s.unobserved.add(ep)
+	}
+}
+
+// removeIfGone drops an endpoint that was removed and has no attempt in flight.
+func (s *endpointSet) removeIfGone(ep *endpoint) {
+	if !ep.isGone() {
+		return
+	}
+	s.all = deleteEndpoint(s.all, ep)
+	s.observed = deleteEndpoint(s.observed, ep)
+	delete(s.byID, ep.ID)
+}
+
+// removeUnlisted removes the endpoints that a complete list does not name, in one pass.
+func (s *endpointSet) removeUnlisted(entries []Endpoint) {
+	listed := make(map[string]bool, len(entries))
+	for _, entry := range entries {
+		listed[entry.ID] = true
+	}
+	for _, ep := range s.all {
+		if listed[ep.ID] {
+			continue
+		}
+		s.markObserved(ep)
+		ep.State = Removed
+		if ep.isGone() {
+			delete(s.byID, ep.ID)
+		}
+	}
+	s.all = slices.DeleteFunc(s.all, (*endpoint).isGone)
+	s.observed = slices.DeleteFunc(s.observed, (*endpoint).isGone)
+}
+
+func deleteEndpoint(endpoints []*endpoint, ep *endpoint) []*endpoint {
+	i := slices.Index(endpoints, ep)
+	if i < 0 {
+		return endpoints
+	}
+	return slices.Delete(endpoints, i, i+1)
+}
+
+// onEndpointList takes in endpoints, or the failure to get them.
+func (b *Balancer) onEndpointList(list EndpointList) {
+	if wait, ok := b.subscriber.observe(list.Kind); ok {
+		b.timers.subscribe = b.setTimer(wait)
+	}
+	if list.Kind.hasFailed() {
+		return
+	}
+	for _, entry := range list.Endpoints {
+		b.applyEntry(entry)
+	}
+	if list.Kind != ListDelta {
+		b.endpoints.removeUnlisted(list.Endpoints)
+	}
+}
+
+// applyEntry takes in one entry of a list.
+func (b *Balancer) applyEntry(entry Endpoint) {
+	ep := b.endpoints.byID[entry.ID]
+	if ep == nil {
+		if entry.State == Removed {
+			return
+		}
+		ep = newEndpoint(entry, b.rng.ExpFloat64(), len(b.classes))
+		b.endpoints.add(ep)
+	}
+	if entry.State != Serving {
+		b.endpoints.markObserved(ep)
+	}
+	if entry.StartedAt > ep.StartedAt {
+		b.startWarmUp(ep, min(max(entry.StartedAt, ep.warmUp.startedAt), b.now))
+		ep.ejection.observeStart()
+	}
+	b.endpoints.update(ep, entry)
+	b.endpoints.removeIfGone(ep)
+}
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -1,41 +1,44 @@
 package balancer
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 )
 
-// StateSize counts what a Balancer keeps: requests, queued ones, timers, keys and attempts out.
+// StateSize counts what a Balancer keeps: requests, queued ones, timers, keys and attempts in flight.
 func (b *Balancer) StateSize() int {
-	n := len(b.requests) + len(b.queue) + len(b.timers) + len(b.keyQueues) + len(b.quietKeys)
-	for _, t := range b.endpoints {
-		n += len(t.inFlight)
+	n := len(b.requests) + b.queue.len() + len(b.timers.requests) + len(b.keyQueues.byKey) + len(b.keyQueues.quiet)
+	for _, ep := range b.endpoints.all {
+		n += len(ep.inFlight)
 	}
 	return n
 }
 
 // EndpointCount counts the endpoints that a Balancer keeps.
 func (b *Balancer) EndpointCount() int {
-	return max(len(b.endpoints), len(b.endpointByID), len(b.touched)+b.untouched.count())
+	set := &b.endpoints
+	return max(len(set.all), len(set.byID), len(set.observed)+set.unobserved.len())
 }
 
 // CheckOrder returns an error unless each endpoint is kept in the one place where it belongs.
 func (b *Balancer) CheckOrder() error {
-	if len(b.endpoints) != len(b.touched)+b.untouched.count() || len(b.endpoints) != len(b.endpointByID) {
-		return fmt.Errorf("%d endpoints, %d by ID, %d touched, %d untouched", len(b.endpoints),
-			len(b.endpointByID), len(b.touched), b.untouched.count())
+	set := &b.endpoints
+	if len(set.all) != len(set.observed)+set.unobserved.len() || len(set.all) != len(set.byID) {
+		return fmt.Errorf("%d endpoints, %d by ID, %d observed, %d unobserved", len(set.all),
+			len(set.byID), len(set.observed), set.unobserved.len())
 	}
-	for _, order := range []preferenceOrder{b.untouched.ownZone, b.untouched.otherZones} {
-		if !slices.IsSortedFunc(order, comparePreference) {
-			return fmt.Errorf("the untouched endpoints are not in order")
+	for _, order := range []preferenceOrder{set.unobserved.ownZone, set.unobserved.otherZones} {
+		if !slices.IsSortedFunc(order, compareUnobserved) {
+			return errors.New("the unobserved endpoints are not in order")
 		}
 	}
-	for _, ep := range b.endpoints {
-		place := []*endpoint(*b.orderOf(ep))
-		if ep.touched {
-			place = b.touched
-		} else if ep.State != Serving || len(ep.inFlight) > 0 || ep.warmingUp {
-			return fmt.Errorf("%s passes for untouched", ep.ID)
+	for _, ep := range set.all {
+		place := []*endpoint(*set.unobserved.orderOf(ep))
+		if ep.isObserved {
+			place = set.observed
+		} else if ep.State != Serving || len(ep.inFlight) > 0 || ep.warmUp.active {
+			return fmt.Errorf("%s passes for unobserved", ep.ID)
 		}
 		if !slices.Contains(place, ep) {
 			return fmt.Errorf("%s is not where it belongs", ep.ID)
@@ -46,7 +49,8 @@
 
 // EndpointsLookedAt counts the endpoints that a step and the pick for a new request look at one by one.
 func (b *Balancer) EndpointsLookedAt() int {
-	r := &request{class: b.classes[0]}
-	b.collectCandidates(r, minSubset)
-	return len(b.touched) + len(b.candidates) + len(b.others)
+	info := b.picker.pickInfo(&request{class: b.classes[0]}, b.now, b.fleet, minSubset)
+	var candidates candidateSet
+	b.picker.collect(&info, &candidates)
+	return len(b.endpoints.observed) + len(candidates.members) + len(candidates.outsiders)
 }
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -1,98 +1,64 @@
 package balancer
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
-// mayAttempt reports whether a first or further attempt of r may go to an endpoint.
-func (b *Balancer) mayAttempt(r *request, ep *endpoint) bool {
-	if r.ended || r.streaming || len(r.attempts) >= b.settings.MaxAttempts {
-		return false
-	}
-	return (r.inFlight == 0 || b.settings.AllowHedging) && (r.mayHaveRun == 0 || b.mayRepeat(r, ep))
+// attemptRules say where a first or further attempt of a request may go. They hold for every attempt,
+// whatever the picker, the retries and the hedging want.
+type attemptRules struct {
+	maxAttempts    int
+	allowHedging   bool
+	connectTimeout time.Duration
 }
 
-// mayRepeat reports whether a request that may have run has no further effect at an endpoint.
-func (b *Balancer) mayRepeat(r *request, ep *endpoint) bool {
-	class, first := r.class, r.firstMayHaveRun
-	if class.Idempotency != IdempotentWithKey {
-		return class.Idempotency == Idempotent
-	}
-	// A connection may take its time-out to come up, and the window must not end meanwhile.
-	if b.now-first.sentAt >= class.DedupWindow-b.settings.ConnectTimeout {
+// allow reports whether an attempt of r may go to an endpoint now.
+func (rules *attemptRules) allow(r *request, ep *endpoint, now time.Duration) bool {
+	if r.hasEnded() || r.isStreaming || len(r.attempts) >= rules.maxAttempts {
 		return false
 	}
-	switch class.DedupScope {
-	case DedupInZone:
-		return ep.Zone == first.endpoint.Zone
-	case DedupInCell:
-		return ep.Cell == first.endpoint.Cell
-	}
-	return true
-}
-
-// repeatWindowEnd is when endpoints no longer drop the next attempt of r as a repeat; 0: it repeats nothing.
-func (b *Balancer) repeatWindowEnd(r *request) time.Duration {
-	if r.class.Idempotency != IdempotentWithKey || r.mayHaveRun == 0 {
-		return 0
+	if r.inFlight > 0 && !rules.allowHedging {
+		return false
 	}
-	return r.firstMayHaveRun.sentAt + r.class.DedupWindow
+	return r.mayHaveRun == 0 || rules.allowRepeat(r, ep, now)
 }
 
-// keyQueue holds the requests of one key that are not over, oldest first: they run one at a time.
-type keyQueue struct {
-	key        string
-	requests   []*request
-	quietUntil time.Duration // nothing new of this key before
-}
-
-// isNextOfKey reports whether all earlier requests of its key, and the quiet period, are over.
-func (b *Balancer) isNextOfKey(r *request) bool {
-	return r.keyQueue == nil || r.keyQueue.requests[0] == r && b.now >= r.keyQueue.quietUntil
-}
-
-// joinKeyQueue puts a new request behind all others of its key, if its class is ordered.
-func (b *Balancer) joinKeyQueue(r *request, key string) {
-	if key == "" || !r.class.Ordered {
-		return
-	}
-	queue := b.keyQueues[key]
-	if queue == nil {
-		queue = &keyQueue{key: key}
-		b.keyQueues[key] = queue
+// allowRepeat reports whether a request that may have run has no further effect at an endpoint.
+func (rules *attemptRules) allowRepeat(r *request, ep *endpoint, now time.Duration) bool {
+	switch r.class.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentWithKey:
+		return rules.withinDedupWindow(r, now) && r.isInDedupScope(ep)
+	case NotIdempotent:
+		return false
 	}
-	queue.requests = append(queue.requests, r)
-	r.keyQueue = queue
+	return false
 }
 
-// leaveKeyQueue takes out a request that is over. The next one goes in this step or after a quiet period.
-func (b *Balancer) leaveKeyQueue(r *request) {
-	queue := r.keyQueue
-	if queue == nil {
-		return
-	}
-	r.keyQueue = nil
-	queue.requests = slices.DeleteFunc(queue.requests, func(other *request) bool { return other == r })
-	if r.quietUntil > b.now { // then it was the head, since no other one was sent
-		queue.quietUntil = r.quietUntil
-		b.quietKeys = append(b.quietKeys, queue)
-		b.setTimer(queue.quietUntil - b.now + time.Microsecond) // the agent's timers may be that coarse
-		return
-	}
-	b.dropKeyQueueIfUnused(queue)
+// withinDedupWindow reports whether a repeat that is sent now arrives before endpoints forget the request.
+// Its connection may take all of its timeout to come up.
+func (rules *attemptRules) withinDedupWindow(r *request, now time.Duration) bool {
+	return now-r.firstMayHaveRun.sentAt < r.class.DedupWindow-rules.connectTimeout
 }
 
-func (b *Balancer) expireQuietKeys() {
-	for len(b.quietKeys) > 0 && b.quietKeys[0].quietUntil <= b.now {
-		queue := b.quietKeys[0]
-		b.quietKeys = b.quietKeys[1:]
-		b.dropKeyQueueIfUnused(queue)
+// isInDedupScope reports whether an endpoint drops a repeat of the attempt that may have run first.
+func (r *request) isInDedupScope(ep *endpoint) bool {
+	first := r.firstMayHaveRun.endpoint
+	switch r.class.DedupScope {
+	case DedupInZone:
+		return ep.Zone == first.Zone
+	case DedupInCell:
+		return ep.Cell == first.Cell
+	case DedupEverywhere:
+		return true
 	}
+	return false
 }
 
-func (b *Balancer) dropKeyQueueIfUnused(queue *keyQueue) {
-	if len(queue.requests) == 0 && queue.quietUntil <= b.now && b.keyQueues[queue.key] == queue {
-		delete(b.keyQueues, queue.key)
+// repeatWindowEnd is when endpoints no longer drop the next attempt of r as a repeat; 0: it repeats nothing,
+// or may be repeated at any time.
+func (r *request) repeatWindowEnd() time.Duration {
+	if r.class.Idempotency != IdempotentWithKey || r.mayHaveRun == 0 {
+		return 0
 	}
+	return r.firstMayHaveRun.sentAt + r.class.DedupWindow
 }
--- /dev/null
+++ b/balancer/priority.go
@@ -0,0 +1,51 @@
+package balancer
+
+import "time"
+
+const (
+	// clientRetryPriority is the priority of a client's retry against a first try: most of its objective has
+	// passed.
+	clientRetryPriority = 0.1
+	// lateLatencyShare is the share of the expected latency that must be left for a response to count as on
+	// time.
+	lateLatencyShare = 0.5
+	// minDemand keeps a division by the demand of all classes finite.
+	minDemand = 1e-9
+)
+
+// updatePriorities sets what a unit of work that is spent on each class adds to the operator's goal.
+func updatePriorities(classes classList, settings *Settings) {
+	demand := 0.0
+	for _, class := range classes {
+		demand += class.arrived * class.Priority * workUnit(class, settings)
+	}
+	worst := classes.worst()
+	for _, class := range classes {
+		goalWeight := settings.WeightOverall + settings.WeightWorstWindow
+		gain := goalWeight * class.Priority * workUnit(class, settings)
+		class.priorityPerWork = gain / class.meanLatencyNs / max(demand, minDemand)
+		if class == worst {
+			class.priorityPerWork += settings.WeightWorstClass / (max(class.arrived, 1) * class.meanLatencyNs)
+		}
+	}
+}
+
+// workUnit is the amount, in nanoseconds or requests, that a class's priority counts for.
+func workUnit(class *classStats, settings *Settings) float64 {
+	if settings.PriorityByWork {
+		return class.meanLatencyNs
+	}
+	return 1
+}
+
+// priority is what a unit of work that is spent on a queued request adds to the operator's goal.
+func (r *request) priority(now time.Duration) float64 {
+	priority := r.class.priorityPerWork
+	if r.isClientRetry {
+		priority *= clientRetryPriority
+	}
+	if r.objectiveAt-now < time.Duration(lateLatencyShare*r.expectedLatencyNs()) {
+		priority *= r.class.LatePriority
+	}
+	return priority
+}
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -2,93 +2,119 @@
 
 import "time"
 
-// request is a client's request that is open or has attempts in flight.
+// requestPhase says what a request waits for.
+type requestPhase uint8
+
+// The phases of a request.
+const (
+	phaseInFlight   requestPhase = iota // the outcome of its attempts; also before it is queued
+	phaseQueued                         // the admission queue lets it go
+	phaseBackingOff                     // the backoff before its retry is over
+	phaseEnded                          // nothing: it has its final answer, or is owed none any longer
+)
+
+// request is a client's request that is open, or still has attempts in flight.
 type request struct {
-	id          string
-	class       *classState
-	objectiveAt time.Duration // responses after this time earn less
-	deadline    time.Duration
-	clientRetry bool      // a later try of the client: part of its objective has passed
-	work        float64   // expected work, ns; 0: unknown
-	keyHash     uint64    // 0: no key
-	keyQueue    *keyQueue // where the order of the key is kept
-	quietUntil  time.Duration
+	id            string
+	class         *classStats
+	phase         requestPhase
+	objectiveAt   time.Duration // a response after this time earns less
+	deadline      time.Duration
+	isClientRetry bool    // the client has tried before: part of the objective has passed
+	isStreaming   bool    // part of a response has reached the client: no further attempt
+	workNs        float64 // expected service time; 0: unknown
+	keyHash       uint64  // 0: no key
+	keyQueue      *keyQueue
+	keyQuietUntil time.Duration // its key's quiet period, after an attempt whose end is unknown
 
 	attempts        []*attempt
 	inFlight        int      // attempts without an outcome
 	mayHaveRun      int      // attempts that may have run, those in flight included
 	firstMayHaveRun *attempt // the first of these: it sets the scope and window of deduplication
 	retries         int
-	lastFailed      *endpoint
+	lastFailed      *endpoint // the endpoint of the latest failed attempt
+
+	timer         int64 // token of its latest timer, which voids earlier ones; 0: none
+	hasNoEndpoint bool  // no endpoint may take it in this step
+}
 
-	timer   int64 // the token of its latest timer; earlier ones are void
-	skipped bool  // found no endpoint in this step
+func (r *request) hasEnded() bool { return r.phase == phaseEnded }
 
-	backingOff, queued, streaming, ended bool
+// expectedLatencyNs is the expected latency of an attempt.
+func (r *request) expectedLatencyNs() float64 { return r.class.expectedLatencyNs(r.workNs) }
+
+// responseTime is the time of a number of expected latencies, bounded by a share of the objective.
+func (r *request) responseTime(latencies float64) time.Duration {
+	longest := maxResponseShare * float64(r.class.Objective)
+	return time.Duration(min(latencies*r.expectedLatencyNs(), longest))
 }
 
-// attempt is one request to one endpoint.
-type attempt struct {
-	endpoint          *endpoint
-	sentAt            time.Duration
-	expectedLatency   float64       // ns, at least 1
-	unresponsiveAfter time.Duration // without a response for so long, its endpoint may be unresponsive
-	inFlight          bool
-	newConnection     bool // its endpoint was not connected
+// isTooLate reports whether an attempt that is sent at the time sendAt is more likely to miss the deadline
+// than to meet it.
+func (r *request) isTooLate(now, sendAt time.Duration) bool {
+	if sendAt >= r.deadline {
+		return true
+	}
+	return r.class.latencyIsRecent(now) && sendAt+r.responseTime(medianLatencyShare) >= r.deadline
 }
 
-func (a *attempt) isOverdue(now time.Duration) bool { return now-a.sentAt > a.unresponsiveAfter }
+// isOnTime reports whether a response that is served now is within the objective.
+func (r *request) isOnTime(now time.Duration) bool { return now <= r.objectiveAt }
 
-// send starts an attempt. Nothing else does; the rules are checked here last.
-func (b *Balancer) send(r *request, ep *endpoint) {
-	if ep.State != Serving || !b.mayAttempt(r, ep) || !b.isNextOfKey(r) || b.now >= r.deadline {
-		b.finish(r)
-		return
-	}
-	expected := b.expectedLatency(r)
-	patience := max(unresponsiveShare*float64(r.class.Objective), unresponsiveMeans*expected)
-	notAfter := b.repeatWindowEnd(r)
-	a := &attempt{endpoint: ep, sentAt: b.now, expectedLatency: max(expected, 1), inFlight: true,
-		unresponsiveAfter: time.Duration(patience), newConnection: !b.isConnected(ep)}
+// addAttempt notes an attempt that is being sent.
+func (r *request) addAttempt(a *attempt) {
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	if r.mayHaveRun++; r.firstMayHaveRun == nil {
+	r.mayHaveRun++
+	if r.firstMayHaveRun == nil {
 		r.firstMayHaveRun = a
 	}
-	b.touch(ep)
-	ep.inFlight = append(ep.inFlight, a)
-	b.inFlight++
-	if len(r.attempts) == 1 {
-		b.traffic.sent++
+}
+
+// endAttempt notes the end of an attempt.
+func (r *request) endAttempt(a *attempt, ran bool) {
+	a.inFlight = false
+	r.inFlight--
+	if ran {
+		return
 	}
-	if ep.warmingUp {
-		ep.permitAt = b.now + b.drawPermitDelay(ep, a.expectedLatency)
+	r.mayHaveRun--
+	if r.mayHaveRun == 0 {
+		r.firstMayHaveRun = nil
 	}
-	b.actions = append(b.actions, Send{Request: r.id, Endpoint: ep.ID, NotAfter: notAfter})
-	b.scheduleHedge(r)
 }
 
-// finish gives a request its final answer. Nothing else does. A rejection lets any client try again.
-func (b *Balancer) finish(r *request) {
-	if r.ended {
+// answerUnserved gives a request its final answer without a response. Nothing else does. A rejection, which
+// lets any client retry, is given only if no attempt may have run.
+func (b *Balancer) answerUnserved(r *request) {
+	if r.hasEnded() {
 		return
 	}
 	if r.mayHaveRun == 0 {
-		b.actions = append(b.actions, Reject{Request: r.id, RetryAfter: b.retryAfterHint(r)})
+		b.act(Reject{Request: r.id, RetryAfter: b.drawRetryAfter(r)})
 	} else {
-		b.actions = append(b.actions, Fail{Request: r.id})
+		b.act(Fail{Request: r.id})
 	}
 	b.closeRequest(r)
 }
 
-// closeRequest ends a request, and forgets it once its attempts have ended too.
+// answerUnlessInFlight makes no further attempts for a request. It answers the request, unless an attempt in
+// flight may still be served.
+func (b *Balancer) answerUnlessInFlight(r *request) {
+	b.queue.remove(r)
+	if r.inFlight == 0 {
+		b.answerUnserved(r)
+	}
+}
+
+// closeRequest ends a request, and removes it once its attempts have ended too.
 func (b *Balancer) closeRequest(r *request) {
-	if !r.ended {
+	if !r.hasEnded() {
 		b.openRequests--
 	}
-	r.ended = true
-	b.dequeue(r)
-	delete(b.timers, r.timer)
+	b.queue.remove(r)
+	r.phase = phaseEnded
+	b.timers.drop(r.timer)
 	if r.inFlight == 0 {
 		delete(b.requests, r.id)
 		b.leaveKeyQueue(r)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -2,76 +2,87 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"slices"
 	"time"
 )
 
 const (
-	retryTokenCapacity = 100.0 // bounds how many retries a balancer funds at once: 20
-	retryTokenCost     = 5.0
-	timeoutTokenCost   = 10.0 // of a retry after a time-out, which may mean a deeper fault
-	successTokenRefill = 1.0  // for each request served
+	// retryTokenCapacity bounds the retries that a balancer can make at once: 20 at the usual cost.
+	retryTokenCapacity = 100.0
+	// retryTokenCost is the cost of a retry, in tokens.
+	retryTokenCost = 5.0
+	// timeoutRetryTokenCost is the cost of a retry after a time-out, which may mean a deeper fault.
+	timeoutRetryTokenCost = 10.0
+	// successTokenRefill is the number of tokens that each served request brings back.
+	successTokenRefill = 1.0
 
-	backoffUnit     = 1.0 / 32 // of the class's objective
+	// backoffUnitShare is the longest first backoff, as a share of the objective.
+	backoffUnitShare = 1.0 / 32
+	// maxBackoffUnits is the longest backoff of all, in such units.
 	maxBackoffUnits = 8.0
-
-	hedgeDeviations = 5.0 // mean deviations over the mean latency, after which a request is hedged
 )
 
-// retry schedules the next attempt after a backoff, or gives the request up; the token bucket pays for it.
-func (b *Balancer) retry(r *request, result Result) {
-	cost := retryTokenCost
-	if result == TimedOut {
-		cost = timeoutTokenCost
-	}
-	units := min(math.Exp2(float64(r.retries)), maxBackoffUnits)
-	wait := b.rng.Float64() * units * backoffUnit * float64(r.class.Objective)
-	at := b.now + time.Duration(wait)
-	mayGoTo := func(ep *endpoint) bool { return ep.State == Serving && b.mayAttempt(r, ep) }
-	possible := result != NotSent && slices.ContainsFunc(b.endpoints, mayGoTo)
-	if !possible || b.retryTokens < cost || b.isTooLate(r, at) {
-		b.giveUp(r)
-		return
+// tokenBucket bounds retries: they cannot multiply the load of a fleet at fault, since only served requests
+// bring tokens back.
+type tokenBucket struct {
+	tokens float64
+}
+
+func newTokenBucket() tokenBucket { return tokenBucket{tokens: retryTokenCapacity} }
+
+// take takes tokens and reports whether there were enough; if not, it takes none.
+func (t *tokenBucket) take(cost float64) bool {
+	if t.tokens < cost {
+		return false
 	}
-	b.retryTokens -= cost
-	r.retries++
-	r.backingOff = true
-	b.setRequestTimer(r, at)
+	t.tokens -= cost
+	return true
 }
 
-// giveUp ends a request for which nothing more can be done, unless an attempt may still be served.
-func (b *Balancer) giveUp(r *request) {
-	b.dequeue(r)
-	if r.inFlight == 0 {
-		b.finish(r)
+// refill brings back tokens for a served request.
+func (t *tokenBucket) refill() { t.tokens = min(retryTokenCapacity, t.tokens+successTokenRefill) }
+
+// retryCost is the cost of a retry after a result, in tokens.
+func retryCost(result Result) float64 {
+	if result == TimedOut {
+		return timeoutRetryTokenCost
 	}
+	return retryTokenCost
+}
+
+// drawBackoff draws the wait before a retry: exponential in the retries so far, with full jitter.
+func drawBackoff(rng *rand.Rand, retries int, objective time.Duration) time.Duration {
+	units := min(math.Exp2(float64(retries)), maxBackoffUnits)
+	return time.Duration(rng.Float64() * units * backoffUnitShare * float64(objective))
 }
 
-// scheduleHedge sets the time of a hedged request, if it can still be served within the objective.
-func (b *Balancer) scheduleHedge(r *request) {
-	r.timer = 0 // voids the one that it was queued with
-	latency := b.expectedLatency(r)
-	wait := latency * (1 + hedgeDeviations*b.latencyDeviation)
-	inTime := b.now+time.Duration(wait+latency) <= r.objectiveAt
-	allowed := b.settings.AllowHedging && r.inFlight == 1 && len(r.attempts) < b.settings.MaxAttempts
-	if inTime && allowed && b.minLimitBelow(unlimitedBelow) && r.class.Idempotency != NotIdempotent {
-		b.setRequestTimer(r, b.now+time.Duration(wait))
+// retry schedules the next attempt of a request after a backoff. The request is answered instead if no
+// endpoint may take the attempt, if the token bucket does not pay for it, or if it would be too late.
+func (b *Balancer) retry(r *request, result Result) {
+	at := b.now + drawBackoff(b.rng, r.retries, r.class.Objective)
+	possible := result != NotSent && b.someEndpointMayTake(r) && !r.isTooLate(b.now, at)
+	if !possible || !b.retryTokens.take(retryCost(result)) {
+		b.answerUnlessInFlight(r)
+		return
 	}
+	r.retries++
+	r.phase = phaseBackingOff
+	b.setRequestTimer(r, at)
 }
 
-// hedge retries a request whose attempt, which stays in flight, had no response in time.
-func (b *Balancer) hedge(r *request) {
-	r.lastFailed = r.attempts[len(r.attempts)-1].endpoint
-	r.lastFailed.connected = false
-	b.ejectForClass(r.lastFailed, r.class)
-	b.retry(r, TimedOut)
+func (b *Balancer) someEndpointMayTake(r *request) bool {
+	return slices.ContainsFunc(b.endpoints.all, func(ep *endpoint) bool {
+		return ep.State == Serving && b.attemptRules.allow(r, ep, b.now)
+	})
 }
 
-// retryAfterHint is a fully jittered wait, so that clients rejected together do not return together.
-func (b *Balancer) retryAfterHint(r *request) time.Duration {
+// drawRetryAfter draws the Retry-After of a rejection: with full jitter, so that clients that are rejected
+// together do not return together.
+func (b *Balancer) drawRetryAfter(r *request) time.Duration {
 	if !b.settings.SendRetryAfter {
 		return 0
 	}
-	longest := maxBackoffUnits * backoffUnit * float64(r.class.Objective)
+	longest := maxBackoffUnits * backoffUnitShare * float64(r.class.Objective)
 	return time.Duration(b.rng.Float64() * min(longest, float64(b.settings.MaxRetryAfter)))
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -24,15 +24,15 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Objective    time.Duration // latency objective: a response within it earns the full priority weight; over 0
+	Objective    time.Duration // a response within it earns the full priority weight; over 0
 	Deadline     time.Duration // the time that a client waits, over all its tries; over 0
 	Priority     float64       // weight of a request, or of a unit of work if Settings.PriorityByWork
 	LatePriority float64       // share of that weight that a response between objective and deadline earns
 	Idempotency  Idempotency
 	DedupScope   DedupScope    // for IdempotentWithKey
 	DedupWindow  time.Duration // for IdempotentWithKey: how long after the first send a repeat is dropped
-	// Ordered requests with the same key run one at a time, in the order of their arrival. All ordered classes
-	// share one key space.
+	// Ordered requests with the same key run one at a time, in the order of their arrival. All ordered
+	// classes share one key space.
 	Ordered          bool
 	ObjectiveStretch float64 // the objective grows by this multiple of the request's work; 0: it does not
 	Streamed         bool    // the response is streamed: StreamStarted comes
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -2,62 +2,121 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"time"
 )
 
-const maxWarmingCost = 2.0 // mean latencies: no heavier request goes to an endpoint that warms up
+const (
+	// maxWarmingLatencies is the heaviest request that an endpoint gets while it warms up, in mean latencies.
+	maxWarmingLatencies = 2.0
+	// lapsesPerWindow divides an overload window into the times for which a permit may be used.
+	lapsesPerWindow = 2
+	// permitsPerWindow is how many windows' permits may be used within one window, since permits lapse late.
+	permitsPerWindow = 1 + 1.0/lapsesPerWindow
+	// firstLimitShare is the share of the least concurrency limit that endpoints get while none is warm.
+	firstLimitShare = 0.5
+	// minPermitRate keeps the mean time between permits finite.
+	minPermitRate = 1e-9
+)
 
-func (b *Balancer) startWarmUp(ep *endpoint, at time.Duration) {
-	b.touch(ep)
-	ep.startedAt, ep.warmingUp, ep.hasServed, ep.connected = at, true, false, false
-	ep.slowness, ep.slownessSamples = 0, 0
-	ep.permitAt = b.now + b.drawPermitDelay(ep, b.classes[0].meanLatency)
+// warmUp is the state of an endpoint that may have started a short while ago.
+type warmUp struct {
+	active       bool
+	startedAt    time.Duration // when its latest start became known
+	nextPermitAt time.Duration // when it may get its next request
+}
+
+// slowStart bounds what the fleet of agents as a whole sends to an endpoint that warms up. Agents share
+// nothing: each sends at random times, at the rate of its own traffic to warm endpoints times the warm-up
+// fraction. An attempt needs a permit, and permits that are not used lapse, so that agents which each send
+// little cannot save them up and use them together.
+type slowStart struct {
+	rng         *rand.Rand
+	minCapacity float64
+	duration    time.Duration
+	overload    float64       // multiple of its capacity that overloads an endpoint; at least 1
+	window      time.Duration // the span over which it does
+	agents      float64
+
+	warmWorkNs float64 // expected latencies of the attempts that a warm endpoint lately served for this agent
+	decayedAt  time.Duration
+}
+
+func newSlowStart(settings *Settings, rng *rand.Rand) slowStart {
+	return slowStart{
+		rng:         rng,
+		minCapacity: settings.SlowStartMinCapacity,
+		duration:    settings.SlowStartDuration,
+		overload:    max(1, settings.SlowStartOverloadMultiple),
+		window:      settings.SlowStartOverloadWindow,
+		agents:      float64(settings.Agents),
+	}
 }
 
-// warmUpFraction is the share of its full capacity that an endpoint surely has by now.
-func (b *Balancer) warmUpFraction(ep *endpoint) float64 {
-	age := b.now - ep.startedAt
-	if !ep.warmingUp || age >= b.settings.SlowStartDuration {
-		ep.warmingUp = false
+// start begins the warm-up of an endpoint that started at the time at.
+func (s *slowStart) start(ep *endpoint, at, now time.Duration, meanLatencyNs float64, fleet fleetSummary) {
+	ep.warmUp.startedAt, ep.warmUp.active = at, true
+	s.scheduleNextPermit(ep, now, meanLatencyNs, fleet)
+}
+
+// fraction is the share of its full capacity that an endpoint surely has by now. It ends a warm-up that is
+// over.
+func (s *slowStart) fraction(ep *endpoint, now time.Duration) float64 {
+	age := now - ep.warmUp.startedAt
+	if !ep.warmUp.active || age >= s.duration {
+		ep.warmUp.active = false
 		return 1
 	}
-	least := b.settings.SlowStartMinCapacity
-	return least + (1-least)*max(0, float64(age)/float64(b.settings.SlowStartDuration))
+	return s.minCapacity + (1-s.minCapacity)*max(0, float64(age)/float64(s.duration))
 }
 
-// hasSlowStartPermit reports whether an endpoint that warms up may get this request. A permit lapses after
-// half a window: agents that each send little must not save them up and use them together.
-func (b *Balancer) hasSlowStartPermit(ep *endpoint, r *request) bool {
-	lapse := b.settings.SlowStartOverloadWindow / 2
-	if b.warmUpFraction(ep) == 1 || lapse == 0 {
+// hasPermit reports whether an endpoint may get this request now as far as its warm-up is concerned.
+func (s *slowStart) hasPermit(ep *endpoint, r *request, now time.Duration, fleet fleetSummary) bool {
+	lapse := s.window / lapsesPerWindow
+	if s.fraction(ep, now) == 1 || lapse == 0 {
 		return true
 	}
-	mean := r.class.meanLatency
-	if ep.permitAt+lapse <= b.now {
-		ep.permitAt = b.now - lapse + b.drawPermitDelay(ep, mean)
+	meanLatencyNs := r.class.meanLatencyNs
+	if ep.warmUp.nextPermitAt+lapse <= now { // the permit has lapsed
+		s.scheduleNextPermit(ep, now, meanLatencyNs, fleet)
+		ep.warmUp.nextPermitAt -= lapse
 	}
-	return ep.permitAt <= b.now && b.expectedLatency(r) <= maxWarmingCost*mean
+	return ep.warmUp.nextPermitAt <= now && r.expectedLatencyNs() <= maxWarmingLatencies*meanLatencyNs
 }
 
-// drawPermitDelay draws the time until the next permit of an endpoint that gets some work now, at the rate of
-// a warm one, times the warm-up fraction, times the root of the allowed multiple.
-func (b *Balancer) drawPermitDelay(ep *endpoint, work float64) time.Duration {
-	rate := max(b.decayWarmWork()/float64(b.settings.SlowStartOverloadWindow+1), 1e-9)
-	if b.fleet.warm == 0 { // nothing to go by: its part of half the least limit
-		rate = max(rate, minLimitPerEndpoint/2/float64(b.settings.Agents))
+// scheduleNextPermit draws when an endpoint that gets some work now may get the next. Permits come at random
+// times, at the rate of a warm endpoint, times the warm-up fraction, times the root of the overload multiple.
+func (s *slowStart) scheduleNextPermit(ep *endpoint, now time.Duration, workNs float64, fleet fleetSummary) {
+	rate := max(s.decayWarmWork(now, fleet)/s.windowNs(), minPermitRate)
+	if fleet.warm == 0 { // no traffic to go by
+		rate = max(rate, minLimitPerEndpoint*firstLimitShare/s.agents)
 	}
-	multiple := max(1, b.settings.SlowStartOverloadMultiple)
-	// Permits of one and a half windows may be used within one, since they lapse only after half a window.
-	share := b.warmUpFraction(ep) * min(math.Sqrt(multiple), multiple/1.5)
-	return time.Duration(min(b.rng.ExpFloat64()*work/(share*rate), float64(b.settings.SlowStartDuration)))
+	share := s.fraction(ep, now) * min(math.Sqrt(s.overload), s.overload/permitsPerWindow)
+	delayNs := min(s.rng.ExpFloat64()*workNs/(share*rate), float64(s.duration))
+	ep.warmUp.nextPermitAt = now + time.Duration(delayNs)
+}
+
+// observeServed learns how much work a warm endpoint does for this agent.
+func (s *slowStart) observeServed(now time.Duration, workNs float64, fleet fleetSummary) {
+	s.warmWorkNs = s.decayWarmWork(now, fleet) + workNs/float64(max(fleet.warm, 1))
 }
 
-// decayWarmWork brings the recent work up to now. It stays while no endpoint is warm.
-func (b *Balancer) decayWarmWork() float64 {
-	if b.fleet.warm > 0 {
-		window := float64(b.settings.SlowStartOverloadWindow + 1)
-		b.warmWork *= math.Exp(-float64(b.now-b.warmWorkAt) / window)
+// decayWarmWork brings the recent work up to the time now. It stays while no endpoint is warm.
+func (s *slowStart) decayWarmWork(now time.Duration, fleet fleetSummary) float64 {
+	if fleet.warm > 0 {
+		s.warmWorkNs *= math.Exp(-float64(now-s.decayedAt) / s.windowNs())
 	}
-	b.warmWorkAt = b.now
-	return b.warmWork
+	s.decayedAt = now
+	return s.warmWorkNs
+}
+
+// windowNs is the window as a divisor, which is not 0.
+func (s *slowStart) windowNs() float64 { return float64(s.window + 1) }
+
+// startWarmUp begins the slow start of an endpoint whose process started at the time at.
+func (b *Balancer) startWarmUp(ep *endpoint, at time.Duration) {
+	b.endpoints.markObserved(ep)
+	ep.connection.connected = false
+	ep.responses.observeStart()
+	b.slowStart.start(ep, at, b.now, b.classes.reference().meanLatencyNs, b.fleet)
 }
--- /dev/null
+++ b/balancer/subset.go
@@ -0,0 +1,103 @@
+package balancer
+
+import (
+	"cmp"
+	"slices"
+)
+
+const (
+	// minSubset is the size of the subset, in endpoints, of an agent without attempts in flight.
+	minSubset = 2.0
+	// subsetPerAttempt is by how much the subset grows with each attempt of the recent peak in flight.
+	subsetPerAttempt = 0.5
+	// connectedPreference multiplies the preference of a connected endpoint: the least comes first.
+	connectedPreference = 0.5
+)
+
+// candidate is an endpoint that may get the request.
+type candidate struct {
+	endpoint     *endpoint
+	load         float64 // attempts in flight
+	latencyRatio float64 // its latency over the expected one
+	weight       float64 // in a random choice
+	preference   float64 // place in this agent's own order, the least first
+}
+
+func comparePreference(x, y candidate) int { return cmp.Compare(x.preference, y.preference) }
+
+// outsider is a candidate that is neither in the subset nor connected.
+type outsider struct {
+	endpoint *endpoint
+	weight   float64 // in a random choice
+}
+
+// candidateSet holds the candidates of one pick. An agent keeps to a subset of the endpoints, the first few
+// in a random order of its own, since connections from every agent to every endpoint would exhaust the
+// connection tables.
+type candidateSet struct {
+	subsetSize int
+	members    []candidate // the subset, and in the end the connected candidates outside of it
+	connected  []candidate // outside the subset, but connected or warming up
+	outsiders  []outsider  // observed and outside the subset; one is drawn if the pick comes to that
+}
+
+// reset empties the set and keeps its memory.
+func (s *candidateSet) reset(subsetSize int) {
+	s.subsetSize = subsetSize
+	s.members, s.connected, s.outsiders = s.members[:0], s.connected[:0], s.outsiders[:0]
+}
+
+// admits reports whether a candidate of a preference would belong to the subset.
+func (s *candidateSet) admits(preference float64) bool {
+	if len(s.members) < s.subsetSize {
+		return true
+	}
+	return preference < s.members[len(s.members)-1].preference
+}
+
+// insert puts a candidate into the subset, if it belongs there. Once the subset is full, it returns the
+// candidate that is left outside.
+func (s *candidateSet) insert(c candidate) (outside candidate, isOutside bool) {
+	if len(s.members) < s.subsetSize {
+		s.members = append(s.members, c)
+		if len(s.members) == s.subsetSize {
+			slices.SortFunc(s.members, comparePreference)
+		}
+		return candidate{}, false
+	}
+	if !s.admits(c.preference) {
+		return c, true
+	}
+	last := len(s.members) - 1
+	displaced := s.members[last]
+	position, _ := slices.BinarySearchFunc(s.members, c, comparePreference)
+	copy(s.members[position+1:], s.members[position:last])
+	s.members[position] = c
+	return displaced, true
+}
+
+// complete adds the connected candidates to the members and sorts all of them.
+func (s *candidateSet) complete() {
+	s.members = append(s.members, s.connected...)
+	slices.SortFunc(s.members, comparePreference)
+}
+
+// outsiderWeight is the sum of the weights of the outsiders.
+func (s *candidateSet) outsiderWeight() float64 {
+	sum := 0.0
+	for _, o := range s.outsiders {
+		sum += o.weight
+	}
+	return sum
+}
+
+// outsiderAt is the outsider at which the sum of the weights reaches target.
+func (s *candidateSet) outsiderAt(target float64) *endpoint {
+	for _, o := range s.outsiders {
+		target -= o.weight
+		if target < 0 {
+			return o.endpoint
+		}
+	}
+	return s.outsiders[len(s.outsiders)-1].endpoint
+}
--- /dev/null
+++ b/balancer/throttle.go
@@ -0,0 +1,11 @@
+package balancer
+
+// throttledSentPerOnTime is the number of requests sent for each one served on time above which the throttle
+// closes: more would mostly add work on responses that are late.
+const throttledSentPerOnTime = 1.3
+
+// isThrottled reports whether requests have to wait since too few of those sent recently were served on time.
+// It stands in for the concurrency limit where an agent's part of that is under one attempt.
+func isThrottled(limiter *concurrencyLimiter, traffic *trafficStats, fleet fleetSummary) bool {
+	return limiter.leastLimitIsBelow(1, fleet) && traffic.lateWork(throttledSentPerOnTime) >= 0
+}
--- /dev/null
+++ b/balancer/traffic.go
@@ -0,0 +1,48 @@
+package balancer
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// trafficWindowObjectives is the time constant of decayed traffic counts, in objectives.
+	trafficWindowObjectives = 20.0
+	// lateWorkAllowance is the number of requests that are sent before a share of late ones says anything.
+	lateWorkAllowance = 4.0
+)
+
+// trafficStats are counts of this agent's recent traffic, which decay exponentially.
+type trafficStats struct {
+	windowNs     float64 // time constant of the decay
+	decayedAt    time.Duration
+	sent         float64 // requests with a first attempt
+	servedOnTime float64 // requests served within their objective
+	peakInFlight float64 // the most attempts in flight
+}
+
+func newTrafficStats(objective time.Duration) trafficStats {
+	return trafficStats{windowNs: trafficWindowObjectives * float64(objective)}
+}
+
+// decay brings the counts up to the time now.
+func (t *trafficStats) decay(now time.Duration) {
+	factor := math.Exp(-float64(now-t.decayedAt) / t.windowNs)
+	t.sent *= factor
+	t.servedOnTime *= factor
+	t.peakInFlight *= factor
+	t.decayedAt = now
+}
+
+// observeInFlight notes the attempts in flight.
+func (t *trafficStats) observeInFlight(attempts float64) {
+	t.peakInFlight = max(t.peakInFlight, attempts)
+}
+
+// undoSend takes back a request whose first attempt never left this machine.
+func (t *trafficStats) undoSend() { t.sent = max(0, t.sent-1) }
+
+// lateWork is by how many requests the sent ones exceed a multiple of those served on time and the allowance.
+func (t *trafficStats) lateWork(sentPerOnTime float64) float64 {
+	return t.sent - (sentPerOnTime*t.servedOnTime + lateWorkAllowance)
+}
