--- a/cmd/ashshunt/main.go
+++ b/cmd/ashshunt/main.go
@@ -71,7 +71,7 @@
 	ended := make(chan struct{})
 	defer close(ended)
 	go (&reloader{path: path, agent: a, log: log}).run(reload, ended)
-	log.Info("serving", "listen", a.Addr().String())
+	log.Info(telemetry.MsgServing, "listen", a.Addr().String())
 	return a.Run(stop)
 }
 
@@ -92,7 +92,7 @@
 	policy := retry.Policy{
 		Patience:  startPatience,
 		MayPass:   func(err error) bool { return retry.MayPass(err) || errors.Is(err, config.ErrIncomplete) },
-		OnFailure: func(err error) { log.Warn("configuration can't be read", "err", err) },
+		OnFailure: func(err error) { log.Warn(telemetry.MsgConfigurationUnread, telemetry.Err(err)) },
 	}
 	return retry.Do(policy, func() (*config.Config, error) { return config.Load(path) })
 }
--- a/cmd/ashshunt/reload.go
+++ b/cmd/ashshunt/reload.go
@@ -7,6 +7,7 @@
 
 	"ashshunt/internal/agent"
 	"ashshunt/internal/config"
+	"ashshunt/internal/telemetry"
 )
 
 const (
@@ -38,7 +39,7 @@
 		case <-signals:
 			r.pause, r.giveUpAt = firstReloadPause, time.Now().Add(reloadPatience)
 			if err := r.reload(); err != nil {
-				r.log.Warn("invalid configuration, keeping the old one", "err", err)
+				r.log.Warn(telemetry.MsgConfigurationInvalid, telemetry.Err(err))
 			}
 		case <-r.nextTry:
 			_ = r.reload() // the first error was logged
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -33,10 +33,11 @@
 	for _, row := range tableRow.FindAllStringSubmatch(string(page), -1) {
 		documented[logLine{message: row[1], level: row[2]}] = true
 	}
+	messages := logMessages(t)
 	logged := map[logLine]bool{}
 	for _, dir := range []string{"../cmd/ashshunt", "../internal"} {
 		for _, path := range sourceFiles(t, dir) {
-			maps.Copy(logged, logCalls(t, path))
+			maps.Copy(logged, logCalls(t, path, messages))
 		}
 	}
 	if len(logged) == 0 {
@@ -136,8 +137,41 @@
 	return paths
 }
 
-// logCalls returns the log lines of a file: calls of a logger's methods whose message is a string literal.
-func logCalls(t *testing.T, path string) map[logLine]bool {
+// logMessages returns the texts of the messages that package telemetry lists, by the names of their constants.
+func logMessages(t *testing.T) map[string]string {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), "../internal/telemetry/messages.go", nil, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	messages := map[string]string{}
+	ast.Inspect(file, func(node ast.Node) bool {
+		spec, ok := node.(*ast.ValueSpec)
+		if !ok || !strings.HasPrefix(spec.Names[0].Name, "Msg") {
+			return true
+		}
+		literal, ok := spec.Values[0].(*ast.BasicLit)
+		if !ok {
+			t.Fatalf("%s is not a string literal", spec.Names[0].Name)
+		}
+		messages[spec.Names[0].Name] = unquote(t, literal)
+		return true
+	})
+	return messages
+}
+
+func unquote(t *testing.T, literal *ast.BasicLit) string {
+	t.Helper()
+	text, err := strconv.Unquote(literal.Value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// logCalls returns the log lines of a file: calls of a logger's methods. Their messages are in the list of package
+// telemetry; one that is written out in the call is an error.
+func logCalls(t *testing.T, path string, messages map[string]string) map[logLine]bool {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	if err != nil {
@@ -153,12 +187,13 @@
 		if !ok || logLevels[method.Sel.Name] == "" || !isLogger(method.X) {
 			return true
 		}
-		if literal, ok := call.Args[0].(*ast.BasicLit); ok && literal.Kind == token.STRING {
-			message, err := strconv.Unquote(literal.Value)
-			if err != nil {
-				t.Fatal(err)
+		switch message := call.Args[0].(type) {
+		case *ast.BasicLit:
+			t.Errorf("%s logs %s, which is not in the list of messages of package telemetry", path, message.Value)
+		case *ast.SelectorExpr:
+			if text, ok := messages[message.Sel.Name]; ok {
+				lines[logLine{message: text, level: logLevels[method.Sel.Name]}] = true
 			}
-			lines[logLine{message: message, level: logLevels[method.Sel.Name]}] = true
 		}
 		return true
 	})
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ashshunt/balancer"
+	"ashshunt/internal/telemetry"
 )
 
 // perform carries out one action of the decision module.
@@ -34,6 +35,6 @@
 	case balancer.LogMessage:
 		l.log.Info(action.Text)
 	default:
-		l.log.Error("internal error: unknown action", "action", fmt.Sprintf("%T", action))
+		l.log.Error(telemetry.MsgUnknownAction, "action", fmt.Sprintf("%T", action))
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -13,6 +13,7 @@
 	"ashshunt/internal/config"
 	"ashshunt/internal/frontend"
 	"ashshunt/internal/retry"
+	"ashshunt/internal/telemetry"
 )
 
 const (
@@ -54,7 +55,7 @@
 	policy := retry.Policy{
 		Patience:  listenPatience,
 		MayPass:   retry.MayPass,
-		OnFailure: func(err error) { log.Warn("listen failed", "err", err) },
+		OnFailure: func(err error) { log.Warn(telemetry.MsgListenFailed, telemetry.Err(err)) },
 	}
 	return retry.Do(policy, func() (net.Listener, error) { return net.Listen("tcp", addr) })
 }
@@ -65,7 +66,7 @@
 // Reload takes over from a new configuration what may change while the agent runs: the address of discovery. All else
 // takes effect at the next start.
 func (a *Agent) Reload(c *config.Config) {
-	a.log.Info("configuration reloaded", "discovery", c.Discovery)
+	a.log.Info(telemetry.MsgConfigurationLoaded, telemetry.Discovery(c.Discovery))
 	a.loop.post(discoveryMoved{addr: c.Discovery})
 }
 
@@ -87,7 +88,7 @@
 // shutDown answers what was accepted, and what is still accepted for a while. Its steps have to come in this order:
 // connections are closed between requests only, and while their clients can still open new ones.
 func (a *Agent) shutDown(ctx context.Context, served <-chan error) error {
-	a.log.Info("shutting down")
+	a.log.Info(telemetry.MsgShuttingDown)
 	a.frontend.StartShutdown()
 	a.loop.post(shutdownStarted{})
 	// At once, while a request that crosses the close still finds the listener open on a new connection.
@@ -104,7 +105,7 @@
 	a.awaitConnections(ctx, shutdownTimeout(a.loop.settings)-a.acceptPeriod)
 	a.frontend.RejectIncomplete()
 	a.awaitConnections(ctx, finalWriteTime)
-	a.log.Info("stopped")
+	a.log.Info(telemetry.MsgStopped)
 	_ = a.frontend.Close() // whatever fails, nothing is left to be answered
 	return nil
 }
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -7,6 +7,7 @@
 
 	"ashshunt/balancer"
 	"ashshunt/internal/frontend"
+	"ashshunt/internal/telemetry"
 	"ashshunt/internal/upstream"
 )
 
@@ -14,7 +15,7 @@
 func (l *eventLoop) startAttempt(ctx context.Context, now time.Duration, action balancer.Send) {
 	r := l.requests[action.Request]
 	if r == nil {
-		l.log.Error("internal error: attempt for a request that is not open", "id", action.Request)
+		l.log.Error(telemetry.MsgAttemptNotOpen, telemetry.Request(action.Request))
 		return
 	}
 	number := len(r.attemptCancels)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -13,6 +13,7 @@
 	"ashshunt/internal/config"
 	"ashshunt/internal/discovery"
 	"ashshunt/internal/endpoint"
+	"ashshunt/internal/telemetry"
 	"ashshunt/internal/upstream"
 )
 
@@ -191,7 +192,7 @@
 func (l *eventLoop) stepModule(now time.Duration, events []balancer.Event) (actions []balancer.Action) {
 	defer func() {
 		if p := recover(); p != nil {
-			l.log.Error("internal error: the decision module panicked", "panic", fmt.Sprint(p),
+			l.log.Error(telemetry.MsgModulePanicked, "panic", fmt.Sprint(p),
 				"stack", strings.ReplaceAll(string(debug.Stack()), "\n", " | "))
 		}
 	}()
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -7,6 +7,7 @@
 
 	"ashshunt/balancer"
 	"ashshunt/internal/frontend"
+	"ashshunt/internal/telemetry"
 	"ashshunt/internal/upstream"
 )
 
@@ -113,7 +114,7 @@
 	}
 	if (r.mayHaveRun || r.inFlight > 0) && !l.mayRunTwice(r) {
 		// A rejection would invite the client to repeat it.
-		l.log.Error("internal error: rejection of a request that may have run", "id", action.Request)
+		l.log.Error(telemetry.MsgUnsafeRejection, telemetry.Request(action.Request))
 		l.respond(r, frontend.Response{Status: http.StatusBadGateway})
 		return
 	}
@@ -184,7 +185,7 @@
 	}
 	expected := l.shutdownDeadline > 0 || r.client.Event.Timeout <= attemptMargin
 	if !expected {
-		l.log.Error("internal error: no final answer by the deadline", "id", r.id(),
+		l.log.Error(telemetry.MsgNoFinalAnswer, telemetry.Request(r.id()),
 			"attempts", len(r.attemptCancels), "in_flight", r.inFlight)
 	}
 	status := http.StatusBadGateway
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -12,6 +12,7 @@
 	"ashshunt/balancer"
 	"ashshunt/internal/clock"
 	"ashshunt/internal/endpoint"
+	"ashshunt/internal/telemetry"
 )
 
 // unknownVersion is the version of an address that has sent no list yet. Another discovery may number its versions
@@ -130,7 +131,7 @@
 	c.addr, c.version = addr, unknownVersion
 	watched := c.keepWatch || c.current != nil || c.replacement != nil
 	c.mu.Unlock()
-	c.log.Info("discovery address changed", "discovery", addr)
+	c.log.Info(telemetry.MsgDiscoveryMoved, telemetry.Discovery(addr))
 	if watched {
 		c.Subscribe(ctx)
 	}
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -11,6 +11,7 @@
 	"ashshunt/balancer"
 	"ashshunt/internal/endpoint"
 	"ashshunt/internal/socket"
+	"ashshunt/internal/telemetry"
 )
 
 // maxListSize is the most bytes that one list may have.
@@ -35,7 +36,7 @@
 func (c *Client) Poll(ctx context.Context) {
 	go func() {
 		if err := c.poll(ctx); err != nil && ctx.Err() == nil {
-			c.log.Warn("poll failed", "err", err)
+			c.log.Warn(telemetry.MsgPollFailed, telemetry.Err(err))
 			c.onList(failureEvent(err))
 		}
 	}()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"ashshunt/internal/endpoint"
+	"ashshunt/internal/telemetry"
 )
 
 // Why a watch was ended by this side.
@@ -49,7 +50,7 @@
 		if watchCtx.Err() != nil || !c.removeWatch(w) {
 			return
 		}
-		c.log.Warn("watch ended", "discovery", w.addr, "err", err)
+		c.log.Warn(telemetry.MsgWatchEnded, telemetry.Discovery(w.addr), telemetry.Err(err))
 		if c.keepWatch {
 			c.restartWatch(ctx)
 		} else {
@@ -136,7 +137,7 @@
 	defer func() { _ = body.Close() }()
 	silence.Reset(c.silenceTimeout)
 	c.establishWatch(w, false)
-	c.log.Info("watch established", "discovery", w.addr, "since", w.since)
+	c.log.Info(telemetry.MsgWatchEstablished, telemetry.Discovery(w.addr), "since", w.since)
 	reader := &watchReader{body: body, silence: silence, silenceTimeout: c.silenceTimeout}
 	reader.slowList = time.AfterFunc(c.callTimeout, func() { cancel(errListTooSlow) })
 	reader.slowList.Stop() // until a list begins
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"ashshunt/internal/socket"
+	"ashshunt/internal/telemetry"
 )
 
 const (
@@ -95,7 +96,7 @@
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return accepted, err
 		}
-		l.log.Warn("accept failed", "err", err)
+		l.log.Warn(telemetry.MsgAcceptFailed, telemetry.Err(err))
 		if !l.sleep(pause) {
 			return nil, net.ErrClosed
 		}
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -16,6 +16,7 @@
 	"ashshunt/balancer"
 	"ashshunt/internal/protocol"
 	"ashshunt/internal/socket"
+	"ashshunt/internal/telemetry"
 )
 
 // minIdleBeforeBreak is how long a connection must have been idle for a break at its next request to be put down to
@@ -106,11 +107,11 @@
 // logUnusable logs a response that no endpoint should send.
 func (c *Client) logUnusable(endpointID string, result balancer.Result, response Response) {
 	if errors.Is(response.Err, ErrMalformedResponse) {
-		c.log.Warn("malformed response", "endpoint", endpointID, "err", response.Err)
+		c.log.Warn(telemetry.MsgMalformedResponse, telemetry.Endpoint(endpointID), telemetry.Err(response.Err))
 		return
 	}
 	if response.Err == nil && result == balancer.ServerError && response.Status != http.StatusInternalServerError {
-		c.log.Warn("unexpected response status", "endpoint", endpointID, "status", response.Status)
+		c.log.Warn(telemetry.MsgUnexpectedStatus, telemetry.Endpoint(endpointID), "status", response.Status)
 	}
 }
 
