--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -46,14 +46,14 @@
 // picker chooses the endpoint of an attempt: an idle one at random, by weight, else the least loaded one. It
 // keeps nothing between picks but memory.
 type picker struct {
-	settings  *Settings
-	rng       *rand.Rand
-	rules     *attemptRules
-	limiter   *concurrencyLimiter
-	traffic   *trafficStats
-	slowStart *slowStart
-	endpoints *endpointSet
-	memory    candidateSet // of the pick before
+	settings   *Settings
+	rng        *rand.Rand
+	rules      *attemptRules
+	limiter    *concurrencyLimiter
+	traffic    *trafficStats
+	slowStart  *slowStart
+	endpoints  *endpointSet
+	candidates candidateSet // collected anew by each pick; kept for its memory alone
 }
 
 // pickInfo is what one pick goes by, besides the endpoints.
@@ -71,15 +71,14 @@
 // ejected, the one that has been so least. It returns nil if none may be used now.
 func (p *picker) pick(r *request, now time.Duration, fleet fleetSummary) *endpoint {
 	info := p.pickInfo(r, now, fleet, minSubset+subsetPerAttempt*p.traffic.peakInFlight)
-	candidates := p.memory
-	ejected := p.collect(&info, &candidates)
-	p.memory = candidates
+	candidates := &p.candidates
+	ejected := p.collect(&info, candidates)
 	idle, busy := p.chooseIdleAndBusy(&info, candidates.members)
 	if preferred := cmp.Or(idle[tierSubset], idle[tierConnected]); preferred != nil {
 		return preferred
 	}
 	if busy == nil || p.load(busy, now) >= fullLoad {
-		if other := cmp.Or(idle[tierOther], p.drawOutsider(&info, &candidates)); other != nil {
+		if other := cmp.Or(idle[tierOther], p.drawOutsider(&info, candidates)); other != nil {
 			return other
 		}
 	}
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -68,6 +68,9 @@
 
 // dispatchQueue sends what the limits allow, and gives up what can wait no longer.
 func (b *Balancer) dispatchQueue() {
+	if b.queue.len() == 0 {
+		return
+	}
 	updatePriorities(b.classes, &b.settings)
 	for b.mayDispatch() {
 		r := b.queue.next(b.now)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -15,17 +15,17 @@
 
 // request is a client's request that is open, or still has attempts in flight.
 type request struct {
-	id            string
-	class         *classStats
+	id          string
+	class       *classStats
+	objectiveAt time.Duration // a response after this time earns less
+	deadline    time.Duration
+	workNs      float64 // expected service time; 0: unknown
+	keyHash     uint64  // 0: no key
+
 	phase         requestPhase
-	objectiveAt   time.Duration // a response after this time earns less
-	deadline      time.Duration
-	isClientRetry bool    // the client has tried before: part of the objective has passed
-	isStreaming   bool    // part of a response has reached the client: no further attempt
-	workNs        float64 // expected service time; 0: unknown
-	keyHash       uint64  // 0: no key
-	keyQueue      *keyQueue
-	keyQuietUntil time.Duration // its key's quiet period, after an attempt whose end is unknown
+	isClientRetry bool // the client has tried before: part of the objective has passed
+	isStreaming   bool // part of a response has reached the client: no further attempt
+	hasNoEndpoint bool // no endpoint may take it in this step
 
 	attempts        []*attempt
 	inFlight        int      // attempts without an outcome
@@ -34,8 +34,9 @@
 	retries         int
 	lastFailed      *endpoint // the endpoint of the latest failed attempt
 
-	timer         int64 // token of its latest timer, which voids earlier ones; 0: none
-	hasNoEndpoint bool  // no endpoint may take it in this step
+	keyQueue      *keyQueue
+	keyQuietUntil time.Duration // end of its key's quiet period, after an attempt whose end is unknown
+	timer         int64         // token of its latest timer, which voids earlier ones; 0: none
 }
 
 func (r *request) hasEnded() bool { return r.phase == phaseEnded }
