--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -1,9 +1,6 @@
 package balancer
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
 const (
 	// overdueObjectiveShare is the least time without a response, as a share of the objective, that makes an
@@ -63,10 +60,10 @@
 	a := newAttempt(r, ep, b.now, !ep.isConnected(b.now, b.settings.IdleClose))
 	r.addAttempt(a)
 	b.endpoints.markObserved(ep)
-	ep.inFlight = append(ep.inFlight, a)
+	ep.addAttempt(a)
 	b.attemptsInFlight++
 	if len(r.attempts) == 1 {
-		b.traffic.sent++
+		b.traffic.observeSent()
 	}
 	if ep.warmUp.active {
 		b.slowStart.scheduleNextPermit(ep, b.now, a.expectedLatencyNs, b.fleet)
@@ -77,12 +74,11 @@
 
 // endAttempt takes an attempt out of the counts of those in flight.
 func (b *Balancer) endAttempt(r *request, a *attempt, result Result) {
-	ran := !result.NeverRan() || result == Rejected && b.settings.RejectedMayHaveRun
-	r.endAttempt(a, ran)
+	mayHaveRun := !result.NeverRan() || result == Rejected && b.settings.RejectedMayHaveRun
+	r.endAttempt(a, mayHaveRun)
+	a.endpoint.removeAttempt(a)
 	b.attemptsInFlight--
-	isEnded := func(other *attempt) bool { return other == a }
-	a.endpoint.inFlight = slices.DeleteFunc(a.endpoint.inFlight, isEnded)
 	if result == TimedOut || result == Reset || result == Cancelled {
-		r.keyQuietUntil = b.now + b.settings.KeyQuietPeriod
+		r.keyQuietUntil = b.now + b.settings.KeyQuietPeriod // it may still be running
 	}
 }
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -71,6 +71,9 @@
 	return difference.Abs() > retryTimeoutTicks*tick
 }
 
+// observeServedOnTime notes a request that was served within its objective.
+func (c *classStats) observeServedOnTime() { c.servedOnTime++ }
+
 // observeWork learns from the expected work of a new request.
 func (c *classStats) observeWork(workNs float64) {
 	if workNs > 0 {
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -26,6 +26,9 @@
 	// two.
 	targetOverBaseline = 3.0
 
+	// rejectedRatio is the least latency ratio of an attempt that was shed by its endpoint, or had no
+	// response.
+	rejectedRatio = 1.0
 	// maxRatioSample is the most that one response counts for.
 	maxRatioSample = 2.0
 	// maxSampleOverBaseline is the most that one response counts for, as a multiple of the baseline ratio ...
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -1,6 +1,9 @@
 package balancer
 
-import "time"
+import (
+	"math"
+	"time"
+)
 
 const (
 	// maxEjectionLevel bounds the length of ejections: the longest is 2^(maxEjectionLevel-1) times the first.
@@ -8,6 +11,8 @@
 	// ejectionRecovery is the number of levels that a served attempt takes back: one error in five still
 	// raises them.
 	ejectionRecovery = 0.25
+	// classEjectionObjectives is the length of the first ejection for one class, in objectives.
+	classEjectionObjectives = 8.0
 	// probationMultiple is the multiple of its ejection for which an endpoint gets no request that is not
 	// idempotent.
 	probationMultiple = 2
@@ -31,6 +36,25 @@
 	timeouts float64 // in a row
 }
 
+// eject keeps the endpoint from all requests for a number of objectives that doubles with each level.
+func (e *ejectionState) eject(now, objective time.Duration, jitter float64) {
+	e.level = min(e.level+1, maxEjectionLevel)
+	objectives := math.Exp2(e.level-1) * jitter
+	e.ejectedAt = now
+	e.ejectedUntil = now + time.Duration(objectives*float64(objective))
+}
+
+// eject keeps the endpoint from the class for a number of objectives that doubles with each time-out in a
+// row.
+func (e *classEjection) eject(now, objective time.Duration) {
+	e.timeouts = min(e.timeouts+1, maxEjectionLevel)
+	objectives := classEjectionObjectives * math.Exp2(e.timeouts-1)
+	e.until = now + time.Duration(objectives*float64(objective))
+}
+
+// markUnreachable notes that connections to the endpoint fail or break.
+func (e *ejectionState) markUnreachable() { e.unreachable = true }
+
 func (e *ejectionState) isEjected(now time.Duration) bool { return now < e.ejectedUntil }
 
 // observeServed notes a served attempt of a class.
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"slices"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -32,6 +33,17 @@
 // isGone reports whether it was removed and none of its attempts is in flight.
 func (ep *endpoint) isGone() bool { return ep.State == Removed && len(ep.inFlight) == 0 }
 
+// addAttempt notes an attempt that is being sent to it.
+func (ep *endpoint) addAttempt(a *attempt) { ep.inFlight = append(ep.inFlight, a) }
+
+// removeAttempt notes the end of one of its attempts.
+func (ep *endpoint) removeAttempt(a *attempt) {
+	ep.inFlight = slices.DeleteFunc(ep.inFlight, func(other *attempt) bool { return other == a })
+}
+
+// demote moves it back in this agent's order of preference.
+func (ep *endpoint) demote(ranks float64) { ep.rank += ranks }
+
 // size is the listed size; without sizes all endpoints are alike.
 func (ep *endpoint) size() float64 { return cmp.Or(max(0, ep.Weight), 1) }
 
@@ -67,6 +79,9 @@
 	return c.connected && (idleClose == 0 || now-c.lastUsedAt < idleClose)
 }
 
+// markDisconnected notes that the connections may be stuck, or are gone with the endpoint's process.
+func (c *connectionState) markDisconnected() { c.connected = false }
+
 // observe learns from the end of an attempt.
 func (c *connectionState) observe(now time.Duration, a *attempt, answered bool) {
 	c.connected = answered
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -83,7 +83,7 @@
 // onEndpointList takes in endpoints, or the failure to get them.
 func (b *Balancer) onEndpointList(list EndpointList) {
 	if wait, ok := b.subscriber.observe(list.Kind); ok {
-		b.timers.subscribe = b.setTimer(wait)
+		b.timers.registerSubscribe(b.setTimer(wait))
 	}
 	if list.Kind.hasFailed() {
 		return
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -47,7 +47,7 @@
 func (b *Balancer) hedge(r *request) {
 	ep := r.attempts[len(r.attempts)-1].endpoint
 	r.lastFailed = ep
-	ep.connection.connected = false
+	ep.connection.markDisconnected()
 	b.outliers.ejectForClass(ep, r.class, b.now)
 	b.retry(r, TimedOut)
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -35,8 +35,8 @@
 func (b *Balancer) onServed(r *request) {
 	b.retryTokens.refill()
 	if r.isOnTime(b.now) {
-		r.class.servedOnTime++
-		b.traffic.servedOnTime++
+		r.class.observeServedOnTime()
+		b.traffic.observeServedOnTime()
 	}
 	if !b.settings.AllowCancel {
 		return
@@ -63,8 +63,8 @@
 	case Served:
 		b.observeServed(r, a, outcome.Latency)
 	case Rejected:
-		a.endpoint.ejection.avoidedUntil = b.outliers.drawAvoidedUntil(r.class, b.now)
-		b.adjustLimit(1)
+		b.outliers.avoid(a.endpoint, r.class, b.now)
+		b.adjustLimit(rejectedRatio)
 	case TimedOut:
 		b.observeTimeout(r, a, outcome.Latency)
 	case ServerError, Reset, ConnectFailed:
@@ -79,7 +79,7 @@
 	answered := result == Served || result == ServerError
 	a.endpoint.connection.observe(b.now, a, answered)
 	if !answered {
-		a.endpoint.rank += b.rng.ExpFloat64()
+		a.endpoint.demote(b.rng.ExpFloat64())
 		a.endpoint.responses.observeNoResponse()
 	}
 }
@@ -119,7 +119,7 @@
 		b.outliers.eject(a, r.class, b.now)
 		return
 	}
-	b.adjustLimit(max(1, r.class.objectiveRatio(latency)))
+	b.adjustLimit(max(rejectedRatio, r.class.objectiveRatio(latency)))
 	ep.responses.observeRatio(a.latencyRatio(latency)) // it takes at least so long
 }
 
@@ -132,7 +132,7 @@
 	if b.outliers.isAlive(ep, outcome) {
 		threshold = maxRun
 		if connectFailed {
-			ep.ejection.avoidedUntil = b.outliers.drawAvoidedUntil(r.class, b.now)
+			b.outliers.avoid(ep, r.class, b.now)
 		}
 	}
 	if ep.ejection.consecutiveFailures < threshold {
@@ -140,7 +140,7 @@
 	}
 	if connectFailed || mayEjectForErrors(&b.endpoints, b.fleet, b.now) {
 		if outcome.Result != ServerError && outcome.Result != LocalFailure {
-			ep.ejection.unreachable = true
+			ep.ejection.markUnreachable()
 		}
 		b.outliers.eject(a, r.class, b.now)
 	}
@@ -150,7 +150,7 @@
 // that fails fast is always idle. The cause may be this machine: the failure does not tell that the endpoint
 // was restarted, and the bound on ejected endpoints holds.
 func (b *Balancer) observeLocalFailure(r *request, a *attempt, outcome *Outcome) {
-	a.endpoint.ejection.avoidedUntil = b.outliers.drawAvoidedUntil(r.class, b.now)
+	b.outliers.avoid(a.endpoint, r.class, b.now)
 	if len(r.attempts) == 1 {
 		b.traffic.undoSend() // nothing was sent that may have been wasted
 	}
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -26,8 +26,6 @@
 	// minEjectionJitter and ejectionJitter spread the length of an ejection: times 0.75 to 1.25.
 	minEjectionJitter = 0.75
 	ejectionJitter    = 0.5
-	// classEjectionObjectives is the length of the first ejection for one class, in objectives.
-	classEjectionObjectives = 8.0
 )
 
 // outlierDetector decides which endpoints are ejected. An endpoint that fails fast is always idle, and would
@@ -91,10 +89,8 @@
 	if a.sentAt < e.ejectedAt {
 		return
 	}
-	e.level = min(e.level+1, maxEjectionLevel)
-	e.ejectedAt = now
-	objectives := math.Exp2(e.level-1) * (minEjectionJitter + ejectionJitter*d.rng.Float64())
-	e.ejectedUntil = now + time.Duration(objectives*float64(class.Objective))
+	jitter := minEjectionJitter + ejectionJitter*d.rng.Float64()
+	e.eject(now, class.Objective, jitter)
 }
 
 // ejectForClass ejects an endpoint for one class, if that class is served on time less often than others.
@@ -102,14 +98,11 @@
 	if class.onTimeShare() > d.classes.best().onTimeShare()-significantOnTimeGap {
 		return
 	}
-	e := &ep.ejection.byClass[class.index]
-	e.timeouts = min(e.timeouts+1, maxEjectionLevel)
-	objectives := classEjectionObjectives * math.Exp2(e.timeouts-1)
-	e.until = now + time.Duration(objectives*float64(class.Objective))
+	ep.ejection.byClass[class.index].eject(now, class.Objective)
 }
 
-// drawAvoidedUntil draws until when an endpoint gets nothing new after it shed a request or refused a
-// connection.
-func (d *outlierDetector) drawAvoidedUntil(class *classStats, now time.Duration) time.Duration {
-	return now + time.Duration(d.rng.Float64()*class.meanLatencyNs)
+// avoid keeps an endpoint that shed a request or refused a connection from new ones, for a random part of the
+// mean latency.
+func (d *outlierDetector) avoid(ep *endpoint, class *classStats, now time.Duration) {
+	ep.ejection.avoidedUntil = now + time.Duration(d.rng.Float64()*class.meanLatencyNs)
 }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -31,8 +31,9 @@
 	// maxDraws bounds the draws of an outsider: each may meet an endpoint that is small, or that may not get
 	// the request.
 	maxDraws = 50
-	// uniformBits is the number of random bits that a float64 in [0, 1) holds.
+	// uniformBits is the number of random bits that a float64 in [0, 1) holds, and hashBits that of a hash.
 	uniformBits = 53
+	hashBits    = 64
 )
 
 // The tiers of idle candidates: one of the first tier that has any is taken.
@@ -245,7 +246,7 @@
 	var pair [16]byte
 	binary.LittleEndian.PutUint64(pair[:8], endpointHash)
 	binary.LittleEndian.PutUint64(pair[8:], keyHash)
-	return float64(xxhash.Sum64(pair[:])>>(64-uniformBits)) / (1 << uniformBits)
+	return float64(xxhash.Sum64(pair[:])>>(hashBits-uniformBits)) / (1 << uniformBits)
 }
 
 // drawOutsider draws an endpoint that is neither in the subset nor connected, by weight; nil if none was
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -73,10 +73,10 @@
 }
 
 // endAttempt notes the end of an attempt.
-func (r *request) endAttempt(a *attempt, ran bool) {
+func (r *request) endAttempt(a *attempt, mayHaveRun bool) {
 	a.inFlight = false
 	r.inFlight--
-	if ran {
+	if mayHaveRun {
 		return
 	}
 	r.mayHaveRun--
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -19,7 +19,7 @@
 	minPermitRate = 1e-9
 )
 
-// warmUp is the state of an endpoint that may have started a short while ago.
+// warmUp is the state of an endpoint that may have started a short while ago. Only slowStart changes it.
 type warmUp struct {
 	active       bool
 	startedAt    time.Duration // when its latest start became known
@@ -116,7 +116,7 @@
 // startWarmUp begins the slow start of an endpoint whose process started at the time at.
 func (b *Balancer) startWarmUp(ep *endpoint, at time.Duration) {
 	b.endpoints.markObserved(ep)
-	ep.connection.connected = false
+	ep.connection.markDisconnected()
 	ep.responses.observeStart()
 	b.slowStart.start(ep, at, b.now, b.classes.reference().meanLatencyNs, b.fleet)
 }
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -17,6 +17,12 @@
 	return t.lastToken
 }
 
+// register notes the latest timer of a request.
+func (t *timerTable) register(r *request) { t.requests[r.timer] = r }
+
+// registerSubscribe notes the timer for the next Subscribe.
+func (t *timerTable) registerSubscribe(token int64) { t.subscribe = token }
+
 // drop forgets a timer of a request.
 func (t *timerTable) drop(token int64) { delete(t.requests, token) }
 
@@ -51,7 +57,7 @@
 // setRequestTimer sets the timer of a request, which voids its earlier ones.
 func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
 	r.timer = b.setTimer(at - b.now)
-	b.timers.requests[r.timer] = r
+	b.timers.register(r)
 }
 
 // onTimer continues what has waited for a timer. A request that stays queued gets another timer by
--- a/balancer/traffic.go
+++ b/balancer/traffic.go
@@ -39,6 +39,12 @@
 	t.peakInFlight = max(t.peakInFlight, attempts)
 }
 
+// observeSent notes a request whose first attempt is being sent.
+func (t *trafficStats) observeSent() { t.sent++ }
+
+// observeServedOnTime notes a request that was served within its objective.
+func (t *trafficStats) observeServedOnTime() { t.servedOnTime++ }
+
 // undoSend takes back a request whose first attempt never left this machine.
 func (t *trafficStats) undoSend() { t.sent = max(0, t.sent-1) }
 
