--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -42,14 +42,14 @@
 	return float64(latency) / a.expectedLatencyNs
 }
 
-// hadLittleTime reports whether the client of an attempt waited for a moment only: what it got says nothing
-// of the endpoint.
+// hadLittleTime reports whether the client of an attempt waited for so short a time that the result carries
+// no information about the endpoint.
 func (a *attempt) hadLittleTime(r *request) bool {
-	usual := float64(min(r.class.Objective, r.class.Deadline))
-	return r.deadline-a.sentAt < time.Duration(overdueObjectiveShare*usual)
+	leastNs := overdueObjectiveShare * float64(min(r.class.Objective, r.class.Deadline))
+	return r.deadline-a.sentAt < time.Duration(leastNs)
 }
 
-// send starts an attempt. Nothing else does: the rules for attempts are checked here once more.
+// send starts an attempt. It is the only place that does, and checks the rules for attempts once more.
 func (b *Balancer) send(r *request, ep *endpoint) {
 	allowed := b.attemptRules.allow(r, ep, b.now) && r.isNextOfKey(b.now)
 	if ep.State != Serving || !allowed || b.now >= r.deadline {
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -9,7 +9,7 @@
 const (
 	// smoothing is the weight of a new sample in a moving average: about the last 20 samples count.
 	smoothing = 0.1
-	// slowSmoothing is the weight in a moving average that has to change slowly.
+	// slowSmoothing is the weight of a new sample in a moving average that has to change slowly.
 	slowSmoothing = smoothing / 10
 	// arrivalDecay is the share that decayed counts lose with each arrival: the last few hundred arrivals
 	// count.
@@ -21,12 +21,12 @@
 	medianLatencyShare = 0.7
 	// maxResponseShare is the most time that is set aside for a response, as a share of the objective.
 	maxResponseShare = 0.75
-	// significantOnTimeGap is a difference between two shares of requests on time that is not chance.
+	// significantOnTimeGap is the least difference between two on-time shares that does not count as chance.
 	significantOnTimeGap = 0.1
 
-	// retryTimeoutTicks is the deviation from the usual timeout, in ticks, that tells a client's retry.
+	// retryTimeoutTicks is the deviation from the median timeout, in ticks, that identifies a client's retry.
 	retryTimeoutTicks = 2
-	// timeoutStepsPerTick divides a tick into the steps in which the usual timeout follows the arrivals.
+	// timeoutStepsPerTick divides a tick into the steps by which the median timeout changes.
 	timeoutStepsPerTick = 4
 )
 
@@ -37,7 +37,7 @@
 	meanLatencyNs      float64       // of served requests
 	latencyObservedAt  time.Duration // when meanLatencyNs was last updated
 	meanWorkNs         float64       // of the requests that tell their expected work
-	usualTimeout       time.Duration // of clients' first tries
+	medianTimeout      time.Duration // of clients' first tries
 	arrived            float64       // decayed count of requests
 	servedOnTime       float64       // decayed count of requests served within their objective
 	onTimeNewConn      float64       // share of attempts served on time over new connections
@@ -58,15 +58,16 @@
 // onTimeShare is the share of recent requests that were served within their objective.
 func (c *classStats) onTimeShare() float64 { return (c.servedOnTime + 1) / (c.arrived + 1) }
 
-// observeTimeout learns the usual timeout from a new request and reports whether the request is a client's
-// retry: a client gives its first tries the usual timeout, and its last try all that is left of its deadline.
+// observeTimeout updates the median timeout with that of a new request, and reports whether the request is a
+// client's retry: clients give their first tries the same timeout, and their last try what is left of their
+// deadline.
 func (c *classStats) observeTimeout(timeout, tick time.Duration, markedRetry bool) (isRetry bool) {
-	c.usualTimeout = cmp.Or(c.usualTimeout, timeout)
-	difference := timeout - c.usualTimeout
+	c.medianTimeout = cmp.Or(c.medianTimeout, timeout)
+	difference := timeout - c.medianTimeout
 	if !markedRetry {
 		// Steps of constant size lead to the median.
 		step := tick / timeoutStepsPerTick
-		c.usualTimeout += min(max(difference, -step), step)
+		c.medianTimeout += min(max(difference, -step), step)
 	}
 	return difference.Abs() > retryTimeoutTicks*tick
 }
@@ -74,15 +75,15 @@
 // observeServedOnTime notes a request that was served within its objective.
 func (c *classStats) observeServedOnTime() { c.servedOnTime++ }
 
-// observeWork learns from the expected work of a new request.
+// observeWork updates the mean work with that of a new request; 0: unknown.
 func (c *classStats) observeWork(workNs float64) {
 	if workNs > 0 {
 		c.meanWorkNs = movingAverage(c.meanWorkNs, workNs)
 	}
 }
 
-// observeLatency learns from the latency of a served request, scaled to a request of mean work, and returns
-// how much the scaled latency deviates from the mean, as a multiple of the mean.
+// observeLatency updates the mean latency with that of a served request, scaled to a request of mean work. It
+// returns the deviation of the scaled latency from the mean, as a multiple of the mean.
 func (c *classStats) observeLatency(now, latency time.Duration, workNs float64) (deviation float64) {
 	sampleNs := float64(latency)
 	if workNs > 0 && c.meanWorkNs > 0 {
@@ -94,7 +95,7 @@
 	return deviation
 }
 
-// observeAttempt learns whether attempts over new connections are served on time as often as others.
+// observeAttempt updates the shares of attempts on time, over new connections and over existing ones.
 func (c *classStats) observeAttempt(onTime, newConnection bool) {
 	sample := 0.0
 	if onTime {
@@ -136,7 +137,7 @@
 // classList holds all classes, in the order of the settings. There is at least one.
 type classList []*classStats
 
-// reference is the class whose objective and latency give the time scale of what concerns all classes.
+// reference is the class whose objective and latency are the time scale of what concerns all classes.
 func (l classList) reference() *classStats { return l[0] }
 
 // observeArrival counts a request of a class.
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -22,18 +22,18 @@
 	maxTargetRatio = 0.35
 	// minTargetRatio is the latency ratio up to which the limit never falls: the delay does no harm.
 	minTargetRatio = 0.15
-	// targetOverBaseline is the multiple of the baseline ratio above which the limit falls, between these
-	// two.
+	// targetOverBaseline is the multiple of the baseline ratio above which the limit falls, where that lies
+	// between minTargetRatio and maxTargetRatio.
 	targetOverBaseline = 3.0
 
 	// rejectedRatio is the least latency ratio of an attempt that was shed by its endpoint, or had no
 	// response.
 	rejectedRatio = 1.0
-	// maxRatioSample is the most that one response counts for.
+	// maxRatioSample is the largest latency ratio that one response counts with.
 	maxRatioSample = 2.0
-	// maxSampleOverBaseline is the most that one response counts for, as a multiple of the baseline ratio ...
+	// maxSampleOverBaseline bounds the latency ratio of one response to a multiple of the baseline ratio.
 	maxSampleOverBaseline = 4.0
-	// minSampleBound is the least value of that bound.
+	// minSampleBound is the least bound that follows from maxSampleOverBaseline.
 	minSampleBound = 2 * minTargetRatio
 	// initialRatioSamples is the number of responses that set the baseline before the limit is adjusted.
 	initialRatioSamples = 1 / smoothing
@@ -82,8 +82,8 @@
 	return minLimitPerEndpoint*float64(fleet.serving) < attempts*l.agents
 }
 
-// observe learns from the latency ratio of a response, or of an attempt that had none, and adjusts the limit.
-// meanLatencyNs is the shortest time between two decreases.
+// observe adjusts the limit by the latency ratio of a response, or of an attempt that had none. inFlight is
+// the number of attempts in flight that count, meanLatencyNs the shortest time between two decreases.
 func (l *concurrencyLimiter) observe(
 	now time.Duration, ratio, inFlight, meanLatencyNs float64, fleet fleetSummary,
 ) {
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -14,7 +14,7 @@
 	hash       uint64     // of its ID
 	rank       float64    // random place in this agent's order if all were alike, the least first
 	inFlight   []*attempt // oldest first
-	isObserved bool       // something has been learned of it; else it is as it was first listed
+	isObserved bool       // it has had attempts, a start or a change of state since it was listed
 
 	connection connectionState
 	responses  responseStats
@@ -22,7 +22,7 @@
 	warmUp     warmUp
 }
 
-// newEndpoint returns an endpoint of which nothing is known but that it is listed.
+// newEndpoint returns an endpoint that has just been listed.
 func newEndpoint(entry Endpoint, rank float64, classes int) *endpoint {
 	ep := &endpoint{Endpoint: entry, hash: xxhash.Sum64String(entry.ID), rank: rank}
 	ep.StartedAt = 0 // its start, if the list tells one, is still to be taken in
@@ -94,11 +94,11 @@
 const (
 	// latencyRatioPrior is the number of responses that the ratio of 1 counts for at a new endpoint.
 	latencyRatioPrior = 2.0
-	// maxLatencyRatioSample is the most that one response can say of an endpoint's latency ratio.
+	// maxLatencyRatioSample is the largest latency ratio that one response counts with.
 	maxLatencyRatioSample = 8.0
 )
 
-// responseStats is what an endpoint's responses say of it.
+// responseStats are the statistics of an endpoint's responses.
 type responseStats struct {
 	hasServed    bool // since it started
 	lastServedAt time.Duration
@@ -128,7 +128,7 @@
 	s.latencyRatio, s.samples = max(s.latencyRatio, 1), 0
 }
 
-// observeStart forgets what the process before said.
+// observeStart drops the statistics of the process before.
 func (s *responseStats) observeStart() {
 	s.hasServed, s.latencyRatio, s.samples = false, 0, 0
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -74,7 +74,7 @@
 }
 
 // observeConnection learns whether the endpoint of an attempt is connected. One that did not respond, or shed
-// the request, loses its place in the order of preference, so that it leaves the subset.
+// the request, moves back in the order of preference, so that it leaves the subset.
 func (b *Balancer) observeConnection(a *attempt, result Result) {
 	answered := result == Served || result == ServerError
 	a.endpoint.connection.observe(b.now, a, answered)
@@ -96,7 +96,7 @@
 		b.slowStart.observeServed(b.now, a.expectedLatencyNs, b.fleet)
 	}
 	if a.hadLittleTime(r) {
-		return // only fast responses reach such a client: their latency says nothing of the others'
+		return // only fast responses reach such a client, so that their latency is not typical
 	}
 	ep.responses.observeRatio(a.latencyRatio(latency))
 	deviation := r.class.observeLatency(b.now, latency, r.workNs)
@@ -110,8 +110,8 @@
 	return ep.ejection.unreachable && ep.warmUp.startedAt < a.sentAt && ep.ejection.firstFailureAt < a.sentAt
 }
 
-// observeTimeout learns from an attempt that had no response. If its endpoint has served nothing since, that
-// is more than a slow request or a queue.
+// observeTimeout takes in an attempt without a response. The endpoint is ejected if it has served nothing
+// since the attempt was sent; otherwise it counts as slow.
 func (b *Balancer) observeTimeout(r *request, a *attempt, latency time.Duration) {
 	ep := a.endpoint
 	b.outliers.ejectForClass(ep, r.class, b.now)
@@ -120,7 +120,7 @@
 		return
 	}
 	b.adjustLimit(max(rejectedRatio, r.class.objectiveRatio(latency)))
-	ep.responses.observeRatio(a.latencyRatio(latency)) // it takes at least so long
+	ep.responses.observeRatio(a.latencyRatio(latency)) // a lower bound of its latency
 }
 
 // observeFailure learns from an error or a broken connection, and ejects the endpoint after too many in a
@@ -146,7 +146,7 @@
 	}
 }
 
-// observeLocalFailure keeps an endpoint that cannot be reached from here from drawing the traffic, as one
+// observeLocalFailure keeps an endpoint that cannot be reached from here from attracting the traffic, as one
 // that fails fast is always idle. The cause may be this machine: the failure does not tell that the endpoint
 // was restarted, and the bound on ejected endpoints holds.
 func (b *Balancer) observeLocalFailure(r *request, a *attempt, outcome *Outcome) {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// maxRunChance is the chance of a run of failures below which the run is not taken for chance.
+	// maxRunChance is the probability of a run of failures below which the run does not count as chance.
 	maxRunChance = 1e-3
-	// maxConnectRunChance is the same for failed connections, which say more, and whose requests never ran.
+	// maxConnectRunChance is the same for failed connections, which are stronger evidence, and whose requests
+	// never ran.
 	maxConnectRunChance = 50 * maxRunChance
 	// minRun and minConnectRun are the shortest runs of failures that eject an endpoint.
 	minRun        = 2.0
 	minConnectRun = 1.0
-	// maxRun is the longest run of failures that is waited for.
+	// maxRun is the length of a run of failures that ejects an endpoint in any case.
 	maxRun = 6
-	// minFailureRate and maxFailureRate bound the failure rate in the estimate of that chance.
+	// minFailureRate and maxFailureRate bound the failure rate in the estimate of that probability.
 	minFailureRate = 1e-6
 	maxFailureRate = 0.3
 
@@ -28,8 +29,8 @@
 	ejectionJitter    = 0.5
 )
 
-// outlierDetector decides which endpoints are ejected. An endpoint that fails fast is always idle, and would
-// draw all traffic if it were not.
+// outlierDetector decides which endpoints are ejected. Without ejection an endpoint that fails fast would be
+// idle all the time, and would attract all traffic.
 type outlierDetector struct {
 	rng            *rand.Rand
 	connectTimeout time.Duration
@@ -41,14 +42,14 @@
 func (d *outlierDetector) observeServed() { d.failureRate -= slowSmoothing * d.failureRate }
 
 // observeFailure notes a failed attempt at an endpoint. Only the first failure of a run counts in the failure
-// rate: an endpoint that is gone says no more of the others.
+// rate, which is that of the fleet: the further failures of one endpoint say nothing about the others.
 func (d *outlierDetector) observeFailure(ep *endpoint, now time.Duration) {
 	if ep.ejection.observeFailure(now) {
 		d.failureRate += slowSmoothing * (1 - d.failureRate)
 	}
 }
 
-// failureThreshold is the number of failures in a row that chance hardly makes at the current failure rate.
+// failureThreshold is the number of failures in a row that are not chance at the current failure rate.
 func (d *outlierDetector) failureThreshold(result Result) int {
 	shortest, chance := minRun, maxRunChance
 	if result == ConnectFailed {
@@ -60,8 +61,8 @@
 }
 
 // isAlive reports whether an endpoint's process lives although a connection to it failed: a process that dies
-// takes all its connections along, but older attempts are still in flight. A dial without an answer is no
-// sign of life.
+// takes all its connections along, but older attempts are still in flight. A dial without an answer does not
+// count as a sign of life.
 func (d *outlierDetector) isAlive(ep *endpoint, outcome *Outcome) bool {
 	if outcome.Result == ServerError {
 		return false
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -64,12 +64,12 @@
 	fleet           fleetSummary
 	subset          float64 // wanted size of the subset, in endpoints
 	crossZoneFactor float64 // how much less an endpoint of another zone weighs
-	newEndpointLoad float64 // the load, in attempts, that an endpoint without a response yet counts with
-	maxLoad         float64 // in attempts: an endpoint with so many gets nothing more
+	newEndpointLoad float64 // load, in attempts, of an endpoint without a response yet
+	maxLoad         float64 // load, in attempts, at which an endpoint gets nothing more
 }
 
-// pick chooses an endpoint for a request: an idle one, else the least loaded one, else, where all are
-// ejected, the one that has been so least. It returns nil if none may be used now.
+// pick chooses an endpoint for a request: an idle one; otherwise the least loaded one; otherwise, where all
+// are ejected, one of the lowest ejection level. It returns nil if none may be used now.
 func (p *picker) pick(r *request, now time.Duration, fleet fleetSummary) *endpoint {
 	info := p.pickInfo(r, now, fleet, minSubset+subsetPerAttempt*p.traffic.peakInFlight)
 	candidates := &p.candidates
@@ -231,8 +231,9 @@
 	}
 }
 
-// drawWait draws a time at the rate of the candidate's weight: the least of all is a choice by weight. With
-// cache affinity all agents draw alike for a key, so that it meets the endpoint that has cached it.
+// drawWait draws an exponential time at the rate of the candidate's weight: the candidate with the least time
+// is a random choice by weight. With cache affinity all agents draw alike for a key, so that it goes to the
+// endpoint that has cached it.
 func (p *picker) drawWait(r *request, c candidate) float64 {
 	uniform := p.rng.Float64()
 	if p.settings.CacheAffinity && r.keyHash != 0 {
@@ -324,7 +325,7 @@
 func loadAndLatencyRatio(ep *endpoint, now time.Duration) (load, latencyRatio float64) {
 	load, latencyRatio = float64(len(ep.inFlight)), ep.responses.ratio()
 	for _, a := range ep.inFlight {
-		// No attempt passes for lost while the endpoint warms up.
+		// While the endpoint warms up no attempt counts as lost.
 		if a.sentAt > ep.connection.latestAnsweredSend || ep.warmUp.active {
 			return load, max(latencyRatio, a.latencyRatio(now-a.sentAt)*inFlightRatioShare)
 		}
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// answerUnserved gives a request its final answer without a response. Nothing else does. A rejection, which
-// lets any client retry, is given only if no attempt may have run.
+// answerUnserved gives a request its final answer without a response; it is the only place that does. The
+// answer is a rejection, after which any client may retry, only if no attempt may have run.
 func (b *Balancer) answerUnserved(r *request) {
 	if r.hasEnded() {
 		return
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -38,7 +38,7 @@
 	window      time.Duration // the span over which it does
 	agents      float64
 
-	warmWorkNs float64 // expected latencies of the attempts that a warm endpoint lately served for this agent
+	warmWorkNs float64 // decayed sum of the expected latencies that a warm endpoint served for this agent
 	decayedAt  time.Duration
 }
 
--- a/balancer/traffic.go
+++ b/balancer/traffic.go
@@ -8,7 +8,7 @@
 const (
 	// trafficWindowObjectives is the time constant of decayed traffic counts, in objectives.
 	trafficWindowObjectives = 20.0
-	// lateWorkAllowance is the number of requests that are sent before a share of late ones says anything.
+	// lateWorkAllowance is the number of requests that may be late before the share of late ones counts.
 	lateWorkAllowance = 4.0
 )
 
@@ -48,7 +48,7 @@
 // undoSend takes back a request whose first attempt never left this machine.
 func (t *trafficStats) undoSend() { t.sent = max(0, t.sent-1) }
 
-// lateWork is by how many requests the sent ones exceed a multiple of those served on time and the allowance.
+// lateWork is the number of requests sent beyond the allowance and a multiple of those served on time.
 func (t *trafficStats) lateWork(sentPerOnTime float64) float64 {
 	return t.sent - (sentPerOnTime*t.servedOnTime + lateWorkAllowance)
 }
