--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -101,7 +101,7 @@
 		Addr:           c.Discovery,
 		Known:          c.Known,
 		Table:          l.table,
-		Retire:         l.upstream.Retire,
+		Retire:         l.upstream.DrainConnections,
 		OnList:         func(list balancer.EndpointList) { l.post(moduleEvent{list}) },
 		Zones:          c.Names.Zones,
 		Kinds:          c.Names.Kinds,
--- /dev/null
+++ b/internal/upstream/attempt.go
@@ -0,0 +1,202 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/endpoint"
+	"ashshunt/internal/protocol"
+	"ashshunt/internal/socket"
+	"ashshunt/internal/telemetry"
+)
+
+// This file is the life of an attempt: connect, check that the request may still go out, exchange, classify the
+// outcome, and draw the conclusions about the endpoint's other connections.
+
+const (
+	// startMargin is how much earlier than Bounds.NotAfter an attempt begins: a machine may be held up for 0.15 s
+	// between the look at its clock and the write, of which endpoints allow for 0.05 s.
+	startMargin = 100 * time.Millisecond
+	// minIdleBeforeBreak is how long a connection must have been idle for a break at its next request to be put down
+	// to that time.
+	minIdleBeforeBreak = 100 * time.Millisecond
+)
+
+// Bounds are the times between which an attempt has to take place.
+type Bounds struct {
+	Deadline time.Time // by which it has ended
+	NotAfter time.Time // it must not begin after this; zero: no such bound
+}
+
+// allowStart reports whether an attempt may begin now.
+func (b Bounds) allowStart() bool {
+	now := time.Now()
+	return now.Before(b.Deadline) && (b.NotAfter.IsZero() || now.Add(startMargin).Before(b.NotAfter))
+}
+
+// Attempt forwards a request to an endpoint once and returns the result, and the response if there was one.
+func (c *Client) Attempt(ctx context.Context, request *Request, endpointID string,
+	bounds Bounds) (balancer.Result, Response) {
+	// The end of the request ends a dial for it, but not an exchange that has begun.
+	dialCtx, cancelDial := context.WithCancel(ctx)
+	defer cancelDial()
+	defer context.AfterFunc(request.Done, cancelDial)()
+	conn, failure := c.connect(dialCtx, endpointID, bounds.Deadline)
+	if failure != nil {
+		return failure.result, unsent(failure)
+	}
+	// The dial took time: the request may have ended meanwhile. From here to the first byte nothing waits.
+	if request.Done.Err() != nil || request.ClientGone() || ctx.Err() != nil || !bounds.allowStart() {
+		c.pool.release(conn)
+		return balancer.NotSent, unsent(nil)
+	}
+	return c.exchange(ctx, conn, newForwardedRequest(request, bounds.Deadline), bounds.Deadline)
+}
+
+// HealthCheck examines an endpoint outside any request. Where load reports are used, it asks for one.
+func (c *Client) HealthCheck(ctx context.Context, endpointID string) (balancer.Result, Response) {
+	deadline := time.Now().Add(c.healthCheckTimeout)
+	conn, failure := c.connect(ctx, endpointID, deadline)
+	if failure != nil {
+		return failure.result, unsent(failure)
+	}
+	path := protocol.HealthPath
+	if c.loadReports != balancer.LoadReportsNone {
+		path = protocol.LoadReportPath
+	}
+	result, response := c.exchange(ctx, conn, newHealthCheckRequest(path, conn.RemoteAddr().String()), deadline)
+	if path == protocol.LoadReportPath && response.Err == nil && response.Header.Get(protocol.HeaderLoadReport) == "" {
+		response.Header.Set(protocol.HeaderLoadReport, string(response.Body))
+	}
+	return result, response
+}
+
+// unsent is the response of an attempt of which no byte went out; err may be nil.
+func unsent(err error) Response { return Response{EndedAt: time.Now(), Err: err} }
+
+// connect returns a connection to an endpoint, idle or new. By the time it is there the endpoint may have begun to
+// drain or have been restarted: nothing goes out to a process that has ended, since the reset of that connection
+// would look like the reset of a request that may have run.
+func (c *Client) connect(ctx context.Context, endpointID string, deadline time.Time) (*connection, *connectError) {
+	for {
+		entry, serving := c.table.Serving(endpointID)
+		if !serving { // no connection was tried, which proves that nothing ran: another endpoint may serve it
+			return nil, &connectError{endpointID, balancer.ConnectFailed, ErrNotServing}
+		}
+		conn, failure := c.takeOrDial(ctx, entry, deadline)
+		if failure != nil {
+			return nil, failure
+		}
+		if c.isCurrent(conn) {
+			return conn, nil
+		}
+		c.pool.close(conn)
+	}
+}
+
+// isCurrent reports whether a connection leads to the process that the endpoint table lists as serving.
+func (c *Client) isCurrent(conn *connection) bool {
+	entry, serving := c.table.Serving(conn.endpointID())
+	return serving && conn.entry.SameProcess(entry)
+}
+
+// takeOrDial takes an idle connection, or dials one if there is none.
+func (c *Client) takeOrDial(ctx context.Context, entry endpoint.Entry,
+	deadline time.Time) (*connection, *connectError) {
+	if conn := c.pool.takeIdle(entry.ID); conn != nil {
+		return conn, nil
+	}
+	conn, err := c.pool.dial(ctx, entry, deadline)
+	if err == nil {
+		return conn, nil
+	}
+	result := classifyDialError(ctx, err)
+	if result == balancer.ConnectFailed && socket.IsTimeout(err) {
+		// The machine is silent: its idle connections are no better.
+		c.pool.closeIdle(entry.ID)
+	}
+	return nil, &connectError{entry.ID, result, err}
+}
+
+// classifyDialError returns the result of an attempt whose dial failed.
+func classifyDialError(ctx context.Context, err error) balancer.Result {
+	switch {
+	case ctx.Err() != nil:
+		return balancer.NotSent
+	case errors.Is(err, socket.ErrLocalFailure) || errors.Is(err, ErrPoolExhausted):
+		return balancer.LocalFailure
+	}
+	return balancer.ConnectFailed
+}
+
+// exchange sends a request on a connection, gives the connection back to the pool or closes it, and returns the
+// result by the protocol's table.
+func (c *Client) exchange(ctx context.Context, conn *connection, request *http.Request,
+	deadline time.Time) (balancer.Result, Response) {
+	encoded, err := encodeRequest(request)
+	if err != nil { // before any byte went out: it can't have run
+		c.pool.release(conn)
+		return balancer.NotSent, unsent(err)
+	}
+	idle := conn.idleTime()
+	outcome := roundTrip(ctx, conn.Conn, encoded, deadline, c.stallTimeout)
+	if outcome.reusable {
+		c.pool.release(conn)
+	} else {
+		c.pool.close(conn)
+	}
+	result := classify(outcome, ctx.Err() != nil)
+	c.closeDeadConnections(conn, result, idle)
+	c.logUnusable(conn.endpointID(), result, outcome.response)
+	return result, outcome.response
+}
+
+// classify is the protocol's table of outcomes. Where there is doubt, the request may have run.
+func classify(outcome exchangeOutcome, cancelled bool) balancer.Result {
+	response := outcome.response
+	switch {
+	case response.Err == nil && response.Status == http.StatusOK:
+		return balancer.Served
+	case response.Err == nil && response.rejected():
+		return balancer.Rejected
+	case response.Err == nil || errors.Is(response.Err, ErrMalformedResponse):
+		return balancer.ServerError
+	case !outcome.requestWritten:
+		return balancer.ConnectFailed // its last byte never left
+	case cancelled:
+		return balancer.Cancelled
+	case socket.IsTimeout(response.Err):
+		return balancer.TimedOut
+	}
+	return balancer.Reset
+}
+
+// closeDeadConnections closes the idle connections to an endpoint that the result on another one, which had been idle
+// for so long, shows to be dead as well: an unsafe request that goes out on one may not be sent again.
+func (c *Client) closeDeadConnections(conn *connection, result balancer.Result, idle time.Duration) {
+	switch {
+	case result == balancer.TimedOut:
+		// Idle connections to a machine that vanished swallow what is written to them; a new one fails fast, and
+		// proves that nothing ran.
+		c.pool.closeIdle(conn.endpointID())
+	case (result == balancer.Reset || result == balancer.ConnectFailed) && idle > minIdleBeforeBreak:
+		// Whatever ended the connection while it was idle, a middlebox or a machine that was away, has ended those
+		// that have been idle for longer too. A break in full use says nothing about the others, and to close them
+		// costs the endpoint a handshake each.
+		c.pool.closeIdleSince(conn.endpointID(), conn.idleSince)
+	}
+}
+
+// logUnusable logs a response that no endpoint should send.
+func (c *Client) logUnusable(endpointID string, result balancer.Result, response Response) {
+	if errors.Is(response.Err, ErrMalformedResponse) {
+		c.log.Warn(telemetry.MsgMalformedResponse, telemetry.Endpoint(endpointID), telemetry.Err(response.Err))
+		return
+	}
+	if response.Err == nil && result == balancer.ServerError && response.Status != http.StatusInternalServerError {
+		c.log.Warn(telemetry.MsgUnexpectedStatus, telemetry.Endpoint(endpointID), "status", response.Status)
+	}
+}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -132,7 +132,7 @@
 	}
 	for _, tt := range []struct {
 		name  string
-		idle  bool // on an idle connection, which the restart has not retired yet
+		idle  bool // on an idle connection, which the restart has not drained yet
 		entry func(old, other string) endpoint.Entry
 	}{
 		{"restarted during the dial", false, restarted},
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -253,7 +253,7 @@
 		syscall.EPIPE, syscall.ENETDOWN, syscall.ECONNABORTED} {
 		conn := brokenConn{cause: cause}
 		done := roundTrip(context.Background(), conn, []byte("x"), time.Now().Add(testutil.Timeout), testutil.Timeout)
-		if result := resultOf(done, false); result != balancer.Reset {
+		if result := classify(done, false); result != balancer.Reset {
 			t.Errorf("%v: result %d, want Reset", cause, result)
 		}
 	}
--- /dev/null
+++ b/internal/upstream/framing.go
@@ -0,0 +1,90 @@
+package upstream
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httputil"
+	"net/textproto"
+	"strconv"
+	"strings"
+
+	"ashshunt/internal/protocol"
+)
+
+// framingKind is how the end of a response's body is marked.
+type framingKind uint8
+
+const (
+	framedByLength framingKind = iota // Content-Length
+	framedByChunks                    // Transfer-Encoding: chunked
+	framedByClose                     // the body ends with its connection
+)
+
+// bodyFraming is where the body of a response ends.
+type bodyFraming struct {
+	kind   framingKind
+	length int // in bytes, if it is framed by its length
+}
+
+// bodyFraming reads the framing of the body. Two lengths, or a length beside an encoding, leave it open where the body
+// ends, and one that is too long is not waited for.
+func (h responseHead) bodyFraming() (bodyFraming, error) {
+	lengths, encodings := h.header["Content-Length"], h.header["Transfer-Encoding"]
+	switch {
+	case h.status < http.StatusOK:
+		return bodyFraming{}, fmt.Errorf("status %d", h.status)
+	case len(lengths)+len(encodings) == 0:
+		return bodyFraming{kind: framedByClose}, nil
+	case len(lengths)+len(encodings) != 1:
+		return bodyFraming{}, errors.New("framed twice")
+	case len(encodings) == 1:
+		if !strings.EqualFold(encodings[0], "chunked") {
+			return bodyFraming{}, fmt.Errorf("encoding %.*q", maxQuoted, encodings[0])
+		}
+		return bodyFraming{kind: framedByChunks}, nil
+	}
+	length, err := strconv.ParseUint(lengths[0], 10, 31)
+	if err != nil || length > protocol.MaxBodySize {
+		return bodyFraming{}, fmt.Errorf("length %.*q", maxQuoted, lengths[0])
+	}
+	return bodyFraming{kind: framedByLength, length: int(length)}, nil
+}
+
+// readBody reads the body to its end.
+func (f bodyFraming) readBody(in *bufio.Reader) ([]byte, error) {
+	switch f.kind {
+	case framedByChunks:
+		return readChunkedBody(in)
+	case framedByClose:
+		return readAtMost(in, protocol.MaxBodySize)
+	case framedByLength: // below
+	}
+	body := make([]byte, f.length)
+	_, err := io.ReadFull(in, body)
+	return body, err
+}
+
+func readChunkedBody(in *bufio.Reader) ([]byte, error) {
+	body, err := readAtMost(httputil.NewChunkedReader(in), protocol.MaxBodySize)
+	if err != nil {
+		return nil, err
+	}
+	// The chunks end with a trailer, empty as a rule.
+	_, err = textproto.NewReader(in).ReadMIMEHeader()
+	return body, err
+}
+
+// readAtMost reads up to limit bytes, to the orderly end of in. A reset is no such end.
+func readAtMost(in io.Reader, limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(in, limit+1))
+	if err != nil {
+		return nil, err
+	}
+	if int64(len(body)) > limit {
+		return nil, errors.New("body too long")
+	}
+	return body, nil
+}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,47 +10,25 @@
 	"ashshunt/internal/socket"
 )
 
-// pool holds the connections to endpoints. It is no http.Transport: that sends a request again by itself when a
+// pool owns the connections to endpoints. It is no http.Transport: that sends a request again by itself when a
 // reused connection turns out dead, which may run its effect twice.
 //
 // Nothing reads an idle connection: what arrives on it answers no request and must not pass for the response to the
 // next one. A connection is examined when it is taken, and closed if anything has arrived.
 //
-// The pool has no goroutine of its own. While connections are idle one timer is set, whose sweep closes those that
-// have been idle for too long; it sets itself again until none is idle.
+// The pool has no goroutine of its own. While connections are idle, a timer runs a sweep that closes those that have
+// been idle for too long and schedules the next sweep.
 type pool struct {
 	maxIdle        time.Duration // a connection that is idle for longer is closed
 	maxConnections int           // 0: no limit
 	dialer         socket.Dialer
 
-	mu             sync.Mutex                // protects what follows and the fields of groups and connections that say so
+	mu             sync.Mutex                // protects what follows and the groups
 	open           int                       // connections that are idle, in use or being dialled
 	groups         map[string]*endpointGroup // by endpoint ID, while it has connections
 	sweepScheduled bool
 }
 
-// endpointGroup holds what is open to one endpoint. A retired group is no longer in the pool: its connections that
-// are in use close when they are done.
-type endpointGroup struct {
-	endpointID string
-
-	// Protected by pool.mu.
-	idle    []*connection // by idleSince, the longest idle first
-	open    int           // idle, in use and being dialled
-	retired bool
-}
-
-// connection is one connection to an endpoint. Whoever took or dialled it owns it until release or close.
-type connection struct {
-	net.Conn
-	group     *endpointGroup
-	entry     endpoint.Entry // as listed when it was dialled
-	idleSince time.Time      // zero before its first release; written under pool.mu
-	closed    bool           // protected by pool.mu
-}
-
-func (c *connection) endpointID() string { return c.group.endpointID }
-
 func newPool(maxIdle, connectTimeout time.Duration, maxConnections int) *pool {
 	return &pool{
 		maxIdle:        maxIdle,
@@ -60,14 +38,12 @@
 	}
 }
 
-// takeIdle returns the most recently used idle connection to an endpoint that is still good, nil if there is none.
+// takeIdle returns the most recently used idle connection to an endpoint that is still usable, nil if there is none.
 func (p *pool) takeIdle(endpointID string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for group := p.groups[endpointID]; group != nil && len(group.idle) > 0; {
-		last := len(group.idle) - 1
-		conn := group.idle[last]
-		group.idle = group.idle[:last]
+		conn := group.popNewest()
 		// Not quiet: the endpoint has closed it, or has sent more than its last response.
 		if socket.Peek(conn.Conn) == socket.Quiet && time.Since(conn.idleSince) < p.maxIdle {
 			return conn
@@ -77,7 +53,7 @@
 	return nil
 }
 
-// dial opens a connection, within the pool's limit and the connect timeout.
+// dial opens a connection, within the pool's limit, the connect timeout and the deadline.
 func (p *pool) dial(ctx context.Context, entry endpoint.Entry, deadline time.Time) (*connection, error) {
 	group, err := p.reserve(entry.ID)
 	if err != nil {
@@ -88,14 +64,15 @@
 	conn, err := dialer.DialContext(ctx, "tcp", entry.Addr)
 	if err != nil {
 		p.mu.Lock()
-		p.discountLocked(group)
+		p.uncountLocked(group)
 		p.mu.Unlock()
 		return nil, err
 	}
 	return &connection{Conn: conn, group: group, entry: entry}, nil
 }
 
-// reserve counts a connection that is about to be dialled. At the limit another one has to make room.
+// reserve counts a connection that is about to be dialled. At the limit it evicts an idle one; with none idle it
+// returns ErrPoolExhausted.
 func (p *pool) reserve(endpointID string) (*endpointGroup, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,16 +92,11 @@
 // evictLocked closes the connection that has been idle for longest and reports whether there was one. The caller
 // holds p.mu.
 func (p *pool) evictLocked() bool {
-	var oldest *connection
-	for _, group := range p.groups {
-		if len(group.idle) > 0 && (oldest == nil || group.idle[0].idleSince.Before(oldest.idleSince)) {
-			oldest = group.idle[0]
-		}
-	}
-	if oldest == nil {
+	longest := p.longestIdleLocked()
+	if longest == nil {
 		return false
 	}
-	p.closeLongestIdleLocked(oldest.group)
+	p.closeLocked(longest.group.popOldest())
 	return true
 }
 
@@ -135,7 +107,7 @@
 	if conn.closed {
 		return
 	}
-	if conn.group.retired {
+	if conn.group.draining {
 		p.closeLocked(conn)
 		return
 	}
@@ -145,7 +117,7 @@
 	p.scheduleSweepLocked(p.maxIdle)
 }
 
-// scheduleSweepLocked has sweep run after a while, unless it is to run already. The caller holds p.mu.
+// scheduleSweepLocked has sweep run after a delay, unless one is scheduled already. The caller holds p.mu.
 func (p *pool) scheduleSweepLocked(after time.Duration) {
 	if !p.sweepScheduled {
 		p.sweepScheduled = true
@@ -153,46 +125,51 @@
 	}
 }
 
-// sweep closes the connections that have been idle for too long, and runs again when the next one will have been.
+// sweep closes the connections that have been idle for too long, and schedules the next sweep for when another one
+// will have been.
 func (p *pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweepScheduled = false
 	now := time.Now()
-	next := time.Duration(-1) // none
 	for _, group := range p.groups {
 		p.closeIdleSinceLocked(group, now.Add(-p.maxIdle))
-		if len(group.idle) == 0 {
-			continue
-		}
-		if remaining := p.maxIdle - now.Sub(group.idle[0].idleSince); next < 0 || remaining < next {
-			next = remaining
-		}
 	}
-	if next >= 0 {
-		p.scheduleSweepLocked(next)
+	if oldest := p.longestIdleLocked(); oldest != nil {
+		p.scheduleSweepLocked(p.maxIdle - now.Sub(oldest.idleSince))
 	}
 }
 
-// close ends a connection that was taken or dialled.
+// longestIdleLocked returns the connection that has been idle for longest, nil if none is idle. The caller holds p.mu.
+func (p *pool) longestIdleLocked() *connection {
+	var longest *connection
+	for _, group := range p.groups {
+		if len(group.idle) > 0 && (longest == nil || group.idle[0].idleSince.Before(longest.idleSince)) {
+			longest = group.idle[0]
+		}
+	}
+	return longest
+}
+
+// close closes a connection that was taken or dialled.
 func (p *pool) close(conn *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeLocked(conn)
 }
 
-// closeLocked closes a connection that is not among the idle ones and no longer counts it. The caller holds p.mu.
+// closeLocked closes a connection that its group does not list as idle. The caller holds p.mu.
 func (p *pool) closeLocked(conn *connection) {
 	if conn.closed {
 		return
 	}
 	conn.closed = true
 	_ = conn.Close() // nothing is left to be written
-	p.discountLocked(conn.group)
+	p.uncountLocked(conn.group)
 }
 
-// discountLocked takes one connection off the count; an endpoint's last takes its group along. The caller holds p.mu.
-func (p *pool) discountLocked(group *endpointGroup) {
+// uncountLocked takes one connection off the counts and drops a group that has none left. The caller holds p.mu.
+func (p *pool) uncountLocked(group *endpointGroup) {
 	p.open--
 	group.open--
 	if group.open == 0 && p.groups[group.endpointID] == group {
@@ -200,14 +177,14 @@
 	}
 }
 
-// retire ends the use of all connections to an endpoint that drains, is gone or was started again: those in use close
-// when they are done.
-func (p *pool) retire(endpointID string) {
+// drain ends the use of all connections to an endpoint: idle ones are closed at once, those in use after their
+// exchange.
+func (p *pool) drain(endpointID string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if group := p.groups[endpointID]; group != nil {
 		p.closeIdleSinceLocked(group, time.Now())
-		group.retired = true
+		group.draining = true
 		delete(p.groups, endpointID)
 	}
 }
@@ -230,17 +207,10 @@
 // nil. The caller holds p.mu.
 func (p *pool) closeIdleSinceLocked(group *endpointGroup, since time.Time) {
 	for group != nil && len(group.idle) > 0 && !group.idle[0].idleSince.After(since) {
-		p.closeLongestIdleLocked(group)
+		p.closeLocked(group.popOldest())
 	}
 }
 
-// closeLongestIdleLocked closes the connection of a group that has been idle for longest. The caller holds p.mu.
-func (p *pool) closeLongestIdleLocked(group *endpointGroup) {
-	conn := group.idle[0]
-	group.idle = group.idle[1:]
-	p.closeLocked(conn)
-}
-
 // openConnections is the number of connections that are open or being dialled.
 func (p *pool) openConnections() int {
 	p.mu.Lock()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -56,7 +56,7 @@
 
 func TestIdleTimeoutFollowsSettings(t *testing.T) {
 	for idleClose, want := range map[time.Duration]time.Duration{
-		0:                idleWithoutClose,
+		0:                maxIdleByDefault,
 		40 * time.Second: 30 * time.Second,
 	} {
 		client := New(Options{IdleClose: idleClose})
@@ -119,7 +119,7 @@
 		remain int
 	}{
 		{"another one failed", func(client *Client) { client.CloseIdle("s0") }, 1},
-		{"retired", func(client *Client) { client.Retire("s0") }, 0},
+		{"drained", func(client *Client) { client.DrainConnections("s0") }, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			gate := make(chan struct{})
@@ -165,8 +165,8 @@
 	server := testutil.NewServer(t, testutil.Echo)
 	client := newTestClient(t, server.Addr())
 	client.mustServe(t)
-	client.Retire("s0")
-	client.Retire("s1")
+	client.DrainConnections("s0")
+	client.DrainConnections("s1")
 	if n := len(client.pool.groups); n != 0 || client.OpenConnections() != 0 {
 		t.Errorf("%d groups and %d connections are left", n, client.OpenConnections())
 	}
