--- a/internal/upstream/client_test.go
+++ b/internal/upstream/attempt_test.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"net"
 	"net/http"
+	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -34,43 +34,13 @@
 	}
 }
 
-// listenWithFullQueue returns an address whose connections never come up, as those to a machine that vanished.
-func listenWithFullQueue(t *testing.T) string {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = syscall.Close(fd) })
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	if err := syscall.Listen(fd, 0); err != nil {
-		t.Fatal(err)
-	}
-	name, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-	for range 20 { // nobody accepts them
-		conn, err := net.DialTimeout("tcp", addr, time.Second)
-		if err != nil {
-			return addr
-		}
-		t.Cleanup(func() { _ = conn.Close() })
-	}
-	t.Skip("this system takes connections without end")
-	return ""
-}
-
 // An attempt to a machine that vanished ends within the connect timeout, with proof that it never ran.
 func TestConnectionNeverComesUp(t *testing.T) {
 	client := newTestClient(t, listenWithFullQueue(t))
 	client.pool.dialer.Timeout = 250 * time.Millisecond
-	begun := time.Now()
+	start := time.Now()
 	result, _ := client.attempt(testutil.Timeout)
-	if took := time.Since(begun); result != balancer.ConnectFailed || took > testutil.Timeout/2 {
+	if took := time.Since(start); result != balancer.ConnectFailed || took > testutil.Timeout/2 {
 		t.Errorf("result %d after %v, want ConnectFailed within the connect timeout", result, took)
 	}
 }
@@ -144,13 +114,9 @@
 			old, other := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
 			client := newTestClient(t, old.Addr())
 			entry := tt.entry(old.Addr(), other.Addr())
-			applied := false
-			apply := func() {
-				if !applied {
-					applied = true
-					client.table.Apply(endpoint.List{Entries: []endpoint.Entry{entry}})
-				}
-			}
+			apply := sync.OnceFunc(func() {
+				client.table.Apply(endpoint.List{Entries: []endpoint.Entry{entry}})
+			})
 			previousConnection := ""
 			if tt.idle {
 				client.mustServe(t)
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -15,17 +15,15 @@
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN,
 	syscall.ETIMEDOUT, syscall.EAGAIN, syscall.EACCES, syscall.EPERM, syscall.ECONNABORTED}
 
-// failDials has the next dials of a client fail by a cause. It returns how many are left to fail.
-func failDials(client *Client, count int32, cause error) *atomic.Int32 {
-	left := &atomic.Int32{}
-	left.Store(count)
+// failDials has the next dials of a client fail by a cause.
+func failDials(client *Client, count int32, cause error) {
+	var dials atomic.Int32
 	client.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
-		if left.Add(-1) >= 0 {
+		if dials.Add(1) <= count {
 			return cause
 		}
 		return nil
 	}
-	return left
 }
 
 // A connection that fails for a moment, by a cause that may be this machine's own, comes up within the connect timeout
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -17,37 +17,6 @@
 	"ashshunt/internal/testutil"
 )
 
-// respondRejected answers with a status and the mark of a rejected request.
-func respondRejected(status int) handler {
-	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
-		testutil.Respond(conn, status, "X-Rejected: 1\r\n", "")
-		return true
-	}
-}
-
-func respond(status int, body string) handler {
-	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
-		testutil.Respond(conn, status, "", body)
-		return true
-	}
-}
-
-// respondAndClose answers with raw bytes and closes the connection.
-func respondAndClose(text string) handler {
-	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
-		write(conn, text)
-		return false
-	}
-}
-
-// respondAndHang answers with raw bytes, keeps the connection open and says no more.
-func respondAndHang(text string) handler {
-	return func(conn net.Conn, request *http.Request, body []byte) bool {
-		write(conn, text)
-		return testutil.Hang(conn, request, body)
-	}
-}
-
 // Responses and parts of them.
 const (
 	okHead       = "HTTP/1.1 200 OK\r\n"
@@ -56,6 +25,7 @@
 	early        = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 	switching    = "HTTP/1.1 101 Switching Protocols\r\n\r\n"
 	bothFramings = okHead + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+	minusTwo     = okHead + "Content-Length: -2\r\n\r\n"
 	threeGB      = okHead + "Content-Length: 3000000000\r\n\r\nxxxx"
 	twoLengths   = okHead + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nfour"
 	halfBody     = okHead + "Content-Length: 9\r\n\r\nhalf"
@@ -66,6 +36,7 @@
 func TestResults(t *testing.T) {
 	endlessHead := okHead + strings.Repeat("A: b\r\n", 1<<16)
 	endlessEarly := strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)
+	largest := strings.Repeat("x", protocol.MaxBodySize)
 	tests := []struct {
 		name    string
 		respond handler
@@ -94,10 +65,10 @@
 		{"a body of 3 GB", respondAndHang(threeGB), testutil.Timeout, balancer.ServerError},
 		{"two lengths", respondAndHang(twoLengths), testutil.Timeout, balancer.ServerError},
 		{"length and encoding", respondAndHang(bothFramings), testutil.Timeout, balancer.ServerError},
-		{"a negative length", respondAndHang(okHead + "Content-Length: -2\r\n\r\n"), testutil.Timeout, balancer.ServerError},
+		{"a negative length", respondAndHang(minusTwo), testutil.Timeout, balancer.ServerError},
 		{"no length", respondAndHang(okHead + "\r\nbody"), testutil.Timeout, balancer.ServerError},
-		{"too large a body", respond(200, strings.Repeat("x", protocol.MaxBodySize+1)), testutil.Timeout, balancer.ServerError},
-		{"the largest body", respond(200, strings.Repeat("x", protocol.MaxBodySize)), testutil.Timeout, balancer.Served},
+		{"too large a body", respond(200, largest+"x"), testutil.Timeout, balancer.ServerError},
+		{"the largest body", respond(200, largest), testutil.Timeout, balancer.Served},
 		{"silence", testutil.Hang, time.Second, balancer.TimedOut},
 	}
 	for _, tt := range tests {
@@ -162,45 +133,38 @@
 // and the connection is not used again.
 func TestBytesBehindResponse(t *testing.T) {
 	const twice = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid xHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid x"
-	for name, late := range map[string]bool{"at once": false, "later, while idle": true} {
-		t.Run(name, func(t *testing.T) {
-			sendMore := make(chan struct{})
-			server := testutil.NewServer(t, func(conn net.Conn, request *http.Request, body []byte) bool {
-				if !late {
-					write(conn, twice)
-					return true
-				}
-				testutil.Echo(conn, request, body)
-				<-sendMore
-				testutil.Respond(conn, 200, "", "another's")
-				return true
-			})
-			client := newTestClient(t, server.Addr())
+	sendMore := make(chan struct{})
+	respondAgainLater := func(conn net.Conn, request *http.Request, body []byte) bool {
+		testutil.Echo(conn, request, body)
+		<-sendMore
+		testutil.Respond(conn, 200, "", "another's")
+		return true
+	}
+	for _, tt := range []struct {
+		name    string
+		respond handler
+		late    bool
+	}{
+		{"at once", respondRaw(twice), false},
+		{"later, while idle", respondAgainLater, true},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			client := newTestClient(t, testutil.NewServer(t, tt.respond).Addr())
+			hasUnread := func() bool { return socket.HasUnread(client.firstIdle()) }
 			for i := range 3 {
 				result, response := client.attempt(testutil.Timeout)
 				if result != balancer.Served || string(response.Body) != "did x" {
 					t.Fatalf("request %d: result %d, body %q", i, result, response.Body)
 				}
-				if late {
+				if tt.late {
 					sendMore <- struct{}{}
-					testutil.Eventually(t, "the extra response", func() bool { return socket.HasUnread(client.firstIdle()) })
+					testutil.Eventually(t, "the extra response", hasUnread)
 				}
 			}
 		})
 	}
 }
 
-// respondAndReset answers with raw bytes and resets the connection.
-func respondAndReset(t *testing.T, text string) handler {
-	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
-		write(conn, text)
-		if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
-			t.Error(err)
-		}
-		return false
-	}
-}
-
 // A response with no length ends with its connection: it is complete if that was closed, and not if it was reset or
 // brings no more.
 func TestResponsesWithoutLength(t *testing.T) {
@@ -227,7 +191,8 @@
 			client := newTestClient(t, testutil.NewServer(t, tt.respond).Addr())
 			result, response := client.attempt(testutil.Timeout)
 			if result != tt.want || string(response.Body) != tt.body {
-				t.Errorf("result %d, want %d, with a body of %d bytes: %v", result, tt.want, len(response.Body), response.Err)
+				t.Errorf("result %d, want %d, with a body of %d bytes: %v",
+					result, tt.want, len(response.Body), response.Err)
 			}
 			if open := client.OpenConnections(); open != 0 {
 				t.Errorf("%d connections are still open", open)
@@ -252,8 +217,9 @@
 	for _, cause := range []error{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
 		syscall.EPIPE, syscall.ENETDOWN, syscall.ECONNABORTED} {
 		conn := brokenConn{cause: cause}
-		done := roundTrip(context.Background(), conn, []byte("x"), time.Now().Add(testutil.Timeout), testutil.Timeout)
-		if result := classify(done, false); result != balancer.Reset {
+		deadline := time.Now().Add(testutil.Timeout)
+		outcome := roundTrip(context.Background(), conn, []byte("x"), deadline, testutil.Timeout)
+		if result := classify(outcome, false); result != balancer.Reset {
 			t.Errorf("%v: result %d, want Reset", cause, result)
 		}
 	}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -7,6 +7,7 @@
 	"net"
 	"net/http"
 	"net/url"
+	"syscall"
 	"testing"
 	"time"
 
@@ -51,7 +52,7 @@
 	}
 }
 
-// within are the bounds of an attempt that has so long.
+// within returns the bounds of an attempt with a timeout.
 func within(timeout time.Duration) Bounds { return Bounds{Deadline: time.Now().Add(timeout)} }
 
 // attempt sends an unsafe request to the endpoint s0.
@@ -113,5 +114,94 @@
 	return client, trigger
 }
 
+// listenWithFullQueue returns an address whose connections never come up, as with a machine that vanished.
+func listenWithFullQueue(t *testing.T) string {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = syscall.Close(fd) })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Listen(fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	inet, ok := name.(*syscall.SockaddrInet4)
+	if !ok {
+		t.Fatalf("bound to a %T", name)
+	}
+	addr := fmt.Sprintf("127.0.0.1:%d", inet.Port)
+	for range 20 { // nobody accepts them
+		conn, err := net.DialTimeout("tcp", addr, time.Second)
+		if err != nil {
+			return addr
+		}
+		t.Cleanup(func() { _ = conn.Close() })
+	}
+	t.Skip("this system takes connections without end")
+	return ""
+}
+
+// respondRejected answers with a status and the mark of a rejected request.
+func respondRejected(status int) handler {
+	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		testutil.Respond(conn, status, "X-Rejected: 1\r\n", "")
+		return true
+	}
+}
+
+// respond answers with a status and a body.
+func respond(status int, body string) handler {
+	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		testutil.Respond(conn, status, "", body)
+		return true
+	}
+}
+
+// respondRaw answers with raw bytes.
+func respondRaw(text string) handler {
+	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		write(conn, text)
+		return true
+	}
+}
+
+// respondAndClose answers with raw bytes and closes the connection.
+func respondAndClose(text string) handler {
+	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		write(conn, text)
+		return false
+	}
+}
+
+// respondAndHang answers with raw bytes, keeps the connection open and says no more.
+func respondAndHang(text string) handler {
+	return func(conn net.Conn, request *http.Request, body []byte) bool {
+		write(conn, text)
+		return testutil.Hang(conn, request, body)
+	}
+}
+
+// respondAndReset answers with raw bytes and resets the connection.
+func respondAndReset(t *testing.T, text string) handler {
+	t.Helper()
+	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		write(conn, text)
+		tcpConn, ok := conn.(*net.TCPConn)
+		if !ok {
+			t.Errorf("connection %T", conn)
+		} else if err := tcpConn.SetLinger(0); err != nil {
+			t.Error(err)
+		}
+		return false
+	}
+}
+
 // write sends raw bytes. The client may have given up on them by then.
 func write(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
