--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -55,7 +55,7 @@
 func (s *startTimes) update(list endpoint.List) {
 	now := s.clock.Now()
 	for _, entry := range list.Entries {
-		s.observeNewest(entry.Started(), now)
+		s.observeNewest(entry.StartedAtUnix(), now)
 	}
 	wallClockAlone := list.Complete && s.provesLittle(list, now)
 	previous := s.known
@@ -66,10 +66,10 @@
 		switch start, known := previous[entry.ID]; {
 		case entry.State == endpoint.StateDeleted:
 			delete(s.known, entry.ID)
-		case known && start.unix == entry.Started():
+		case known && start.unix == entry.StartedAtUnix():
 			s.known[entry.ID] = start
-		case entry.Started() > 0:
-			s.known[entry.ID] = knownStart{unix: entry.Started(), at: s.convert(entry.Started(), start, now, wallClockAlone)}
+		case entry.StartedAtUnix() > 0:
+			s.known[entry.ID] = knownStart{unix: entry.StartedAtUnix(), at: s.convert(entry.StartedAtUnix(), start, now, wallClockAlone)}
 		}
 	}
 }
@@ -86,7 +86,7 @@
 func (s *startTimes) provesLittle(list endpoint.List, now time.Duration) bool {
 	unproven := 0
 	for _, entry := range list.Entries {
-		if entry.Started() > 0 && s.ageByList(entry.Started(), now) < s.slowStart.Duration {
+		if entry.StartedAtUnix() > 0 && s.ageByList(entry.StartedAtUnix(), now) < s.slowStart.Duration {
 			unproven++
 		}
 	}
--- a/internal/endpoint/entry.go
+++ b/internal/endpoint/entry.go
@@ -12,17 +12,17 @@
 	"ashshunt/internal/clock"
 )
 
-// State is an endpoint's state as discovery names it.
+// State is an endpoint's state by its name on discovery's wire.
 type State string
 
-// The states that discovery may give. StateDeleted appears among changes only.
+// The states that discovery may send. StateDeleted appears among changes only.
 const (
 	StateServing  State = "SERVING"
 	StateDraining State = "DRAINING"
 	StateDeleted  State = "DELETED"
 )
 
-// balancerStates gives the decision module's state for each state that discovery names.
+// balancerStates maps discovery's states to the decision module's.
 var balancerStates = map[State]balancer.EndpointState{
 	StateServing:  balancer.Serving,
 	StateDraining: balancer.Draining,
@@ -31,32 +31,32 @@
 
 // Entry is one entry of discovery's list.
 type Entry struct {
-	ID        string  `json:"id"`
-	Addr      string  `json:"addr"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"kind"`
-	Cell      int     `json:"cell"`
-	State     State   `json:"state"`
-	Weight    float64 `json:"weight"`
-	StartedMs float64 `json:"started_ms"` // Unix time in milliseconds; 0: long ago
+	ID              string  `json:"id"`
+	Addr            string  `json:"addr"`
+	Zone            string  `json:"zone"`
+	Kind            string  `json:"kind"`
+	Cell            int     `json:"cell"`
+	State           State   `json:"state"`
+	Weight          float64 `json:"weight"`
+	StartedAtUnixMs float64 `json:"started_ms"` // Unix time in milliseconds; 0: long ago
 }
 
-// BalancerState is the entry's state as the decision module names it.
+// BalancerState is the entry's state in the decision module's terms.
 func (e Entry) BalancerState() balancer.EndpointState { return balancerStates[e.State] }
 
 // Serving reports whether the endpoint may get new requests.
 func (e Entry) Serving() bool { return e.State == StateServing }
 
-// Started is when the endpoint last started, as Unix time; 0: long ago.
-func (e Entry) Started() time.Duration { return max(0, clock.Milliseconds(e.StartedMs)) }
+// StartedAtUnix is when the endpoint last started, as the time since the Unix epoch; 0: long ago.
+func (e Entry) StartedAtUnix() time.Duration { return max(0, clock.Milliseconds(e.StartedAtUnixMs)) }
 
-// SameProcess reports whether two entries of an endpoint describe one process at one address.
+// SameProcess reports whether two entries of an endpoint describe one process: the same start at the same address.
 func (e Entry) SameProcess(other Entry) bool {
-	return e.Addr == other.Addr && e.StartedMs == other.StartedMs
+	return e.Addr == other.Addr && e.StartedAtUnixMs == other.StartedAtUnixMs
 }
 
-// check reports what makes an entry unusable.
-func (e Entry) check() error {
+// validate returns an ErrMalformedList that says why an entry is unusable, if it is.
+func (e Entry) validate() error {
 	if e.ID == "" {
 		return fmt.Errorf("%w: server without id", ErrMalformedList)
 	}
@@ -72,13 +72,16 @@
 	return nil
 }
 
-// CheckAddress reports whether an address is host:port with a valid port.
+// maxPort is the highest port number of TCP.
+const maxPort = 65535
+
+// CheckAddress returns an error unless an address is host:port with a valid port.
 func CheckAddress(addr string) error {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return fmt.Errorf("%q is not host:port", addr)
 	}
-	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 {
+	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > maxPort {
 		return fmt.Errorf("%q has no valid port", addr)
 	}
 	return nil
--- a/internal/endpoint/list.go
+++ b/internal/endpoint/list.go
@@ -6,20 +6,20 @@
 	"fmt"
 )
 
-// ErrMalformedList marks a list that can't be read, or that has an entry which can't be used.
+// ErrMalformedList marks a list that can't be parsed, or that has an entry which can't be used.
 var ErrMalformedList = errors.New("malformed endpoint list")
 
 // List is discovery's list, or the entries of it that changed.
 type List struct {
 	Version  int64
-	Complete bool // all entries: an endpoint that is missing is gone
+	Complete bool // it has all entries: an endpoint that it leaves out is gone
 	Entries  []Entry
 }
 
-// ParseList reads one list and checks all of it: a list of which only a part is taken could silence endpoints that
-// are in good health. Its errors are ErrMalformedList.
+// ParseList parses one list in the form that discovery sends and validates all of it: a list that is applied in part
+// could leave out healthy endpoints. Its errors are ErrMalformedList.
 func ParseList(raw []byte) (List, error) {
-	var fields struct {
+	var fields struct { // by their names on the wire
 		Version *int64
 		Full    bool
 		Servers *[]Entry
@@ -31,7 +31,7 @@
 		return List{}, fmt.Errorf("%w: missing version or servers", ErrMalformedList)
 	}
 	for _, entry := range *fields.Servers {
-		if err := entry.check(); err != nil {
+		if err := entry.validate(); err != nil {
 			return List{}, err
 		}
 	}
--- a/internal/endpoint/list_test.go
+++ b/internal/endpoint/list_test.go
@@ -20,7 +20,8 @@
 		t.Fatalf("list %+v", list)
 	}
 	first, second := list.Entries[0], list.Entries[1]
-	if first.ID != "s0" || first.Addr != "127.0.0.1:1" || !first.Serving() || first.BalancerState() != balancer.Serving {
+	if first.ID != "s0" || first.Addr != "127.0.0.1:1" || !first.Serving() ||
+		first.BalancerState() != balancer.Serving {
 		t.Errorf("first entry %+v", first)
 	}
 	if second.ID != "s1" || second.Serving() || second.BalancerState() != balancer.Removed {
--- a/internal/endpoint/table.go
+++ b/internal/endpoint/table.go
@@ -2,8 +2,9 @@
 
 import "sync"
 
-// Table is the endpoint list as last received. Discovery applies lists to it and attempts look into it right before
-// their first byte, so that a change counts from the moment it is read, not from the decision module's next step.
+// Table is the endpoint list as last received. Discovery applies lists to it, and attempts consult it right before
+// their first byte, so that a change takes effect when it is read and not in the decision module's next step. Its
+// methods may be called on any goroutine.
 type Table struct {
 	mu      sync.RWMutex     // protects entries; held for map accesses only
 	entries map[string]Entry // by ID
@@ -12,34 +13,46 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: map[string]Entry{}} }
 
-// Apply takes over a list and returns the IDs of the endpoints whose connections must get no further requests: those
-// that drain, are gone, moved to another address or were started again.
-func (t *Table) Apply(list List) (retired []string) {
+// Apply updates the table by a list. It returns the IDs of the endpoints whose connections have become stale, which
+// must get no further requests: the endpoint drains, is gone, has another address or was restarted.
+func (t *Table) Apply(list List) (stale []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	listed := map[string]bool{}
 	for _, entry := range list.Entries {
-		listed[entry.ID] = true
-		previous, known := t.entries[entry.ID]
-		if known && (!entry.Serving() || !entry.SameProcess(previous)) {
-			retired = append(retired, entry.ID)
-		}
-		if entry.State == StateDeleted {
-			delete(t.entries, entry.ID)
-		} else {
-			t.entries[entry.ID] = entry
+		if t.applyEntry(entry) {
+			stale = append(stale, entry.ID)
 		}
 	}
-	if !list.Complete {
-		return retired
+	if list.Complete {
+		stale = append(stale, t.removeUnlisted(list.Entries)...)
+	}
+	return stale
+}
+
+// applyEntry updates one entry and reports whether that makes connections stale. The caller holds t.mu.
+func (t *Table) applyEntry(entry Entry) (stale bool) {
+	previous, known := t.entries[entry.ID]
+	if entry.State == StateDeleted {
+		delete(t.entries, entry.ID)
+	} else {
+		t.entries[entry.ID] = entry
+	}
+	return known && (!entry.Serving() || !entry.SameProcess(previous))
+}
+
+// removeUnlisted removes all entries that are not in a complete list and returns their IDs. The caller holds t.mu.
+func (t *Table) removeUnlisted(listed []Entry) (removed []string) {
+	isListed := make(map[string]bool, len(listed))
+	for _, entry := range listed {
+		isListed[entry.ID] = true
 	}
 	for id := range t.entries {
-		if !listed[id] {
+		if !isListed[id] {
 			delete(t.entries, id)
-			retired = append(retired, id)
+			removed = append(removed, id)
 		}
 	}
-	return retired
+	return removed
 }
 
 // Serving returns the entry of an endpoint, and whether it may get new requests.
--- a/internal/endpoint/table_test.go
+++ b/internal/endpoint/table_test.go
@@ -7,13 +7,13 @@
 	"ashshunt/internal/endpoint"
 )
 
-func newEntry(id, addr string, state endpoint.State, startedMs float64) endpoint.Entry {
-	return endpoint.Entry{ID: id, Addr: addr, State: state, StartedMs: startedMs}
+func newEntry(id, addr string, state endpoint.State, unixMs float64) endpoint.Entry {
+	return endpoint.Entry{ID: id, Addr: addr, State: state, StartedAtUnixMs: unixMs}
 }
 
 // Idle connections to a process that has ended must not be used again: endpoints that drain, left the list, moved or
-// were started again are returned.
-func TestApplyReturnsRetiredEndpoints(t *testing.T) {
+// were restarted are returned.
+func TestApplyReturnsStaleEndpoints(t *testing.T) {
 	table := endpoint.NewTable()
 	table.Apply(endpoint.List{Complete: true, Entries: []endpoint.Entry{
 		newEntry("a", "x:1", endpoint.StateServing, 0),
@@ -22,14 +22,14 @@
 		newEntry("d", "x:4", endpoint.StateServing, 0),
 		newEntry("e", "x:5", endpoint.StateServing, 0),
 	}})
-	retired := table.Apply(endpoint.List{Complete: true, Entries: []endpoint.Entry{
+	stale := table.Apply(endpoint.List{Complete: true, Entries: []endpoint.Entry{
 		newEntry("a", "x:1", endpoint.StateDraining, 0),
 		newEntry("b", "x:9", endpoint.StateServing, 0),
 		newEntry("c", "x:3", endpoint.StateServing, 77),
 		newEntry("d", "x:4", endpoint.StateServing, 0),
 	}})
-	if got := strings.Join(retired, ""); got != "abce" {
-		t.Errorf("retired %q, want abce", got)
+	if got := strings.Join(stale, ""); got != "abce" {
+		t.Errorf("stale: %q, want abce", got)
 	}
 }
 
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -95,7 +95,7 @@
 // restart comes between the choice of a connection and the first byte: it goes out once, on a new connection.
 func TestRestartBeforeFirstByte(t *testing.T) {
 	restarted := func(old, _ string) endpoint.Entry {
-		return endpoint.Entry{ID: "s0", Addr: old, State: endpoint.StateServing, StartedMs: 7}
+		return endpoint.Entry{ID: "s0", Addr: old, State: endpoint.StateServing, StartedAtUnixMs: 7}
 	}
 	moved := func(_, other string) endpoint.Entry {
 		return endpoint.Entry{ID: "s0", Addr: other, State: endpoint.StateServing}
