--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -81,7 +81,7 @@
 		requests: map[string]*openRequest{},
 	}
 	l.discovery = discovery.New(l.discoveryOptions(c))
-	l.pending = append(l.pending, l.discovery.Known())
+	l.pending = append(l.pending, l.discovery.CachedList())
 	return l, nil
 }
 
@@ -99,9 +99,9 @@
 func (l *eventLoop) discoveryOptions(c *config.Config) discovery.Options {
 	return discovery.Options{
 		Addr:           c.Discovery,
-		Known:          c.Known,
+		CachedList:     c.Known,
 		Table:          l.table,
-		Retire:         l.upstream.DrainConnections,
+		OnStale:        l.upstream.DrainConnections,
 		OnList:         func(list balancer.EndpointList) { l.post(moduleEvent{list}) },
 		Zones:          c.Names.Zones,
 		Kinds:          c.Names.Kinds,
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -44,7 +44,7 @@
 
 func (shutdownStarted) apply(_ context.Context, l *eventLoop) { l.startShutdown() }
 
-func (m discoveryMoved) apply(ctx context.Context, l *eventLoop) { l.discovery.Move(ctx, m.addr) }
+func (m discoveryMoved) apply(ctx context.Context, l *eventLoop) { l.discovery.SetAddress(ctx, m.addr) }
 
 // post hands a message to the event loop. Once that has ended, the message has no effect.
 func (l *eventLoop) post(m message) {
--- /dev/null
+++ b/internal/discovery/backoff_test.go
@@ -0,0 +1,38 @@
+package discovery
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"ashshunt/internal/testutil"
+)
+
+func TestRestartDelayIsBounded(t *testing.T) {
+	c := testutil.Config(t, "127.0.0.1:1")
+	c.Settings.Subscribe = false
+	options, _ := newOptions(t, c)
+	client := New(options)
+	client.source.backoff.failures = maxDoublings
+	client.source.backoff.unit = time.Hour
+	client.source.pending = &watch{} // so that none is started
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
+	defer cancel()
+	if client.restartWatch(ctx); ctx.Err() != nil {
+		t.Error("the delay before a watch outlasts the grace for draining endpoints")
+	}
+}
+
+func TestBackoff(t *testing.T) {
+	const unit, limit = 100 * time.Millisecond, 500 * time.Millisecond
+	b := newBackoff(unit, 4*limit, 1)
+	for _, bound := range []time.Duration{unit, 2 * unit, 4 * unit, limit, limit} {
+		if delay := b.next(); delay < 0 || delay > bound {
+			t.Errorf("delay %v, want at most %v", delay, bound)
+		}
+	}
+	b.reset()
+	if delay := b.next(); delay > unit {
+		t.Errorf("delay %v after a reset, want at most %v", delay, unit)
+	}
+}
--- a/internal/discovery/convert.go
+++ b/internal/discovery/convert.go
@@ -7,14 +7,14 @@
 	"ashshunt/internal/endpoint"
 )
 
-// converter turns endpoint lists into the decision module's events.
+// converter turns endpoint lists into the decision module's events. It is not safe for concurrent use.
 type converter struct {
 	zones  []string // in the order of the module's numbers
 	kinds  []string
 	starts *startTimes
 }
 
-// event converts a list, whose start times are taken over first.
+// event records the start times of a list and converts it.
 func (c converter) event(list endpoint.List, kind balancer.ListKind) balancer.EndpointList {
 	c.starts.update(list)
 	event := balancer.EndpointList{Kind: kind, Endpoints: make([]balancer.Endpoint, 0, len(list.Entries))}
@@ -26,7 +26,7 @@
 			Cell:      entry.Cell,
 			Kind:      slices.Index(c.kinds, entry.Kind),
 			Weight:    entry.Weight,
-			StartedAt: c.starts.of(entry.ID),
+			StartedAt: c.starts.startedAt(entry.ID),
 		})
 	}
 	return event
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -22,19 +22,21 @@
 		text    string
 		want    error
 	}{
-		"silent":        {since: 1, silence: 100 * time.Millisecond, want: errSilentWatch},
-		"malformed":     {since: 1, silence: testutil.Timeout, text: "{}", want: endpoint.ErrMalformedList},
-		"too long":      {since: 1, silence: testutil.Timeout, text: endless, want: errListTooLong},
-		"changes first": {since: unknownVersion, silence: testutil.Timeout, text: changes(2), want: errChangesBeforeAll},
+		"silent":    {since: 1, silence: 100 * time.Millisecond, want: errSilentWatch},
+		"malformed": {since: 1, silence: testutil.Timeout, text: "{}", want: endpoint.ErrMalformedList},
+		"too long":  {since: 1, silence: testutil.Timeout, text: endless, want: errListTooLong},
+		"changes first": {
+			since: unknownVersion, silence: testutil.Timeout, text: changes(2), want: errChangesBeforeAll,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := testutil.NewDiscovery(t)
 			options, _ := newOptions(t, testutil.Config(t, server.Addr))
-			options.Known.Version = tt.since
+			options.CachedList.Version = tt.since
 			options.WatchSilence, options.CallTimeout = tt.silence, testutil.Timeout
 			client := New(options)
 			server.Say <- tt.text
-			err := client.runWatch(context.Background(), client.addWatch(func() {}))
+			err := client.runWatch(context.Background(), client.source.addWatch(func() {}))
 			if !errors.Is(err, tt.want) {
 				t.Errorf("error %v, want %v", err, tt.want)
 			}
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -20,9 +20,9 @@
 	events := make(chan balancer.EndpointList, 10)
 	return Options{
 		Addr:           c.Discovery,
-		Known:          c.Known,
+		CachedList:     c.Known,
 		Table:          endpoint.NewTable(),
-		Retire:         func(string) {},
+		OnStale:        func(string) {},
 		OnList:         func(event balancer.EndpointList) { events <- event },
 		Zones:          c.Names.Zones,
 		Kinds:          c.Names.Kinds,
@@ -36,8 +36,8 @@
 	}, events
 }
 
-// subscribed returns a client that knows the endpoints s0 and s1, by version 1, and has begun to watch discovery. Its
-// watches and calls may be silent for so long.
+// subscribed returns a client that has the endpoints s0 and s1, by version 1, in its cached list and has begun to watch
+// discovery. silence is the timeout of its watches and calls.
 func subscribed(t *testing.T, server *testutil.Discovery,
 	silence time.Duration) (*Client, chan balancer.EndpointList) {
 	t.Helper()
--- /dev/null
+++ b/internal/discovery/listtimeout.go
@@ -0,0 +1,53 @@
+package discovery
+
+import (
+	"sync"
+	"time"
+)
+
+const (
+	// listTimeoutGrowth is the factor by which the timeout of a list grows when one expires, and its multiple of the
+	// time that the last list took.
+	listTimeoutGrowth = 2
+	// maxListTimeoutGrowth bounds the timeout, in multiples of its minimum.
+	maxListTimeoutGrowth = 8
+)
+
+// listTimeout is the time that one list of a watch may take from its first byte to its end. It adapts to slow lists,
+// so that a slow discovery is heard in the end. It is safe for concurrent use.
+type listTimeout struct {
+	minimum time.Duration
+
+	mu      sync.Mutex // protects timeout
+	timeout time.Duration
+}
+
+func newListTimeout(minimum time.Duration) *listTimeout {
+	return &listTimeout{minimum: minimum, timeout: minimum}
+}
+
+// current is the timeout of the next list.
+func (l *listTimeout) current() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.timeout
+}
+
+// expired grows the timeout after a list that did not come in time.
+func (l *listTimeout) expired() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.set(listTimeoutGrowth * l.timeout)
+}
+
+// received adapts the timeout to the time that a list took.
+func (l *listTimeout) received(took time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.set(listTimeoutGrowth * took)
+}
+
+// set sets the timeout within its bounds. The caller holds mu.
+func (l *listTimeout) set(timeout time.Duration) {
+	l.timeout = min(max(l.minimum, timeout), maxListTimeoutGrowth*l.minimum)
+}
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -7,8 +7,8 @@
 	"ashshunt/internal/endpoint"
 )
 
-// usualListDelay is how late lists tell of a start, so that the endpoint is that old by then: they come seconds late.
-const usualListDelay = 2 * time.Second
+// maxListDelay is the usual age of an endpoint when a list first reports its start, and the upper bound of listDelay.
+const maxListDelay = 2 * time.Second
 
 // SlowStart says how endpoints warm up.
 type SlowStart struct {
@@ -16,100 +16,112 @@
 	MinCapacity float64       // share of its capacity that it starts with
 }
 
-// listDelay is how much older than a list proves an endpoint is taken to be, if this machine's clock agrees. Where a list
-// comes sooner and that clock is ahead, the endpoint passes for too old by this much: that must not double the share of
-// its capacity that it is taken to have.
+// listDelay is the age beyond the one that the list proves which an endpoint may be given, if this machine's clock
+// agrees. Where a list comes sooner and that clock is ahead, the endpoint is estimated too old by this much; that must
+// not double the capacity at which it is estimated.
+//
+// Capacity grows linearly from m = MinCapacity to 1 within Duration, by 1-m; it has doubled when it has grown by m.
 func (s SlowStart) listDelay() time.Duration {
 	if s.MinCapacity <= 0 || s.MinCapacity >= 1 {
-		return usualListDelay
+		return maxListDelay
 	}
-	doubled := s.MinCapacity / (1 - s.MinCapacity) * float64(s.Duration)
-	return time.Duration(min(float64(usualListDelay), doubled))
+	timeToDouble := s.MinCapacity / (1 - s.MinCapacity) * float64(s.Duration)
+	return time.Duration(min(float64(maxListDelay), timeToDouble))
 }
 
-// startTimes converts the start times of endpoints from Unix time to the agent's clock. A wall clock may be off by any
-// amount, this machine's or another one's, and an endpoint that passes for older than it is may get too much before it
-// is warm. So an endpoint is taken to be as old as two clocks agree on: this machine's, and the one by which the
-// endpoints themselves started, of which the list proves that it has passed the newest start. It is not safe for
-// concurrent use.
+// startTimes converts the start times of endpoints from Unix time to the agent's clock. It is not safe for concurrent
+// use.
+//
+// Any wall clock may be off by any amount, and an endpoint that is estimated too old may get too much traffic before it
+// is warm. The estimated age is therefore the smaller one of two: by this machine's wall clock, and by the clock of the
+// endpoints, which has passed the newest start that was listed.
 type startTimes struct {
 	clock     clock.Clock
 	slowStart SlowStart
-	known     map[string]knownStart // by endpoint ID
+	starts    map[string]start // the last start of each endpoint, by its ID
 
-	newest       time.Duration // the latest start by Unix time that a list has told ...
-	newestSeenAt time.Duration // ... and when, on the agent's clock
+	newestUnix   time.Duration // the latest start that was listed, since the Unix epoch
+	newestSeenAt time.Duration // when it was first listed, on the agent's clock
 }
 
-// knownStart is the last start of an endpoint.
-type knownStart struct {
-	unix time.Duration // as the list tells it, since 1970
-	at   time.Duration // on the agent's clock
+// start is one start of an endpoint.
+type start struct {
+	unix      time.Duration // as listed, since the Unix epoch
+	startedAt time.Duration // estimated, on the agent's clock
 }
 
 func newStartTimes(agentClock clock.Clock, slowStart SlowStart) *startTimes {
-	return &startTimes{clock: agentClock, slowStart: slowStart, known: map[string]knownStart{}}
+	return &startTimes{clock: agentClock, slowStart: slowStart, starts: map[string]start{}}
 }
 
-// update takes over the start times of a list.
+// startedAt is when an endpoint started, on the agent's clock; 0: long ago.
+func (s *startTimes) startedAt(endpointID string) time.Duration {
+	return s.starts[endpointID].startedAt
+}
+
+// update records the start times of a list.
 func (s *startTimes) update(list endpoint.List) {
 	now := s.clock.Now()
 	for _, entry := range list.Entries {
 		s.observeNewest(entry.StartedAtUnix(), now)
 	}
-	wallClockAlone := list.Complete && s.provesLittle(list, now)
-	previous := s.known
+	wallClockOnly := list.Complete && s.mostUnproven(list, now)
+	previous := s.starts
 	if list.Complete {
-		s.known = make(map[string]knownStart, len(list.Entries))
+		s.starts = make(map[string]start, len(list.Entries))
 	}
 	for _, entry := range list.Entries {
-		switch start, known := previous[entry.ID]; {
+		unix := entry.StartedAtUnix()
+		switch last, known := previous[entry.ID]; {
 		case entry.State == endpoint.StateDeleted:
-			delete(s.known, entry.ID)
-		case known && start.unix == entry.StartedAtUnix():
-			s.known[entry.ID] = start
-		case entry.StartedAtUnix() > 0:
-			s.known[entry.ID] = knownStart{unix: entry.StartedAtUnix(), at: s.convert(entry.StartedAtUnix(), start, now, wallClockAlone)}
+			delete(s.starts, entry.ID)
+		case known && last.unix == unix:
+			s.starts[entry.ID] = last
+		case unix > 0:
+			s.starts[entry.ID] = start{unix: unix, startedAt: s.estimate(unix, last, now, wallClockOnly)}
 		}
 	}
 }
 
-// observeNewest notes a start if it proves that the endpoints' clock is further than was known.
+// observeNewest records a start if it proves that the endpoints' clock is ahead of what was known. unix is Unix time,
+// now is on the agent's clock.
 func (s *startTimes) observeNewest(unix, now time.Duration) {
-	if unix-now > s.newest-s.newestSeenAt {
-		s.newest, s.newestSeenAt = unix, now
+	if unix-now > s.newestUnix-s.newestSeenAt {
+		s.newestUnix, s.newestSeenAt = unix, now
 	}
 }
 
-// provesLittle reports whether a complete list can't tell that most of its endpoints are warm, since they started at about
-// the same time, be it long ago. To take them all for cold would shed most requests for the time of a slow start.
-func (s *startTimes) provesLittle(list endpoint.List, now time.Duration) bool {
+// provenAge is the age at now, on the agent's clock, that the newest start proves for a start at Unix time.
+func (s *startTimes) provenAge(unix, now time.Duration) time.Duration {
+	minEndpointClock := s.newestUnix + (now - s.newestSeenAt)
+	return minEndpointClock - unix
+}
+
+// mostUnproven reports whether a complete list can't prove that most of its endpoints are warm, since they started at
+// about the same time, be it long ago. To treat all of them as cold would shed most requests during a slow start.
+func (s *startTimes) mostUnproven(list endpoint.List, now time.Duration) bool {
 	unproven := 0
 	for _, entry := range list.Entries {
-		if entry.StartedAtUnix() > 0 && s.ageByList(entry.StartedAtUnix(), now) < s.slowStart.Duration {
+		unix := entry.StartedAtUnix()
+		if unix > 0 && s.provenAge(unix, now) < s.slowStart.Duration {
 			unproven++
 		}
 	}
-	return 2*unproven > len(list.Entries)
+	return unproven > len(list.Entries)-unproven
 }
 
-// ageByList is the age that the newest start proves.
-func (s *startTimes) ageByList(unix, now time.Duration) time.Duration {
-	return s.newest + (now - s.newestSeenAt) - unix
-}
-
-// convert is when an endpoint started on the agent's clock, after the start that was known of it before.
-func (s *startTimes) convert(unix time.Duration, previous knownStart, now time.Duration,
-	wallClockAlone bool) time.Duration {
-	if unix < previous.unix { // some clock was set back: it started since the list before, and no one knows when
+// estimate returns when an endpoint started, on the agent's clock: now minus its estimated age, but later than its last
+// start. unix is the start by Unix time, last the endpoint's start before it, if any; wallClockOnly leaves out the age
+// that the list proves.
+func (s *startTimes) estimate(unix time.Duration, last start, now time.Duration, wallClockOnly bool) time.Duration {
+	if unix < last.unix { // some clock was set back: it started since the list before, and no one knows when
 		return now
 	}
 	age := time.Duration(time.Now().UnixNano()) - unix
-	if !wallClockAlone {
-		age = min(age, s.ageByList(unix, now)+s.slowStart.listDelay())
+	if !wallClockOnly {
+		age = min(age, s.provenAge(unix, now)+s.slowStart.listDelay())
 	}
-	return min(now, max(now-max(0, age), previous.at+1)) // a later start has a later time
+	startedAt := now - max(0, age)
+	earliest := last.startedAt + 1 // a later start has a later time
+	return min(now, max(startedAt, earliest))
 }
-
-// of is when an endpoint started, on the agent's clock; 0: long ago.
-func (s *startTimes) of(endpointID string) time.Duration { return s.known[endpointID].at }
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -13,7 +13,8 @@
 
 // startedEntry is an entry of an endpoint that started at a Unix time in milliseconds.
 func startedEntry(id string, unixMs int64) string {
-	return strings.Replace(entry(id, endpoint.StateServing), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, unixMs), 1)
+	startedMs := fmt.Sprintf(`"started_ms":%d`, unixMs)
+	return strings.Replace(entry(id, endpoint.StateServing), `"started_ms":0`, startedMs, 1)
 }
 
 // unixMs is the wall clock's time after a while.
@@ -31,22 +32,25 @@
 	return 0
 }
 
-// The wall clock of this machine or of others may be off by seconds or an hour, either way. An endpoint passes for
-// started as long ago as the list itself proves, and never for one that starts in the future.
+// The wall clock of this machine or of others may be off by seconds or an hour, either way. An endpoint is
+// estimated as old as the list itself proves, and never as starting in the future.
 func TestStartTimesWithoutWallClock(t *testing.T) {
-	for _, offset := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, 30 * time.Second, time.Hour} {
+	offsets := []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, 30 * time.Second, time.Hour}
+	for _, offset := range offsets {
 		t.Run(offset.String(), func(t *testing.T) {
 			newest := unixMs(offset)
 			config := testutil.Config(t, "127.0.0.1:1", startedEntry("newest", newest),
-				startedEntry("older", newest-3000), entry("old", endpoint.StateServing), entry("old too", endpoint.StateServing))
+				startedEntry("older", newest-3000), entry("old", endpoint.StateServing),
+				entry("old too", endpoint.StateServing))
 			options, _ := newOptions(t, config)
 			before := options.Clock.Now()
-			event := New(options).Known()
+			event := New(options).CachedList()
 			after := options.Clock.Now()
-			if at := startedOf(t, event, "newest"); at < before-options.SlowStart.listDelay() || at > after {
+			earliest := before - options.SlowStart.listDelay()
+			if at := startedOf(t, event, "newest"); at < earliest || at > after {
 				t.Errorf("the newest started %v before now", after-at)
 			}
-			if at := startedOf(t, event, "older"); at < before-options.SlowStart.listDelay()-3*time.Second || at > after {
+			if at := startedOf(t, event, "older"); at < earliest-3*time.Second || at > after {
 				t.Errorf("one that is 3 s older started %v before now", after-at)
 			}
 			if at := startedOf(t, event, "old"); at != 0 {
@@ -65,11 +69,11 @@
 			client, events := subscribed(t, server, testutil.Timeout)
 			server.Say <- changes(2, startedEntry("s0", unixMs(-time.Minute)))
 			first := startedOf(t, expectEvent(t, events, balancer.ListDelta, 1), "s0")
-			before := client.convert.starts.clock.Now()
+			before := client.converter.starts.clock.Now()
 			restarted := startedEntry("s0", unixMs(offset))
 			server.Say <- changes(3, restarted)
 			second := startedOf(t, expectEvent(t, events, balancer.ListDelta, 1), "s0")
-			if second <= first || second > client.convert.starts.clock.Now() {
+			if second <= first || second > client.converter.starts.clock.Now() {
 				t.Errorf("started at %v, restarted at %v", first, second)
 			}
 			if offset < 0 && second < before {
@@ -83,14 +87,14 @@
 	}
 }
 
-// Endpoints that all started at about the same time, long ago by this machine's clock, are not all taken for cold.
+// Endpoints that all started at about the same time, long ago by this machine's clock, are not all treated as cold.
 func TestStartTimesOfAWholeFleet(t *testing.T) {
 	var entries []string
 	for i := range 10 {
 		entries = append(entries, startedEntry(fmt.Sprint("s", i), unixMs(-time.Hour)+int64(i)))
 	}
 	options, _ := newOptions(t, testutil.Config(t, "127.0.0.1:1", entries...))
-	event := New(options).Known()
+	event := New(options).CachedList()
 	for _, ep := range event.Endpoints {
 		if age := options.Clock.Now() - ep.StartedAt; age < time.Minute {
 			t.Errorf("%s started %v ago", ep.ID, age)
@@ -98,17 +102,17 @@
 	}
 }
 
-// What the delay of lists is taken for must not double the share of its capacity that an endpoint is taken to have.
+// The assumed delay of lists must not double the capacity at which an endpoint is estimated.
 func TestListDelay(t *testing.T) {
 	for _, test := range []struct {
 		slowStart SlowStart
 		want      time.Duration
 	}{
-		{SlowStart{Duration: 8600 * time.Millisecond, MinCapacity: 0.32}, usualListDelay},
+		{SlowStart{Duration: 8600 * time.Millisecond, MinCapacity: 0.32}, maxListDelay},
 		{SlowStart{Duration: 9 * time.Second, MinCapacity: 0.1}, time.Second},
 		{SlowStart{Duration: time.Second, MinCapacity: 0.5}, time.Second},
-		{SlowStart{}, usualListDelay},
-		{SlowStart{Duration: time.Second, MinCapacity: 1}, usualListDelay},
+		{SlowStart{}, maxListDelay},
+		{SlowStart{Duration: time.Second, MinCapacity: 1}, maxListDelay},
 	} {
 		if got := test.slowStart.listDelay(); got != test.want {
 			t.Errorf("%+v: %v, want %v", test.slowStart, got, test.want)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -130,7 +130,7 @@
 	t.Cleanup(cancel)
 	client.Subscribe(ctx)
 	testutil.Receive(t, server.Watches)
-	for _, line := range strings.Split(indentedList, "\n") {
+	for line := range strings.SplitSeq(indentedList, "\n") {
 		time.Sleep(200 * time.Millisecond)
 		server.Say <- line
 	}
@@ -140,20 +140,20 @@
 
 // The old watch goes on until the one of the new address has brought the complete list, since a new address may bring
 // nothing and may number its versions otherwise; after that the old one has no say.
-func TestMove(t *testing.T) {
+func TestSetAddress(t *testing.T) {
 	oldServer, newServer := testutil.NewDiscovery(t), testutil.NewDiscovery(t)
 	client, events := subscribed(t, oldServer, testutil.Timeout)
 	testutil.Receive(t, oldServer.Watches)
 	oldServer.Say <- changes(2)
 	testutil.Receive(t, events)
-	client.Move(context.Background(), "127.0.0.1:1") // refused: the module hears of it, and subscribes again
+	client.SetAddress(context.Background(), "127.0.0.1:1") // refused: the module hears of it, and subscribes again
 	expectFailure(t, events)
 	oldServer.Say <- changes(3, entry("s0", "DRAINING"))
 	expectEvent(t, events, balancer.ListDelta, 1) // from the old address, which is still watched
-	client.Move(context.Background(), newServer.Addr)
-	client.Move(context.Background(), newServer.Addr) // once more changes nothing
-	expectWatch(t, newServer, "follow=1")             // for the complete list
-	oldServer.Cut <- struct{}{}                       // no failure: the new one is under way
+	client.SetAddress(context.Background(), newServer.Addr)
+	client.SetAddress(context.Background(), newServer.Addr) // once more changes nothing
+	expectWatch(t, newServer, "follow=1")                   // for the complete list
+	oldServer.Cut <- struct{}{}                             // no failure: the new one is under way
 	newServer.Say <- ""
 	newServer.Say <- completeList(1, entry("s1", "SERVING"))
 	expectEvent(t, events, balancer.ListComplete, 1)
