--- a/cmd/ashshunt/main.go
+++ b/cmd/ashshunt/main.go
@@ -90,9 +90,9 @@
 // loadConfig reads the configuration. A file that can't be read, or is just being written, is read again for a while.
 func loadConfig(path string, log *slog.Logger) (*config.Config, error) {
 	policy := retry.Policy{
-		Patience:  startPatience,
-		MayPass:   func(err error) bool { return retry.MayPass(err) || errors.Is(err, config.ErrIncomplete) },
-		OnFailure: func(err error) { log.Warn(telemetry.MsgConfigurationUnread, telemetry.Err(err)) },
+		MaxElapsedTime: startPatience,
+		IsTransient:    func(err error) bool { return retry.IsTransient(err) || errors.Is(err, config.ErrIncomplete) },
+		OnRetry:        func(err error) { log.Warn(telemetry.MsgConfigurationUnread, telemetry.Err(err)) },
 	}
 	return retry.Do(policy, func() (*config.Config, error) { return config.Load(path) })
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -53,9 +53,9 @@
 // listen opens the listener; what fails for a moment is tried again.
 func listen(addr string, log *slog.Logger) (net.Listener, error) {
 	policy := retry.Policy{
-		Patience:  listenPatience,
-		MayPass:   retry.MayPass,
-		OnFailure: func(err error) { log.Warn(telemetry.MsgListenFailed, telemetry.Err(err)) },
+		MaxElapsedTime: listenPatience,
+		IsTransient:    retry.IsTransient,
+		OnRetry:        func(err error) { log.Warn(telemetry.MsgListenFailed, telemetry.Err(err)) },
 	}
 	return retry.Do(policy, func() (net.Listener, error) { return net.Listen("tcp", addr) })
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,7 +8,7 @@
 	"ashshunt/internal/clock"
 )
 
-// A time of the clock converts back to the same value, by the monotonic reading that it carries.
+// A time of the clock has a monotonic reading and converts back to the same value.
 func TestTimes(t *testing.T) {
 	now := clock.New()
 	at := now.Now() + time.Minute
--- a/internal/clock/milliseconds.go
+++ b/internal/clock/milliseconds.go
@@ -8,8 +8,8 @@
 // maxDuration is the longest duration that Milliseconds returns, about 146 years: sums of two still fit.
 const maxDuration = time.Duration(1 << 62)
 
-// Milliseconds converts a number of milliseconds, which may have a fraction, to the nearest nanosecond. A number that is
-// out of range becomes the nearest one that is not.
+// Milliseconds converts a number of milliseconds, which may have a fraction, to the nearest nanosecond. Numbers out of
+// range become the longest duration of their sign.
 func Milliseconds(ms float64) time.Duration {
 	nanoseconds := math.Round(ms * float64(time.Millisecond))
 	if math.Abs(nanoseconds) < float64(maxDuration) {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry repeats what fails for a moment only, at the start of the agent.
+// Package retry repeats operations that fail transiently, with exponential backoff. The agent uses it for its start.
 package retry
 
 import (
@@ -9,37 +9,38 @@
 )
 
 const (
-	// firstPause is the wait after the first failure; it doubles up to maxPause.
-	firstPause = 5 * time.Millisecond
-	maxPause   = 200 * time.Millisecond
+	// initialBackoff is the wait after the first failure. Each wait is backoffFactor times the last, up to maxBackoff.
+	initialBackoff = 5 * time.Millisecond
+	backoffFactor  = 2
+	maxBackoff     = 200 * time.Millisecond
 )
 
-// lasting are the errors of system calls that do not pass by themselves: a name or a right is wrong.
-var lasting = []syscall.Errno{syscall.ENOENT, syscall.ENOTDIR, syscall.EISDIR, syscall.ELOOP, syscall.ENAMETOOLONG,
+// permanent are the errors of system calls that do not pass by themselves: a name or a permission is wrong.
+var permanent = []syscall.Errno{syscall.ENOENT, syscall.ENOTDIR, syscall.EISDIR, syscall.ELOOP, syscall.ENAMETOOLONG,
 	syscall.EACCES, syscall.EPERM, syscall.EINVAL, syscall.EAFNOSUPPORT, syscall.EPROTONOSUPPORT}
 
-// MayPass reports whether an error comes from a system call and may be over in a moment.
-func MayPass(err error) bool {
+// IsTransient reports whether an error comes from a system call and may pass by itself.
+func IsTransient(err error) bool {
 	var cause syscall.Errno
-	return errors.As(err, &cause) && !slices.Contains(lasting, cause)
+	return errors.As(err, &cause) && !slices.Contains(permanent, cause)
 }
 
-// Policy says which failures are followed by another try.
+// Policy says which failures are retried.
 type Policy struct {
-	Patience  time.Duration    // after which no further try begins
-	MayPass   func(error) bool // whether an error may be over in a moment
-	OnFailure func(error)      // is told each error that is followed by another try
+	MaxElapsedTime time.Duration    // after which no retry begins
+	IsTransient    func(error) bool // reports whether an error may pass by itself
+	OnRetry        func(error)      // is called with each error that is retried
 }
 
-// Do calls a function until it succeeds, or until the policy allows no further try.
+// Do calls a function until it succeeds or the policy allows no retry. It returns the last result as it is.
 func Do[T any](policy Policy, function func() (T, error)) (T, error) {
-	end := time.Now().Add(policy.Patience)
-	for pause := firstPause; ; pause = min(2*pause, maxPause) {
+	end := time.Now().Add(policy.MaxElapsedTime)
+	for backoff := initialBackoff; ; backoff = min(backoffFactor*backoff, maxBackoff) {
 		value, err := function()
-		if err == nil || !policy.MayPass(err) || time.Now().Add(pause).After(end) {
+		if err == nil || !policy.IsTransient(err) || time.Now().Add(backoff).After(end) {
 			return value, err
 		}
-		policy.OnFailure(err)
-		time.Sleep(pause)
+		policy.OnRetry(err)
+		time.Sleep(backoff)
 	}
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -27,16 +27,20 @@
 		{"no error of a system call", errors.New("bad text"), 4, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			calls, told := 0, 0
-			policy := retry.Policy{Patience: testutil.Timeout, MayPass: retry.MayPass, OnFailure: func(error) { told++ }}
+			calls, retries := 0, 0
+			policy := retry.Policy{
+				MaxElapsedTime: testutil.Timeout,
+				IsTransient:    retry.IsTransient,
+				OnRetry:        func(error) { retries++ },
+			}
 			_, err := retry.Do(policy, func() (int, error) {
 				if calls++; calls <= test.failures {
 					return 0, &fs.PathError{Op: "open", Path: "config.json", Err: test.cause}
 				}
 				return calls, nil
 			})
-			if calls != test.calls || told != test.calls-1 {
-				t.Errorf("%d calls, %d errors told, want %d calls", calls, told, test.calls)
+			if calls != test.calls || retries != test.calls-1 {
+				t.Errorf("%d calls, %d retries reported, want %d calls", calls, retries, test.calls)
 			}
 			if wantError := test.failures >= test.calls; (err != nil) != wantError {
 				t.Errorf("error %v", err)
@@ -45,9 +49,13 @@
 	}
 }
 
-// A failure that lasts is reported once patience is over.
+// A failure that lasts is returned once the policy's time is over.
 func TestDoGivesUp(t *testing.T) {
-	policy := retry.Policy{Patience: 20 * time.Millisecond, MayPass: retry.MayPass, OnFailure: func(error) {}}
+	policy := retry.Policy{
+		MaxElapsedTime: 20 * time.Millisecond,
+		IsTransient:    retry.IsTransient,
+		OnRetry:        func(error) {},
+	}
 	_, err := retry.Do(policy, func() (int, error) { return 0, syscall.ENFILE })
 	if !errors.Is(err, syscall.ENFILE) {
 		t.Errorf("error %v", err)
--- a/internal/socket/dialer.go
+++ b/internal/socket/dialer.go
@@ -8,27 +8,29 @@
 	"time"
 )
 
-// ErrLocalFailure marks a dial that failed by a cause that may lie with this machine: it says nothing sure of the other
-// side.
+// ErrLocalFailure marks a dial that failed by a cause that may lie with this machine, which proves nothing about the
+// other side.
 var ErrLocalFailure = errors.New("local failure")
 
 const (
-	// firstRedialPause is the wait before the first repeat of a dial; it doubles up to maxRedialPause.
-	firstRedialPause = time.Millisecond
-	maxRedialPause   = 16 * time.Millisecond
-	// redialShare is the part of a dial's timeout within which it is repeated. The rest is left to its caller, who may
-	// have another address.
+	// initialRedialDelay is the wait before the first repeat of a dial. Each wait is redialFactor times the last, up to
+	// maxRedialDelay.
+	initialRedialDelay = time.Millisecond
+	redialFactor       = 2
+	maxRedialDelay     = 16 * time.Millisecond
+	// redialShare is the share of a dial's timeout within which it is repeated. The rest is left to its caller, who
+	// may have another address.
 	redialShare = 0.5
 )
 
 // Dialer opens TCP connections. A dial that fails by a cause that may lie with this machine, such as a lack of buffers
-// or ports, is repeated for a part of its timeout, since such causes are often over in a moment.
+// or ports, is repeated for a share of its timeout, since such causes often pass at once.
 type Dialer struct {
 	net.Dialer
 }
 
-// DialContext connects to an address within the dialer's timeout and deadline. An error that persisted and that may lie
-// with this machine is ErrLocalFailure.
+// DialContext connects to an address within the dialer's timeout and deadline. Its error is ErrLocalFailure if the
+// cause persisted and may lie with this machine.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	once := d.Dialer
 	start := time.Now()
@@ -40,7 +42,7 @@
 		}
 		once.Timeout = 0
 	}
-	for pause := firstRedialPause; ; pause = min(2*pause, maxRedialPause) {
+	for delay := initialRedialDelay; ; delay = min(redialFactor*delay, maxRedialDelay) {
 		conn, err := once.DialContext(ctx, network, address)
 		if err == nil {
 			return NewConn(conn), nil
@@ -48,7 +50,7 @@
 		if !isLocalFailure(err) {
 			return nil, err
 		}
-		if time.Now().Add(pause).After(lastRedial) || !sleep(ctx, pause) {
+		if time.Now().Add(delay).After(lastRedial) || !sleep(ctx, delay) {
 			return nil, fmt.Errorf("%w: %w", ErrLocalFailure, err)
 		}
 	}
--- a/internal/socket/errors.go
+++ b/internal/socket/errors.go
@@ -14,7 +14,7 @@
 }
 
 // isLocalFailure reports whether an error of a dial may have its cause on this machine or its network. Only a refusal
-// and a reset surely come from the other side; a dial that has timed out says that the other side is silent.
+// and a reset certainly come from the other side; a dial that timed out shows that the other side is silent.
 func isLocalFailure(err error) bool {
 	var cause syscall.Errno
 	if !errors.As(err, &cause) {
@@ -23,7 +23,7 @@
 	return cause != syscall.ECONNREFUSED && cause != syscall.ECONNRESET
 }
 
-// isTransient reports whether a call on a connection has failed by a lack of resources that may be over in a moment. The
+// isTransient reports whether a call on a connection failed by a lack of resources that may pass by itself. The
 // connection is as good as before.
 func isTransient(err error) bool {
 	return errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
--- a/internal/socket/export_test.go
+++ b/internal/socket/export_test.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// FailCalls has each system call that examines a socket fail count times by a cause, until the test ends.
+// FailCalls has each system call that examines a socket fail count times by a cause. The end of the test undoes it.
 func FailCalls(t *testing.T, count int, cause error) {
 	t.Helper()
 	recvfromLeft, pollLeft, ioctlLeft := count, count, count
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,23 +1,24 @@
-// Package socket has what the agent needs of TCP sockets beyond net: dials and connections that withstand failures of a
-// moment, and looks at the receive side that read nothing.
+// Package socket has what the agent needs of TCP sockets beyond net: dials and connections that withstand transient
+// failures, and ways to examine the receive side of a socket without reading from it.
 package socket
 
 import (
 	"errors"
+	"fmt"
 	"net"
 	"syscall"
 
 	"golang.org/x/sys/unix"
 )
 
-// The system calls that examine a socket; tests have them fail.
+// The system calls that examine a socket; tests replace them.
 var (
 	recvfrom    = syscall.Recvfrom
 	poll        = unix.Poll
 	ioctlGetInt = unix.IoctlGetInt
 )
 
-// maxUnread is how many bytes may wait behind an open request.
+// maxUnread is how many bytes a peer may send behind an open request before it counts as flooding.
 const maxUnread = 16 << 10
 
 // ReceiveState is what the receive side of a socket holds.
@@ -28,7 +29,7 @@
 	Ended    ReceiveState = iota // either side has closed it, or it failed
 	Quiet                        // open, with nothing to read
 	Readable                     // bytes wait to be read
-	Unknown                      // the system does not tell at present
+	Unknown                      // the system calls fail at present
 )
 
 // Peek examines a socket without waiting.
@@ -44,7 +45,7 @@
 	return state
 }
 
-// HasUnread reports whether bytes wait to be read, or may wait: a request must not be taken for nothing.
+// HasUnread reports whether bytes wait to be read, or may wait: a request must not be overlooked.
 func HasUnread(conn net.Conn) bool {
 	state := Peek(conn)
 	return state == Readable || state == Unknown
@@ -59,16 +60,16 @@
 	return raw.Read(func(fd uintptr) bool { return peek(fd) != Quiet })
 }
 
-// PeerState is what a socket tells about the other side while that waits for a response.
+// PeerState is what a socket shows of the other side while that waits for a response.
 type PeerState struct {
-	Closed  bool // it has closed the connection, or at least its sending
-	Flooded bool // it has sent so much behind its request that a close behind that would not be seen
+	Closed  bool // it has closed the connection, or at least its sending side
+	Flooded bool // it has sent so much behind its request that a close after it would not be seen
 }
 
-// Gone reports whether the other side is not to be answered any more.
+// Gone reports whether the other side gets no answer any more.
 func (s PeerState) Gone() bool { return s.Closed || s.Flooded }
 
-// Peer examines the other side of a socket. It sees a close also behind bytes that nobody has read yet.
+// Peer examines the other side of a socket. It sees a close behind unread bytes too.
 func Peer(conn net.Conn) PeerState {
 	raw, err := rawConn(conn)
 	if err != nil {
@@ -78,20 +79,22 @@
 	err = raw.Control(func(fd uintptr) {
 		state = PeerState{Closed: hungUp(fd), Flooded: unread(fd) > maxUnread}
 	})
-	if err != nil { // closed by this side: nobody can be answered on it
+	if err != nil { // closed by this side: no answer can be sent on it
 		state.Closed = true
 	}
 	return state
 }
 
+// rawConn returns the raw connection of a socket, or ErrUnsupported if conn is none.
 func rawConn(conn net.Conn) (syscall.RawConn, error) {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.ErrUnsupported
+		return nil, fmt.Errorf("raw connection of a %T: %w", conn, errors.ErrUnsupported)
 	}
 	return syscallConn.SyscallConn()
 }
 
+// peek examines the receive side of a socket.
 func peek(fd uintptr) ReceiveState {
 	var buffer [1]byte
 	n, err := repeatTransient(func() (int, error) {
@@ -99,7 +102,7 @@
 		return n, err
 	})
 	switch {
-	case err == syscall.EAGAIN:
+	case errors.Is(err, syscall.EAGAIN):
 		return Quiet
 	case isTransient(err):
 		return Unknown
@@ -109,14 +112,14 @@
 	return Ended
 }
 
-// hungUp reports whether the other side has ended its sending or the connection has failed.
+// hungUp reports whether the other side has closed its sending side or the connection has failed.
 func hungUp(fd uintptr) bool {
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := repeatTransient(func() (int, error) { return poll(polled, 0) })
 	return err == nil && n > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// unread is the number of bytes that wait to be read; 0 if that is not known.
+// unread is the number of bytes that wait to be read; 0 if the system call fails.
 func unread(fd uintptr) int {
 	n, err := repeatTransient(func() (int, error) { return ioctlGetInt(int(fd), unix.TIOCINQ) })
 	if err != nil {
@@ -125,7 +128,7 @@
 	return n
 }
 
-// repeatTransient makes a system call that does not wait, and makes it again at once while it fails for a moment.
+// repeatTransient makes a system call that does not wait, and repeats it at once while it fails transiently.
 func repeatTransient(call func() (int, error)) (n int, err error) {
 	for range maxRepeats {
 		if n, err = call(); !isTransient(err) {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -27,7 +27,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _, _ = dialled.Close(), local.Close() })
-	return local, dialled.(*net.TCPConn)
+	peer, ok := dialled.(*net.TCPConn)
+	if !ok {
+		t.Fatalf("dialled a %T", dialled)
+	}
+	return local, peer
 }
 
 func send(t *testing.T, conn net.Conn, text string) {
@@ -83,8 +87,11 @@
 
 func TestWaitReadable(t *testing.T) {
 	for name, event := range map[string]func(*testing.T, *net.TCPConn){
-		"bytes": func(t *testing.T, peer *net.TCPConn) { send(t, peer, "x") },
-		"end":   closeWrite,
+		"bytes": func(t *testing.T, peer *net.TCPConn) {
+			t.Helper()
+			send(t, peer, "x")
+		},
+		"end": closeWrite,
 	} {
 		t.Run(name, func(t *testing.T) {
 			local, peer := connect(t)
