--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,4 +1,5 @@
-// Package loadreport reads the load reports of endpoints, which come on real responses and in the simulator's messages.
+// Package loadreport reads the load reports of endpoints, which come on real responses and in the simulator's messages,
+// and maps the names of their values to the decision module's terms.
 package loadreport
 
 import (
--- a/internal/telemetry/messages.go
+++ b/internal/telemetry/messages.go
@@ -31,6 +31,7 @@
 	KeyEndpoint  = "endpoint"
 	KeyDiscovery = "discovery"
 	KeyError     = "err"
+	KeyDropped   = "dropped_before" // the number of lines that were dropped right before this one
 )
 
 // Request is the attribute for the ID of a client's request.
--- a/internal/telemetry/log_test.go
+++ b/internal/telemetry/ratelimit_test.go
@@ -12,9 +12,12 @@
 // Lines past the limit are counted, not written.
 func TestRateLimitedLog(t *testing.T) {
 	logged := &testutil.Log{}
-	h := RateLimited(slog.NewTextHandler(logged, nil)).(rateLimited)
+	h, ok := RateLimited(slog.NewTextHandler(logged, nil)).(rateLimited)
+	if !ok {
+		t.Fatal("RateLimited returns a handler of another type")
+	}
 	now := time.Now()
-	h.budget.now = func() time.Time { return now }
+	h.limiter.now = func() time.Time { return now }
 	log := slog.New(h).With("agent", "n0")
 	for range 5 * linesPerSecond {
 		log.Warn("bad answer")
--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -1,6 +1,7 @@
 package telemetry
 
 import (
+	"bytes"
 	"io"
 	"time"
 )
@@ -8,30 +9,30 @@
 // bufferedLines is how many lines may wait for their reader before further ones are dropped.
 const bufferedLines = 256
 
-// Writer passes what is written to it on from a goroutine of its own, so that whoever logs never waits for the reader
-// of the log. What the reader does not take in time is dropped.
+// Writer writes lines asynchronously, on a goroutine of its own, so that logging never waits for the reader of the log.
+// Lines that the reader does not take in time are dropped.
 type Writer struct {
 	lines chan []byte
 	flush chan chan struct{}
 }
 
-// NewWriter returns a writer that passes lines on to w. Its goroutine lasts as long as the process.
+// NewWriter returns a writer whose lines go to w. Its goroutine runs as long as the process.
 func NewWriter(w io.Writer) *Writer {
 	writer := &Writer{lines: make(chan []byte, bufferedLines), flush: make(chan chan struct{})}
-	go writer.passOn(w)
+	go writer.writeTo(w)
 	return writer
 }
 
-// Write implements io.Writer. It never fails: there is nobody to be told.
+// Write implements io.Writer. It never fails: the log itself has nowhere to report an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
-	case w.lines <- append([]byte(nil), line...):
+	case w.lines <- bytes.Clone(line):
 	default:
 	}
 	return len(line), nil
 }
 
-// Flush waits until all lines so far are out, but not for longer than a timeout.
+// Flush waits until all lines so far are written, or until the timeout.
 func (w *Writer) Flush(timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -47,8 +48,8 @@
 	}
 }
 
-// passOn writes the lines to w, in their order. Errors are of no interest: the next line may get through.
-func (w *Writer) passOn(out io.Writer) {
+// writeTo writes the lines to out, in their order. It ignores errors: the next line may get through.
+func (w *Writer) writeTo(out io.Writer) {
 	for {
 		select {
 		case line := <-w.lines:
