--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -17,17 +17,27 @@
 // textPrefix starts a report in the one format that endpoints use.
 const textPrefix = "TEXT "
 
-// aliases gives the simulator's name for each value that real endpoints report by another one.
-var aliases = map[string]string{
-	"inflight":   "outstanding",
-	"queue":      "backlog",
-	"util":       "utilization",
-	"latency_ms": "recent_ms",
-	"qps":        "throughput",
-	"eps":        "errors_per_s",
+// The values of a report, by their names in the simulator's messages.
+const (
+	valueInFlight        = "outstanding"
+	valueQueue           = "backlog"
+	valueUtilization     = "utilization"
+	valueServiceMs       = "recent_ms"
+	valueThroughput      = "throughput"
+	valueErrorsPerSecond = "errors_per_s"
+)
+
+// endpointNames maps the names that real endpoints use to the simulator's. A report may use either.
+var endpointNames = map[string]string{
+	"inflight":   valueInFlight,
+	"queue":      valueQueue,
+	"util":       valueUtilization,
+	"latency_ms": valueServiceMs,
+	"qps":        valueThroughput,
+	"eps":        valueErrorsPerSecond,
 }
 
-// Parse reads a report as endpoints write it: "TEXT name=value, name=value". Text that can't be read in full is no
+// Parse parses a report as endpoints write it: "TEXT name=value, name=value". Text that can't be parsed in full is no
 // report, since one wrong figure would spoil running means.
 func Parse(text string) balancer.LoadReport {
 	list, ok := strings.CutPrefix(strings.TrimSpace(text), textPrefix)
@@ -35,23 +45,32 @@
 		return balancer.LoadReport{}
 	}
 	values := map[string]float64{}
-	for part := range strings.SplitSeq(list, ",") {
-		name, number, _ := strings.Cut(strings.TrimSpace(part), "=")
-		value, err := strconv.ParseFloat(number, 64)
-		if err != nil || !(value >= 0) || math.IsInf(value, 0) {
+	for assignment := range strings.SplitSeq(list, ",") {
+		name, value, ok := parseValue(strings.TrimSpace(assignment))
+		if !ok {
 			return balancer.LoadReport{}
 		}
 		values[name] = value
 	}
-	for alias, name := range aliases {
-		if value, ok := values[alias]; ok {
+	for endpointName, name := range endpointNames {
+		if value, ok := values[endpointName]; ok {
 			values[name] = value
 		}
 	}
 	return FromValues(values)
 }
 
-// FromValues converts a report whose values have the simulator's names. No values mean no report.
+// parseValue parses "name=value" and reports whether the value is a finite number that is not negative.
+func parseValue(assignment string) (name string, value float64, ok bool) {
+	name, number, _ := strings.Cut(assignment, "=")
+	value, err := strconv.ParseFloat(number, 64)
+	if err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
+		return "", 0, false
+	}
+	return name, value, true
+}
+
+// FromValues converts a report whose values have the simulator's names. A nil map means that there is no report.
 func FromValues(values map[string]float64) balancer.LoadReport {
 	value := func(name string) float64 {
 		if v, ok := values[name]; ok {
@@ -61,14 +80,14 @@
 	}
 	report := balancer.LoadReport{
 		Valid:        values != nil,
-		InFlight:     value("outstanding"),
-		Queue:        value("backlog"),
-		Utilization:  value("utilization"),
-		Throughput:   value("throughput"),
+		InFlight:     value(valueInFlight),
+		Queue:        value(valueQueue),
+		Utilization:  value(valueUtilization),
+		Throughput:   value(valueThroughput),
 		Service:      notReported,
-		ErrorsPerSec: value("errors_per_s"),
+		ErrorsPerSec: value(valueErrorsPerSecond),
 	}
-	if ms, ok := values["recent_ms"]; ok {
+	if ms, ok := values[valueServiceMs]; ok {
 		report.Service = clock.Milliseconds(ms)
 	}
 	return report
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -13,13 +13,17 @@
 		text string
 		want balancer.LoadReport
 	}{
-		{"TEXT inflight=7, queue=2, util=0.61",
-			balancer.LoadReport{Valid: true, InFlight: 7, Queue: 2, Utilization: 0.61, Throughput: none, Service: none, ErrorsPerSec: none}},
-		{" TEXT latency_ms=1.5, qps=30, eps=0",
-			balancer.LoadReport{Valid: true, InFlight: none, Queue: none, Utilization: none, Throughput: 30,
-				Service: 1500 * time.Microsecond, ErrorsPerSec: 0}},
-		{"TEXT outstanding=3, later=4",
-			balancer.LoadReport{Valid: true, InFlight: 3, Queue: none, Utilization: none, Throughput: none, Service: none, ErrorsPerSec: none}},
+		{"TEXT inflight=7, queue=2, util=0.61", balancer.LoadReport{
+			Valid: true, InFlight: 7, Queue: 2, Utilization: 0.61, Throughput: none, Service: none, ErrorsPerSec: none,
+		}},
+		{" TEXT latency_ms=1.5, qps=30, eps=0", balancer.LoadReport{
+			Valid: true, InFlight: none, Queue: none, Utilization: none, Throughput: 30,
+			Service: 1500 * time.Microsecond, ErrorsPerSec: 0,
+		}},
+		{"TEXT outstanding=3, later=4", balancer.LoadReport{
+			Valid: true, InFlight: 3, Queue: none, Utilization: none, Throughput: none,
+			Service: none, ErrorsPerSec: none,
+		}},
 		{"", balancer.LoadReport{}},
 		{"inflight=7", balancer.LoadReport{}},
 		{"TEXT inflight", balancer.LoadReport{}},
