--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -72,15 +72,15 @@
 	return c.converter.event(c.cachedList, balancer.ListCached)
 }
 
-// Start starts the watch that the client keeps by itself, if it is to.
+// Start starts the watch that the client keeps open, if Options.KeepWatch says so.
 func (c *Client) Start(ctx context.Context) {
 	if c.keepWatch {
 		c.Subscribe(ctx)
 	}
 }
 
-// SetAddress changes the address of discovery. The new one is watched at once if the old one was watched or is about
-// to be.
+// SetAddress changes the address of discovery. The new one is watched at once if the client keeps its watch, or if the
+// old one was watched or about to be.
 func (c *Client) SetAddress(ctx context.Context, addr string) {
 	changed, watched := c.source.setAddr(addr)
 	if !changed {
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// A refusal tells that discovery could not be reached until then, unlike another failure.
+// A refusal, unlike another failure, proves that discovery could not be reached until then.
 func TestRefusedCalls(t *testing.T) {
 	refuse := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	server := httptest.NewServer(http.HandlerFunc(refuse))
--- a/internal/discovery/listtimeout.go
+++ b/internal/discovery/listtimeout.go
@@ -14,7 +14,7 @@
 )
 
 // listTimeout is the time that one list of a watch may take from its first byte to its end. It adapts to slow lists,
-// so that a slow discovery is heard in the end. It is safe for concurrent use.
+// so that lists of a slow discovery arrive in the end. It is safe for concurrent use.
 type listTimeout struct {
 	minimum time.Duration
 
--- a/internal/discovery/options.go
+++ b/internal/discovery/options.go
@@ -23,8 +23,8 @@
 	Clock   clock.Clock
 	Log     *slog.Logger
 
-	// KeepWatch has the client keep a watch open by itself. The decision module never asks for one where the settings
-	// say that changes are pushed; on sockets nothing comes without a watch.
+	// KeepWatch has the client keep a watch open by itself. The decision module never subscribes where the settings say
+	// that changes are pushed; a real discovery pushes them on a watch alone.
 	KeepWatch      bool
 	ConnectTimeout time.Duration // unit of the backoff between two such watches
 	DrainGrace     time.Duration // how long requests to a draining endpoint are tolerated; bounds that backoff
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// A part of a list must not be taken: endpoints would look as if they were gone.
+// A list must not be applied in part: endpoints would look as if they were gone.
 func TestMalformedLists(t *testing.T) {
 	good := entry("s0", "SERVING")
 	for name, text := range map[string]string{
@@ -46,7 +46,7 @@
 }
 
 // The response to a poll that a line of the watch has overtaken, and a line that is older than the ones before it, must
-// not set version and table back: a draining endpoint would get requests again.
+// not set back version and table: a draining endpoint would get requests again.
 func TestOutdatedListIsIgnored(t *testing.T) {
 	server := testutil.NewDiscovery(t)
 	polled, gate := make(chan struct{}), make(chan struct{})
@@ -62,7 +62,7 @@
 	server.Say <- changes(2, entry("s0", "DRAINING"))
 	testutil.Receive(t, events)
 	close(gate)
-	expectEvent(t, events, balancer.ListDelta, 0) // whoever polled hears that there is no news
+	expectEvent(t, events, balancer.ListDelta, 0) // a poll always has an event
 	server.Say <- completeList(1, entry("s0", "SERVING"))
 	if event := testutil.Receive(t, events); len(event.Endpoints) != 0 {
 		t.Errorf("event %+v of an outdated line", event)
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -18,7 +18,7 @@
 	addr    string     // host:port of discovery
 	version int64      // of the list that was last applied from addr, or unknownVersion
 	active  *watch     // the one that lists are taken from; nil: none
-	pending *watch     // the one that is to replace it; nil: none
+	pending *watch     // the one that will replace it; nil: none
 	backoff backoff    // between watches that end
 }
 
@@ -74,8 +74,8 @@
 	return s.pending
 }
 
-// activateWatch reports whether lists are taken from a watch. A pending one is activated, and its predecessor stopped,
-// once it has been answered; one that is to bring the complete list, once that has come.
+// activateWatch reports whether lists are taken from a watch that has been answered, or that has brought a list. It
+// activates a pending watch and stops its predecessor; one without a version has to bring the complete list first.
 func (s *source) activateWatch(w *watch, complete bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +89,8 @@
 	return w == s.active
 }
 
-// removeWatch removes a watch that ended by itself and reports whether it has to be replaced: not while a pending one
-// is to replace it anyway.
+// removeWatch removes a watch that ended by itself and reports whether that leaves the client without a watch: a
+// pending one replaces an active one anyway.
 func (s *source) removeWatch(w *watch) (lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -77,7 +77,7 @@
 				t.Errorf("started at %v, restarted at %v", first, second)
 			}
 			if offset < 0 && second < before {
-				t.Errorf("restarted %v before it was told", before-second)
+				t.Errorf("restarted %v before it was listed", before-second)
 			}
 			server.Say <- completeList(4, restarted)
 			if again := startedOf(t, expectEvent(t, events, balancer.ListComplete, 1), "s0"); again != second {
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -7,8 +7,8 @@
 	"ashshunt/internal/testutil"
 )
 
-// Calls must not end while they wait for their turn, nor silent watches before a line is due, and what a silent watch
-// or a hung call leaves has to be enough for the next call's turn.
+// Calls must not time out while they wait in discovery's queue, nor silent watches before a line is due, and what a
+// silent watch or a hung call leaves of the limit has to be enough for the next call's queueing.
 func TestPollsFitPropagationLimit(t *testing.T) {
 	c := testutil.Config(t, "127.0.0.1:1")
 	c.Settings.Subscribe = true
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -22,7 +22,7 @@
 // watch is one watch of an address. It is run by the goroutine that Subscribe starts for it.
 type watch struct {
 	addr  string
-	since int64              // the version that it continues; unknownVersion: it is to bring the complete list
+	since int64              // the version that it continues; unknownVersion: it starts with the complete list
 	stop  context.CancelFunc // ends it
 }
 
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -110,7 +110,7 @@
 	}()
 }
 
-// A list that never becomes complete is given up, however steadily it comes: what it tells counts as received soon.
+// A list that never becomes complete is given up, however steadily it comes: its changes count as received soon.
 func TestTricklingList(t *testing.T) {
 	server := testutil.NewDiscovery(t)
 	client, events := subscribed(t, server, 200*time.Millisecond)
@@ -120,7 +120,7 @@
 	expectServing(t, client, "s0", true)
 }
 
-// A list that takes longer than a silence may, but comes, is taken.
+// A list that takes longer than the silence timeout is applied if it comes.
 func TestSlowList(t *testing.T) {
 	server := testutil.NewDiscovery(t)
 	options, events := newOptions(t, testutil.Config(t, server.Addr, entry("s0", "SERVING")))
@@ -138,15 +138,15 @@
 	expectServing(t, client, "s0", false)
 }
 
-// The old watch goes on until the one of the new address has brought the complete list, since a new address may bring
-// nothing and may number its versions otherwise; after that the old one has no say.
+// The old watch continues until the one of the new address has brought the complete list, since a new address may bring
+// nothing and may number its versions differently; after that the old one is ignored.
 func TestSetAddress(t *testing.T) {
 	oldServer, newServer := testutil.NewDiscovery(t), testutil.NewDiscovery(t)
 	client, events := subscribed(t, oldServer, testutil.Timeout)
 	testutil.Receive(t, oldServer.Watches)
 	oldServer.Say <- changes(2)
 	testutil.Receive(t, events)
-	client.SetAddress(context.Background(), "127.0.0.1:1") // refused: the module hears of it, and subscribes again
+	client.SetAddress(context.Background(), "127.0.0.1:1") // refused: the module is notified, and subscribes again
 	expectFailure(t, events)
 	oldServer.Say <- changes(3, entry("s0", "DRAINING"))
 	expectEvent(t, events, balancer.ListDelta, 1) // from the old address, which is still watched
--- a/internal/discovery/watchreader.go
+++ b/internal/discovery/watchreader.go
@@ -7,7 +7,7 @@
 )
 
 // watchReader reads the body of a watch and bounds the bytes and the time that one list may take. Between two lists
-// each byte is a sign of life; within a list only its start is, or one that trickles would never be given up.
+// each byte is a sign of life; within a list only its start is, since a trickling list would never end otherwise.
 type watchReader struct {
 	body           io.Reader
 	silence        *time.Timer // ends the watch after a silence
@@ -59,7 +59,7 @@
 	return n, err
 }
 
-// resetTimers resets the timers by bytes that came while no list had begun.
+// resetTimers resets the timers for bytes that were received between two lists: blanks, or the start of a list.
 func (r *watchReader) resetTimers(received []byte) {
 	if len(bytes.TrimSpace(received)) == 0 {
 		r.silence.Reset(r.silenceTimeout)
--- a/internal/socket/transient_test.go
+++ b/internal/socket/transient_test.go
@@ -44,17 +44,17 @@
 	}
 }
 
-// A connection that can't be examined at all may hold a request: it does not pass for idle.
+// A connection that can't be examined at all may hold a request: it does not count as idle.
 func TestExaminationThatKeepsFailing(t *testing.T) {
 	local, peer := connect(t)
 	send(t, peer, "x")
 	testutil.Eventually(t, "the byte", func() bool { return socket.HasUnread(local) })
 	socket.FailCalls(t, 1<<30, syscall.ENOBUFS)
 	if !socket.HasUnread(local) {
-		t.Error("a connection that can't be examined passes for idle")
+		t.Error("a connection that can't be examined counts as idle")
 	}
 	if socket.Peer(local).Gone() {
-		t.Error("the other side passes for gone")
+		t.Error("the other side counts as gone")
 	}
 }
 
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -17,11 +17,11 @@
 // outcome, and draw the conclusions about the endpoint's other connections.
 
 const (
-	// startMargin is how much earlier than Bounds.NotAfter an attempt begins: a machine may be held up for 0.15 s
-	// between the look at its clock and the write, of which endpoints allow for 0.05 s.
+	// startMargin is how much earlier than Bounds.NotAfter an attempt must begin: the machine may stall for 0.15 s
+	// between the reading of its clock and the write, and endpoints tolerate 0.05 s of that.
 	startMargin = 100 * time.Millisecond
-	// minIdleBeforeBreak is how long a connection must have been idle for a break at its next request to be put down
-	// to that time.
+	// minIdleBeforeBreak is how long a connection must have been idle for a break at its next request to count as
+	// caused by the idle time.
 	minIdleBeforeBreak = 100 * time.Millisecond
 )
 
@@ -40,7 +40,7 @@
 // Attempt forwards a request to an endpoint once and returns the result, and the response if there was one.
 func (c *Client) Attempt(ctx context.Context, request *Request, endpointID string,
 	bounds Bounds) (balancer.Result, Response) {
-	// The end of the request ends a dial for it, but not an exchange that has begun.
+	// The end of the request cancels a dial for it, but not an exchange that has begun.
 	dialCtx, cancelDial := context.WithCancel(ctx)
 	defer cancelDial()
 	defer context.AfterFunc(request.Done, cancelDial)()
@@ -48,7 +48,7 @@
 	if failure != nil {
 		return failure.result, unsent(failure)
 	}
-	// The dial took time: the request may have ended meanwhile. From here to the first byte nothing waits.
+	// The request may have ended during the dial. From here to the first byte nothing blocks.
 	if request.Done.Err() != nil || request.ClientGone() || ctx.Err() != nil || !bounds.allowStart() {
 		c.pool.release(conn)
 		return balancer.NotSent, unsent(nil)
@@ -74,16 +74,16 @@
 	return result, response
 }
 
-// unsent is the response of an attempt of which no byte went out; err may be nil.
+// unsent is the response of an attempt that sent no byte; err may be nil.
 func unsent(err error) Response { return Response{EndedAt: time.Now(), Err: err} }
 
-// connect returns a connection to an endpoint, idle or new. By the time it is there the endpoint may have begun to
-// drain or have been restarted: nothing goes out to a process that has ended, since the reset of that connection
-// would look like the reset of a request that may have run.
+// connect returns a connection to an endpoint, idle or new. By the time it is open the endpoint may be draining or have
+// been restarted: nothing is sent to a process that has ended, since the reset of that connection would look like the
+// reset of a request that may have run.
 func (c *Client) connect(ctx context.Context, endpointID string, deadline time.Time) (*connection, *connectError) {
 	for {
 		entry, serving := c.table.Serving(endpointID)
-		if !serving { // no connection was tried, which proves that nothing ran: another endpoint may serve it
+		if !serving { // nothing was sent, so another endpoint may serve the request
 			return nil, &connectError{endpointID, balancer.ConnectFailed, ErrNotServing}
 		}
 		conn, failure := c.takeOrDial(ctx, entry, deadline)
@@ -137,7 +137,7 @@
 func (c *Client) exchange(ctx context.Context, conn *connection, request *http.Request,
 	deadline time.Time) (balancer.Result, Response) {
 	encoded, err := encodeRequest(request)
-	if err != nil { // before any byte went out: it can't have run
+	if err != nil { // no byte went out: it can't have run
 		c.pool.release(conn)
 		return balancer.NotSent, unsent(err)
 	}
@@ -154,7 +154,7 @@
 	return result, outcome.response
 }
 
-// classify is the protocol's table of outcomes. Where there is doubt, the request may have run.
+// classify is the protocol's table of outcomes. In doubt its result says that the request may have run.
 func classify(outcome exchangeOutcome, cancelled bool) balancer.Result {
 	response := outcome.response
 	switch {
@@ -174,8 +174,8 @@
 	return balancer.Reset
 }
 
-// closeDeadConnections closes the idle connections to an endpoint that the result on another one, which had been idle
-// for so long, shows to be dead as well: an unsafe request that goes out on one may not be sent again.
+// closeDeadConnections closes the idle connections to an endpoint that are dead as well, judging by the result on conn
+// and its idle time before: an unsafe request that is sent on a dead connection may not be sent again.
 func (c *Client) closeDeadConnections(conn *connection, result balancer.Result, idle time.Duration) {
 	switch {
 	case result == balancer.TimedOut:
@@ -183,9 +183,9 @@
 		// proves that nothing ran.
 		c.pool.closeIdle(conn.endpointID())
 	case (result == balancer.Reset || result == balancer.ConnectFailed) && idle > minIdleBeforeBreak:
-		// Whatever ended the connection while it was idle, a middlebox or a machine that was away, has ended those
-		// that have been idle for longer too. A break in full use says nothing about the others, and to close them
-		// costs the endpoint a handshake each.
+		// Whatever ended the connection while it was idle, such as a middlebox or a restart of the machine, has ended
+		// those that have been idle for longer too. A break of a busy connection says nothing about the others, and
+		// to close them would cost the endpoint a handshake each.
 		c.pool.closeIdleSince(conn.endpointID(), conn.idleSince)
 	}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -47,7 +47,7 @@
 	buffer.Reset(reader)
 	response, keepAlive := reader.readResponse()
 	response.EndedAt = time.Now()
-	unreadBytes := buffer.Buffered() > 0 // they would pass for the response to the next request
+	unreadBytes := buffer.Buffered() > 0 // they would be read as the response to the next request
 	putBuffer(buffer)
 	return exchangeOutcome{
 		response:       response,
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -129,7 +129,7 @@
 	testutil.Receive(t, server.Closed)
 }
 
-// Bytes behind a response must not pass for the response to the next request: the good response before them counts,
+// Bytes behind a response must not be read as the response to the next request: the good response before them counts,
 // and the connection is not used again.
 func TestBytesBehindResponse(t *testing.T) {
 	const twice = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid xHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid x"
--- a/internal/upstream/framing.go
+++ b/internal/upstream/framing.go
@@ -29,8 +29,8 @@
 	length int // in bytes, if it is framed by its length
 }
 
-// bodyFraming reads the framing of the body. Two lengths, or a length beside an encoding, leave it open where the body
-// ends, and one that is too long is not waited for.
+// bodyFraming parses the framing of the body. Two lengths, or a length and an encoding, leave the end of the body
+// ambiguous. A body over the limit is not waited for.
 func (h responseHead) bodyFraming() (bodyFraming, error) {
 	lengths, encodings := h.header["Content-Length"], h.header["Transfer-Encoding"]
 	switch {
@@ -72,12 +72,12 @@
 	if err != nil {
 		return nil, err
 	}
-	// The chunks end with a trailer, empty as a rule.
+	// The chunks end with a trailer, which is usually empty.
 	_, err = textproto.NewReader(in).ReadMIMEHeader()
 	return body, err
 }
 
-// readAtMost reads up to limit bytes, to the orderly end of in. A reset is no such end.
+// readAtMost reads in to its end, which must come within limit bytes. A reset is an error, not an end.
 func readAtMost(in io.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(in, limit+1))
 	if err != nil {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,10 +10,10 @@
 	"ashshunt/internal/socket"
 )
 
-// pool owns the connections to endpoints. It is no http.Transport: that sends a request again by itself when a
-// reused connection turns out dead, which may run its effect twice.
+// pool owns the connections to endpoints. It does not use http.Transport, which resends a request by itself
+// when a reused connection turns out dead: the request may then run twice.
 //
-// Nothing reads an idle connection: what arrives on it answers no request and must not pass for the response to the
+// Nothing reads an idle connection: what arrives on it answers no request and must not be read as the response to the
 // next one. A connection is examined when it is taken, and closed if anything has arrived.
 //
 // The pool has no goroutine of its own. While connections are idle, a timer runs a sweep that closes those that have
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// dial opens a connection, within the pool's limit, the connect timeout and the deadline.
+// dial opens a connection within the pool's limit, the connect timeout and the deadline.
 func (p *pool) dial(ctx context.Context, entry endpoint.Entry, deadline time.Time) (*connection, error) {
 	group, err := p.reserve(entry.ID)
 	if err != nil {
@@ -63,9 +63,7 @@
 	dialer.Deadline = deadline
 	conn, err := dialer.DialContext(ctx, "tcp", entry.Addr)
 	if err != nil {
-		p.mu.Lock()
-		p.uncountLocked(group)
-		p.mu.Unlock()
+		p.unreserve(group)
 		return nil, err
 	}
 	return &connection{Conn: conn, group: group, entry: entry}, nil
@@ -89,6 +87,13 @@
 	return group, nil
 }
 
+// unreserve undoes reserve for a dial that failed.
+func (p *pool) unreserve(group *endpointGroup) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.uncountLocked(group)
+}
+
 // evictLocked closes the connection that has been idle for longest and reports whether there was one. The caller
 // holds p.mu.
 func (p *pool) evictLocked() bool {
@@ -189,7 +194,7 @@
 	}
 }
 
-// closeIdle closes the idle connections to an endpoint. One in use that still brings a response is good.
+// closeIdle closes the idle connections to an endpoint; those in use stay, since they may still bring a response.
 func (p *pool) closeIdle(endpointID string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// A connection that breaks in full use tells nothing of the others, which would cost a handshake each; one that
-// breaks after it was idle tells that those that were idle for as long are dead as well.
+// A busy connection that breaks says nothing about the others, which would cost a handshake each; one that breaks after
+// it was idle shows that those that were idle for as long are dead as well.
 func TestBreakAndIdleConnections(t *testing.T) {
 	closeConnection := func(net.Conn, *http.Request, []byte) bool { return false }
 	for _, tt := range []struct {
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -31,8 +31,8 @@
 	connErr        error // how the connection ended
 }
 
-// readResponse reads one response to its end, so that a partial one is never passed on. keepAlive: another one may
-// follow on the connection.
+// readResponse reads one response to its end, so that a partial one is never passed on. keepAlive reports whether
+// another one may follow on the connection.
 func (r *responseReader) readResponse() (response Response, keepAlive bool) {
 	for range maxInformational + 1 {
 		r.bytesRemaining, r.started = maxHeadSize, r.buffer.Buffered() > 0
@@ -41,7 +41,7 @@
 			return r.failure(err), false
 		}
 		if head.informational() {
-			r.setReadDeadline(r.deadline) // the final one may take its time
+			r.setReadDeadline(r.deadline) // no stall timeout until the final one starts
 			continue
 		}
 		framing, err := head.bodyFraming()
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -73,8 +73,8 @@
 	return responseHead{status: status, header: header, keepAlive: !closes}, nil
 }
 
-// checkProtocol looks at the first bytes one by one: bytes that are not HTTP may stop anywhere, and a wrong start is
-// not waited on.
+// checkProtocol examines the first bytes one by one: bytes that are not HTTP may stop anywhere, and a response that
+// starts wrong is not waited for.
 func checkProtocol(in *bufio.Reader) error {
 	for i := range len(protocolPrefix) {
 		start, err := in.Peek(i + 1)
