--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// publish applies a list to the table and passes it on as an event. An outdated one, such as the response to a poll that
-// the watch has overtaken, is passed on as an empty delta: a poll always has an event. The caller holds applying.
+// publish applies a list to the table and passes it on as an event. An outdated one, such as the response to a poll
+// that the watch has overtaken, is passed on as an empty delta: a poll always has an event. The caller holds applying.
 func (c *Client) publish(list endpoint.List, origin listOrigin) {
 	if origin == outdated {
 		list = endpoint.List{}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -49,7 +49,7 @@
 		return failure.result, unsent(failure)
 	}
 	// The request may have ended during the dial. From here to the first byte nothing blocks.
-	if request.Done.Err() != nil || request.ClientGone() || ctx.Err() != nil || !bounds.allowStart() {
+	if request.abandoned() || ctx.Err() != nil || !bounds.allowStart() {
 		c.pool.release(conn)
 		return balancer.NotSent, unsent(nil)
 	}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -23,6 +23,9 @@
 	ClientGone     func() bool     // reports whether the client has left, which the request's owner may not know yet
 }
 
+// abandoned reports whether nothing more may go out for the request.
+func (r *Request) abandoned() bool { return r.Done.Err() != nil || r.ClientGone() }
+
 // newForwardedRequest returns the HTTP request of an attempt, whose timeout is what remains until the deadline.
 func newForwardedRequest(request *Request, deadline time.Time) *http.Request {
 	timeoutMs := max(1, time.Until(deadline).Milliseconds())
