--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -9,10 +9,7 @@
 )
 
 func TestRestartDelayIsBounded(t *testing.T) {
-	c := testutil.Config(t, "127.0.0.1:1")
-	c.Settings.Subscribe = false
-	options, _ := newOptions(t, c)
-	client := New(options)
+	client, _ := newClient(t, false)
 	client.source.backoff.failures = maxDoublings
 	client.source.backoff.unit = time.Hour
 	client.source.pending = &watch{} // so that none is started
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -36,6 +36,16 @@
 	}, events
 }
 
+// newClient returns a client whose discovery does not answer, and its settings. subscribe: the decision module decides
+// when to watch.
+func newClient(t *testing.T, subscribe bool) (*Client, balancer.Settings) {
+	t.Helper()
+	c := testutil.Config(t, "127.0.0.1:1")
+	c.Settings.Subscribe = subscribe
+	options, _ := newOptions(t, c)
+	return New(options), c.Settings
+}
+
 // subscribed returns a client that has the endpoints s0 and s1, by version 1, in its cached list and has begun to watch
 // discovery. silence is the timeout of its watches and calls.
 func subscribed(t *testing.T, server *testutil.Discovery,
