--- a/cmd/ashshunt-sim/host.go
+++ b/cmd/ashshunt-sim/host.go
@@ -70,7 +70,7 @@
 func (h *host) open(event simwire.Event) error {
 	instance, err := balancer.New(event.Open.Settings, event.Open.Seed)
 	if err != nil {
-		return &simwire.LineError{Line: event.Line, Message: "OpenInstance", Err: config.SettingsError(err)}
+		return &simwire.LineError{Line: event.Line, Message: "OpenInstance", Err: config.WithWireKey(err)}
 	}
 	h.instances[event.Agent] = instance
 	return nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
 // Package config reads and checks the agent's configuration, including the settings of the decision module.
+// The names on the wire are mapped to the terms of the code here (mapping.go), and errors use the names on the wire.
 package config
 
 import (
@@ -20,8 +21,21 @@
 	envDiscovery = "GW_DISCOVERY"
 )
 
-// ErrIncomplete marks the text of a configuration that ends too early: it may be just being written.
-var ErrIncomplete = errors.New("incomplete configuration")
+// The keys of the configuration file that errors name.
+const (
+	keyListen    = "listen"
+	keyDiscovery = "discovery"
+	keySeed      = "seed"
+	keyLimits    = "limits"
+	keySettings  = "settings"
+	keyKnown     = "known"
+)
+
+// seedBase and seedBits are the form of the seed in the configuration file.
+const (
+	seedBase = 16
+	seedBits = 64
+)
 
 // Config is a checked configuration.
 type Config struct {
@@ -29,7 +43,7 @@
 	Listen    string // host:port that clients connect to
 	Discovery string // host:port of the discovery service
 	Seed      uint64 // of all random choices
-	MemoryMB  int    // 0: no limit
+	MemoryMB  int    // memory that the process may use; 0: no limit
 	Sockets   int    // file descriptors that the process may hold; 0: no limit
 	Settings  balancer.Settings
 	Names     Names
@@ -66,65 +80,88 @@
 	return c, nil
 }
 
-// Parse reads the text of a configuration file and checks it.
+// Parse reads the text of a configuration file and checks it. Unless the text is not JSON of the right types, an
+// error is a *KeyError, or a *balancer.SettingError for a setting out of range.
 func Parse(raw []byte) (*Config, error) {
-	var f file
-	if err := json.Unmarshal(raw, &f); err != nil {
-		var syntaxError *json.SyntaxError
-		if errors.As(err, &syntaxError) && syntaxError.Offset == int64(len(raw)) {
-			return nil, fmt.Errorf("%w: %w", ErrIncomplete, err)
-		}
+	f, err := decode(raw)
+	if err != nil {
 		return nil, err
 	}
-	c := &Config{
-		Name:      valueOrEnv(f.Name, envName),
-		Listen:    valueOrEnv(f.Listen, envListen),
-		Discovery: valueOrEnv(f.Discovery, envDiscovery),
-		MemoryMB:  int(min(f.Limits.MemoryMB, math.MaxInt32)),
-		Sockets:   int(min(f.Limits.Sockets, math.MaxInt32)),
+	c := &Config{Name: valueOrEnv(f.Name, envName)}
+	for _, parse := range []func(*file) error{
+		c.parseAddresses, c.parseSeed, c.parseLimits, c.parseSettings, c.parseKnown,
+	} {
+		if err := parse(f); err != nil {
+			return nil, err
+		}
+	}
+	return c, nil
+}
+
+// decode returns an error that wraps ErrIncomplete if the text ends too early.
+func decode(raw []byte) (*file, error) {
+	var f file
+	err := json.Unmarshal(raw, &f)
+	if syntaxError, ok := errors.AsType[*json.SyntaxError](err); ok && syntaxError.Offset == int64(len(raw)) {
+		return nil, fmt.Errorf("%w: %w", ErrIncomplete, err)
+	}
+	if err != nil {
+		return nil, err
 	}
+	return &f, nil
+}
+
+func (c *Config) parseAddresses(f *file) error {
+	c.Listen = valueOrEnv(f.Listen, envListen)
 	if err := endpoint.CheckAddress(c.Listen); err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+		return &KeyError{Key: keyListen, Err: err}
 	}
+	c.Discovery = valueOrEnv(f.Discovery, envDiscovery)
 	if err := endpoint.CheckAddress(c.Discovery); err != nil {
-		return nil, fmt.Errorf("discovery: %w", err)
+		return &KeyError{Key: keyDiscovery, Err: err}
 	}
-	var err error
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %w", err)
+	return nil
+}
+
+func (c *Config) parseSeed(f *file) (err error) {
+	if c.Seed, err = strconv.ParseUint(f.Seed, seedBase, seedBits); err != nil {
+		return &KeyError{Key: keySeed, Err: err}
 	}
+	return nil
+}
+
+// parseLimits drops fractions; a limit that is larger than any int32 binds nothing.
+func (c *Config) parseLimits(f *file) error {
+	c.MemoryMB = int(min(f.Limits.MemoryMB, math.MaxInt32))
+	c.Sockets = int(min(f.Limits.Sockets, math.MaxInt32))
 	if c.MemoryMB < 0 || c.Sockets < 0 {
-		return nil, errors.New("limits: negative")
-	}
-	if err := c.parseSettings(f.Settings); err != nil {
-		return nil, err
-	}
-	if err := c.parseKnown(f.Known); err != nil {
-		return nil, fmt.Errorf("known: %w", err)
+		return &KeyError{Key: keyLimits, Err: errNegative}
 	}
-	return c, nil
+	return nil
 }
 
-func (c *Config) parseSettings(raw json.RawMessage) (err error) {
-	if raw == nil {
-		return errors.New("settings: missing")
+func (c *Config) parseSettings(f *file) (err error) {
+	if f.Settings == nil {
+		return &KeyError{Key: keySettings, Err: errMissing}
 	}
-	if c.Settings, c.Names, err = ParseSettings(raw); err != nil {
-		return fmt.Errorf("settings: %w", err)
+	if c.Settings, c.Names, err = ParseSettings(f.Settings); err != nil {
+		return &KeyError{Key: keySettings, Err: err}
 	}
 	// A reload must reject what a start would reject, so the module checks the settings here already.
 	if _, err := balancer.New(c.Settings, c.Seed); err != nil {
-		return SettingsError(err)
+		return WithWireKey(err)
 	}
 	return nil
 }
 
-func (c *Config) parseKnown(raw json.RawMessage) (err error) {
-	if raw == nil {
+func (c *Config) parseKnown(f *file) (err error) {
+	if f.Known == nil {
 		return nil
 	}
-	c.Known, err = endpoint.ParseList(raw)
-	return err
+	if c.Known, err = endpoint.ParseList(f.Known); err != nil {
+		return &KeyError{Key: keyKnown, Err: err}
+	}
+	return nil
 }
 
 func valueOrEnv(value, variable string) string {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,7 +27,8 @@
 	if c.MemoryMB != 192 || c.Sockets != 1024 {
 		t.Errorf("limits %d MB, %d sockets", c.MemoryMB, c.Sockets)
 	}
-	if c.Settings.Agents != 2 || c.Settings.AgentIndex != 1 || c.Settings.Classes[0].Idempotency != balancer.NotIdempotent {
+	if c.Settings.Agents != 2 || c.Settings.AgentIndex != 1 ||
+		c.Settings.Classes[0].Idempotency != balancer.NotIdempotent {
 		t.Errorf("settings %+v", c.Settings)
 	}
 	if len(c.Names.Classes) != 1 || c.Names.Classes[0] != "pay" || c.Names.Tenants[0] != "acme" {
@@ -42,8 +43,9 @@
 	t.Setenv("GW_NAME", "n7")
 	t.Setenv("GW_LISTEN", "127.0.0.1:7000")
 	t.Setenv("GW_DISCOVERY", "127.0.0.1:7001")
-	text := strings.NewReplacer(`"name":"n0",`, "", `"listen":"127.0.0.1:0",`, "", `"discovery":"127.0.0.1:1",`, "").Replace(minimal)
-	c, err := Parse([]byte(text))
+	withoutIdentity := strings.NewReplacer(`"name":"n0",`, "", `"listen":"127.0.0.1:0",`, "",
+		`"discovery":"127.0.0.1:1",`, "")
+	c, err := Parse([]byte(withoutIdentity.Replace(minimal)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +59,8 @@
 	tests := []struct{ name, old, new, want string }{
 		{"no JSON", `{"name"`, `{name`, "invalid character"},
 		{"listen without a port", `"127.0.0.1:0"`, `"127.0.0.1"`, `listen: "127.0.0.1" is not host:port`},
-		{"discovery with a bad port", `"127.0.0.1:1"`, `"127.0.0.1:99999"`, `discovery: "127.0.0.1:99999" has no valid port`},
+		{"discovery with a bad port", `"127.0.0.1:1"`, `"127.0.0.1:99999"`,
+			`discovery: "127.0.0.1:99999" has no valid port`},
 		{"seed that is no number", `8c1f30d27a5be964`, `seed`, "seed: "},
 		{"negative limit", `"sockets":1024`, `"sockets":-1`, "limits: negative"},
 		{"no settings", `"settings"`, `"other"`, "settings: missing"},
@@ -65,9 +68,11 @@
 		{"count out of range", `"Balancers":2`, `"Balancers":0`, "settings: Balancers: 0 makes no sense"},
 		{"number of this agent out of range", `"Me":1`, `"Me":2`, "settings: Me: 2 makes no sense"},
 		{"class without an objective", `"AimMs":100`, `"AimMs":0`, "settings: Profiles[0].AimMs: 0s makes no sense"},
-		{"tenant with a negative quota", `"QuotaPerS":10`, `"QuotaPerS":-1`, "settings: Tenants[0].QuotaPerS: -1 makes no sense"},
+		{"tenant with a negative quota", `"QuotaPerS":10`, `"QuotaPerS":-1`,
+			"settings: Tenants[0].QuotaPerS: -1 makes no sense"},
 		{"ill-typed setting", `"ColdFrom":1`, `"ColdFrom":"all"`, "Contract.ColdFrom"},
-		{"known list without a version", `"version":4,`, "", "known: malformed endpoint list: missing version or servers"},
+		{"known list without a version", `"version":4,`, "",
+			"known: malformed endpoint list: missing version or servers"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -13,23 +13,24 @@
 )
 
 // hugeNumbers are the numbers of a settings object that may be zero or beyond all measure.
-var hugeNumbers = regexp.MustCompile(`"(\w*Ms|Worth|TryLimit|MaxOpen|QuotaPerS|CpuUsPerS|Balancers|Portion|StreamsPerConn)":([0-9.]+)`)
+var hugeNumbers = regexp.MustCompile(
+	`"(\w*Ms|Worth|TryLimit|MaxOpen|QuotaPerS|CpuUsPerS|Balancers|Portion|StreamsPerConn)":([0-9.]+)`)
 
-// Settings with figures beyond all measure are taken, or refused as a figure that makes no sense; nothing panics.
+// Settings with numbers beyond all measure are accepted, or rejected as out of range; nothing panics.
 func TestExtremeSettings(t *testing.T) {
-	for _, figure := range []string{"0", "1e-9", "1e12", "1e15", "1e18", "1e300"} {
+	for _, number := range []string{"0", "1e-9", "1e12", "1e15", "1e18", "1e300"} {
 		for _, match := range hugeNumbers.FindAllStringSubmatchIndex(testutil.Settings, -1) {
 			key := testutil.Settings[match[2]:match[3]]
-			text := testutil.Settings[:match[4]] + figure + testutil.Settings[match[5]:]
+			text := testutil.Settings[:match[4]] + number + testutil.Settings[match[5]:]
 			settings, _, err := config.ParseSettings([]byte(text))
 			if err != nil {
 				continue // a whole number is wanted
 			}
 			module, err := balancer.New(settings, 1)
-			var senseless *balancer.SettingError
+			var outOfRange *balancer.SettingError
 			if err != nil {
-				if !errors.As(err, &senseless) || figure != "0" && figure != "1e-9" {
-					t.Errorf("%s: %s: %v", key, figure, err)
+				if !errors.As(err, &outOfRange) || number != "0" && number != "1e-9" {
+					t.Errorf("%s: %s: %v", key, number, err)
 				}
 				continue
 			}
@@ -43,7 +44,8 @@
 	now := 24 * time.Hour
 	list := balancer.EndpointList{Kind: balancer.ListCached}
 	for i := range 8 {
-		list.Endpoints = append(list.Endpoints, balancer.Endpoint{ID: strconv.Itoa(i), StartedAt: time.Duration(i) * 3 * time.Hour})
+		list.Endpoints = append(list.Endpoints, balancer.Endpoint{
+			ID: strconv.Itoa(i), StartedAt: time.Duration(i) * 3 * time.Hour})
 	}
 	module.Step(now, []balancer.Event{list})
 	results := []balancer.Result{balancer.Served, balancer.TimedOut, balancer.ConnectFailed, balancer.Rejected,
@@ -54,7 +56,8 @@
 		attempts := 0
 		for _, action := range module.Step(now, []balancer.Event{request}) {
 			if send, ok := action.(balancer.Send); ok {
-				module.Step(now, []balancer.Event{balancer.Outcome{Request: id, Attempt: attempts, Endpoint: send.Endpoint,
+				module.Step(now, []balancer.Event{balancer.Outcome{
+					Request: id, Attempt: attempts, Endpoint: send.Endpoint,
 					Result: results[i/3%len(results)], Latency: 10 * time.Millisecond}})
 				attempts++
 			}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -7,29 +7,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// The descriptors of the process are divided: half to clients' connections, since under overload more requests wait
-// here than are out at endpoints, three eighths to connections to endpoints, and the rest to discovery, files and
-// connections that are just being accepted.
+// The file descriptors of the process are divided into parts. Clients get the most, since under overload more requests
+// wait here than are in flight to endpoints. The rest is for discovery, for files, and for connections that are just
+// being accepted.
+const (
+	descriptorParts = 8
+	clientParts     = 4
+	endpointParts   = 3
+)
+
+// descriptorsPerRequest bounds the open requests: each holds a client's connection, and requests beyond those that
+// clients can hold would wait where the balancer does not see them.
+const descriptorsPerRequest = 3
 
 // ClientConnections is the most connections that clients may hold; 0: no limit.
-func (c *Config) ClientConnections() int { return (c.Sockets + 1) / 2 }
+func (c *Config) ClientConnections() int { return c.descriptors(clientParts) }
 
 // EndpointConnections is the most connections to endpoints; 0: no limit.
-func (c *Config) EndpointConnections() int { return (c.Sockets*3 + 7) / 8 }
+func (c *Config) EndpointConnections() int { return c.descriptors(endpointParts) }
+
+// descriptors returns how many descriptors so many parts are, rounded up.
+func (c *Config) descriptors(parts int) int {
+	return (c.Sockets*parts + descriptorParts - 1) / descriptorParts
+}
 
-// OpenRequests is the most requests that may be open; 0: no limit. It is the settings' limit, or a third of the
-// descriptors where that is less: each open request holds a client's connection, and beyond what clients can hold
-// requests would wait unseen.
+// OpenRequests is the most requests that may be open; 0: no limit. It is the limit of the settings, or what the
+// descriptors allow where that is less.
 func (c *Config) OpenRequests() int {
 	limit := c.Settings.MaxOpen
-	if third := c.Sockets / 3; third > 0 && (limit == 0 || third < limit) {
-		limit = third
+	if allowed := c.Sockets / descriptorsPerRequest; allowed > 0 && (limit == 0 || allowed < limit) {
+		limit = allowed
 	}
 	return limit
 }
 
-// descriptorLimit is how many descriptors the process may hold: the configured number, or the system's limit where
-// that is less. Without a bound clients could take all of them and leave none for discovery and endpoints.
+// descriptorLimit returns how many descriptors the process may hold: the configured number, or the system's limit
+// where that is less. Without a bound clients could take all of them and leave none for discovery and endpoints.
 func descriptorLimit(configured int) (int, error) {
 	var system unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &system); err != nil {
--- a/internal/config/settings_object.go
+++ b/internal/config/settings_object.go
@@ -1,27 +1,28 @@
 package config
 
-// settingsObject is the settings object in the form and with the names in which agents are given it.
+// settingsObject is the settings object as agents are given it, with the names on the wire. The suffix of a name is
+// its unit: Ms milliseconds, Us microseconds, PerS per second. Errors of encoding/json name the types of this file.
 type settingsObject struct {
-	Balancers      int
-	Me             int
-	Zone           int
-	CountedBy      string
+	Balancers      int    // number of agents
+	Me             int    // number of this agent, from 0
+	Zone           int    // number of this agent's zone
+	CountedBy      string // what priorities count by
 	Profiles       []profile
 	Tenants        []tenant
-	OverShareWorth float64
-	Dcs            []string
-	Kinds          []string
-	Tier           int
-	Tiers          []string
-	Weights        string
+	OverShareWorth float64  // priority of a request beyond its tenant's share; 1: as one within
+	Dcs            []string // names of the zones
+	Kinds          []string // names of the machine kinds
+	Tier           int      // number of the tier that this agent sends to
+	Tiers          []string // names of the tiers
+	Weights        string   // what the weights of endpoints mean
 	Clients        struct{ MarksRetry bool }
 	FamilyInfo     struct{ WarmKeys, PassesDeadline bool }
 	Report         report
-	MembershipMode string
+	MembershipMode string // how the endpoint list comes
 	TickMs         float64
 	PolicyLimits   policyLimits
 	Contract       contract
-	Goal           struct{ Whole, WorstWindow, WorstClass, WorstTenant float64 }
+	Goal           struct{ Whole, WorstWindow, WorstClass, WorstTenant float64 } // weights
 	Prices         prices
 }
 
@@ -30,20 +31,20 @@
 	Name       string
 	AimMs      float64
 	DeadlineMs float64
-	Worth      float64
-	LateValue  float64
-	Semantics  string
-	Group      string
-	WindowMs   float64
+	Worth      float64 // priority weight
+	LateValue  float64 // share of Worth
+	Semantics  string  // idempotency
+	Group      string  // scope of deduplication
+	WindowMs   float64 // of deduplication
 	KeepOrder  bool
-	AimStretch float64
+	AimStretch float64 // multiple of the request's work
 	Stream     bool
 }
 
-// tenant is one of those who share the service.
+// tenant is one of the parties that share the service.
 type tenant struct {
 	Name      string
-	Portion   float64
+	Portion   float64 // share of the service
 	QuotaPerS float64
 }
 
@@ -55,7 +56,7 @@
 
 // policyLimits bounds what an agent may do.
 type policyLimits struct {
-	TryLimit         int
+	TryLimit         int // attempts
 	SecondCopies     bool
 	MayProbe         bool
 	Cancel           bool
@@ -64,7 +65,7 @@
 	MaxRetryAfterMs  float64
 	ConnectTimeoutMs float64
 	IdleCloseMs      float64
-	MaxOpen          int
+	MaxOpen          int // requests
 	StreamsPerConn   int
 	CPUUsPerS        float64 `json:"CpuUsPerS"`
 	CPUUsPerRequest  float64 `json:"CpuUsPerRequest"`
@@ -75,9 +76,9 @@
 	DrainGraceMs    float64
 	GraceToAnswerMs float64
 	AskWithinMs     float64
-	ColdFrom        float64
+	ColdFrom        float64 // share of the full capacity
 	RampTimeMs      float64
-	FallMultiple    float64
+	FallMultiple    float64 // multiple of the current capacity
 	FallMs          float64
 	BusyIsNoProof   bool
 	KeyRestMs       float64
--- a/internal/config/settings_error.go
+++ b/internal/config/wire_keys.go
@@ -2,25 +2,13 @@
 
 import (
 	"errors"
-	"fmt"
 	"strings"
 
 	"ashshunt/balancer"
 )
 
-// UnknownWordError reports a setting whose word is none that the agent knows.
-type UnknownWordError struct {
-	Key  string // the path within the settings object
-	What string // what the word names
-	Word string
-}
-
-func (e *UnknownWordError) Error() string {
-	return fmt.Sprintf("%s: unknown %s %q", e.Key, e.What, e.Word)
-}
-
-// settingKeys gives the keys of the settings object for the fields of balancer.Settings that are named otherwise.
-var settingKeys = map[string]string{
+// wireKeys gives the path within the settings object for each field of balancer.Settings that has another name there.
+var wireKeys = map[string]string{
 	"Agents":                    "Balancers",
 	"AgentIndex":                "Me",
 	"Zones":                     "Dcs",
@@ -71,23 +59,28 @@
 	"DedupWindow":               "WindowMs",
 }
 
-// SettingsError words an error of balancer.New by the keys of the settings object, which is what whoever wrote
-// the object can look up. Other errors stay as they are.
-func SettingsError(err error) error {
-	var bad *balancer.SettingError
-	if !errors.As(err, &bad) {
+// WithWireKey returns an error of balancer.New in terms of the settings object: whoever wrote the object can look up
+// its keys, but not the fields of balancer.Settings. Errors other than a *balancer.SettingError stay as they are.
+func WithWireKey(err error) error {
+	setting, ok := errors.AsType[*balancer.SettingError](err)
+	if !ok {
 		return err
 	}
-	parts := strings.Split(bad.Field, ".")
-	for i, part := range parts {
-		name, index, indexed := strings.Cut(part, "[")
-		if key, ok := settingKeys[name]; ok {
+	return &balancer.SettingError{Field: wirePath(setting.Field), Value: setting.Value}
+}
+
+// wirePath translates a path within balancer.Settings, such as "Classes[0].Objective".
+func wirePath(path string) string {
+	elements := strings.Split(path, ".")
+	for i, element := range elements {
+		name, index, indexed := strings.Cut(element, "[")
+		if key, ok := wireKeys[name]; ok {
 			name = key
 		}
 		if indexed {
 			name += "[" + index
 		}
-		parts[i] = name
+		elements[i] = name
 	}
-	return &balancer.SettingError{Field: strings.Join(parts, "."), Value: bad.Value}
+	return strings.Join(elements, ".")
 }
