--- a/cmd/ashshunt-sim/host.go
+++ b/cmd/ashshunt-sim/host.go
@@ -9,7 +9,7 @@
 	"ashshunt/internal/simwire"
 )
 
-// stepper is an instance; outside tests it is a *balancer.Balancer.
+// stepper is an instance. It is a *balancer.Balancer, except in tests.
 type stepper interface {
 	Step(now time.Duration, events []balancer.Event) []balancer.Action
 }
@@ -29,6 +29,11 @@
 
 func (e *notOpenError) Error() string { return fmt.Sprintf("instance %d is not open", e.agent) }
 
+// panicError reports a panic of the decision module.
+type panicError struct{ value any }
+
+func (e *panicError) Error() string { return fmt.Sprint("panic: ", e.value) }
+
 // reply gives each instance its events of the batch and writes the actions of all of them.
 func (h *host) reply(batch *simwire.Batch) error {
 	queue := newEventQueue()
@@ -50,7 +55,7 @@
 func (h *host) accept(now time.Duration, event simwire.Event, queue *eventQueue) error {
 	switch {
 	case event.Open != nil:
-		// What the instance before this one was told in the same batch is a step of its own.
+		// Events of the same batch for the instance that this one replaces are a step of their own.
 		if err := h.step(event.Agent, now, queue); err != nil {
 			return err
 		}
@@ -70,7 +75,7 @@
 func (h *host) open(event simwire.Event) error {
 	instance, err := balancer.New(event.Open.Settings, event.Open.Seed)
 	if err != nil {
-		return &simwire.LineError{Line: event.Line, Message: "OpenInstance", Err: config.WithWireKey(err)}
+		return &simwire.LineError{Line: event.Line, Message: simwire.KindOpenInstance, Err: config.WithWireKey(err)}
 	}
 	h.instances[event.Agent] = instance
 	return nil
@@ -82,21 +87,21 @@
 	if len(events) == 0 {
 		return nil
 	}
-	actions, fault := stepSafely(h.instances[agent], now, events)
-	if fault != "" {
-		return h.out.Broken(agent, fault)
+	actions, err := stepSafely(h.instances[agent], now, events)
+	if err != nil {
+		return h.out.Broken(agent, err.Error())
 	}
 	return h.out.Actions(agent, actions)
 }
 
-// stepSafely turns a panic of the decision code into its text.
-func stepSafely(instance stepper, now time.Duration, events []balancer.Event) (actions []balancer.Action, fault string) {
+// stepSafely returns a *panicError if the decision module panics.
+func stepSafely(instance stepper, now time.Duration, events []balancer.Event) (actions []balancer.Action, err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			fault = fmt.Sprint("panic: ", p)
+		if value := recover(); value != nil {
+			err = &panicError{value: value}
 		}
 	}()
-	return instance.Step(now, events), ""
+	return instance.Step(now, events), nil
 }
 
 // eventQueue holds the events of one batch until the instances take them.
@@ -122,7 +127,7 @@
 	q.events[agent] = append(q.events[agent], event)
 }
 
-// take returns the events that are queued for a registered agent, and forgets them.
+// take removes and returns the events that are queued for a registered agent.
 func (q *eventQueue) take(agent int) []balancer.Event {
 	events := q.events[agent]
 	q.events[agent] = nil
--- a/cmd/ashshunt-sim/main.go
+++ b/cmd/ashshunt-sim/main.go
@@ -1,6 +1,5 @@
-// Command ashshunt-sim connects the decision module to the simulator: it reads
-// batches of events on standard input and writes one reply to each batch on
-// standard output. It hosts one balancer for each simulated agent.
+// Command ashshunt-sim connects the decision module to the simulator: it reads batches of events on standard input and
+// writes one reply to each batch on standard output. It hosts one balancer for each simulated agent.
 package main
 
 import (
@@ -13,14 +12,17 @@
 	"ashshunt/internal/simwire"
 )
 
-// gcPercent lets the heap, which is small, grow to nine times what is live: most garbage is short-lived.
+// gcPercent lets the heap grow to nine times what is live: it is small, and most garbage is short-lived.
 const gcPercent = 800
 
+// exitFailure is the exit status after input that is malformed or output that can't be written.
+const exitFailure = 1
+
 func main() {
 	debug.SetGCPercent(gcPercent)
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "ashshunt-sim:", err)
-		os.Exit(1)
+		os.Exit(exitFailure)
 	}
 }
 
--- a/cmd/ashshunt-sim/main_test.go
+++ b/cmd/ashshunt-sim/main_test.go
@@ -16,8 +16,12 @@
 const lists = `{"msg":"DefineList","Sheet":0,"Items":[{"Backend":"10.0.0.1:80","Availability":"on"}]}
 {"msg":"View","Agent":3,"How":"disk","Index":1,"Sheet":0}`
 
-func batch(clock string, lines ...string) string {
-	return "{\"msg\":\"Frame\",\"ClockMs\":" + clock + "}\n" + strings.Join(append(lines, ""), "\n") + "{\"msg\":\"End\"}\n"
+// batch returns a batch of messages at a time in milliseconds.
+func batch(clock string, messages ...string) string {
+	lines := []string{`{"msg":"Frame","ClockMs":` + clock + `}`}
+	lines = append(lines, messages...)
+	lines = append(lines, `{"msg":"End"}`, "")
+	return strings.Join(lines, "\n")
 }
 
 func TestRun(t *testing.T) {
@@ -55,7 +59,8 @@
 func TestRunFaults(t *testing.T) {
 	tests := []struct{ name, in, want string }{
 		{"instance not open", batch("1", `{"msg":"Reminder","Agent":8,"Cookie":1}`), "line 2: instance 8 is not open"},
-		{"settings make no sense", batch("1", strings.Replace(open, `"Balancers":1`, `"Balancers":0`, 1)), "Balancers: 0"},
+		{"settings make no sense", batch("1", strings.Replace(open, `"Balancers":1`, `"Balancers":0`, 1)),
+			"Balancers: 0"},
 		{"broken line", batch("1", "{"), "line 2: "},
 	}
 	for _, tt := range tests {
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/hex"
-	"encoding/json"
 
 	"ashshunt/balancer"
 	"ashshunt/internal/clock"
@@ -10,97 +9,27 @@
 	"ashshunt/internal/loadreport"
 )
 
-// The kinds of message that hold no event.
-const (
-	kindFrame      = "Frame"      // starts a batch
-	kindEnd        = "End"        // ends a batch
-	kindDefineList = "DefineList" // defines an endpoint list, to which later messages refer
-)
-
-// message holds the fields of every message, named as on the wire; pointers mark those that some
-// message must carry.
-type message struct {
-	Kind       string `json:"msg"`
-	ClockMs    *float64
-	Agent      *int
-	RandomSeed *uint64
-	Facts      json.RawMessage
-	Sheet      *int
-	Items      *[]listItem
-	How        *string
-	Job        *string
-	TierClass  *int
-	Project    int
-	Item       string
-	GraceMs    *float64
-	WorkHintMs float64
-	StateBits  int
-	Outcome    *string
-	WaitTimeMs *float64
-	Backend    *string
-	SendNo     *int
-	Ended      bool
-	Usage      map[string]float64
-	Cookie     *int64
-	From       *int
-	Text       *string `json:"Msg"`
-}
-
-// listItem is one endpoint of a list, named as on the wire.
-type listItem struct {
-	Backend      string
-	Availability string
-	Rating       float64
-	Block        int
-	LaunchedMs   float64
-	Sku          int
-	Dc           int
-}
-
-// The bits of a request's StateBits.
-const (
-	bitWorkHint    = 1 // WorkHintMs holds a value
-	bitClientRetry = 2
-	bitWrite       = 4
-)
-
-// The words of the wire.
-var (
-	resultWords = map[string]balancer.Result{
-		"pass": balancer.Served, "fault": balancer.ServerError, "no_room": balancer.Rejected,
-		"too_slow": balancer.TimedOut, "no_route": balancer.ConnectFailed, "cut": balancer.Reset,
-		"undone": balancer.Cancelled, "stale_send": balancer.NotSent,
-	}
-	listKindWords = map[string]balancer.ListKind{
-		"diff": balancer.ListDelta, "snapshot": balancer.ListComplete,
-		"disk": balancer.ListCached, "error": balancer.ListFailed,
-	}
-	endpointStateWords = map[string]balancer.EndpointState{
-		"on": balancer.Serving, "fading": balancer.Draining, "off": balancer.Removed,
-	}
-)
-
 // decoder turns messages into events. It keeps the endpoint lists that were defined, since later messages refer to
 // them by number.
 type decoder struct {
-	lists map[int][]balancer.Endpoint
+	lists map[int][]balancer.Endpoint // by Sheet
 }
 
 func newDecoder() decoder { return decoder{lists: map[int][]balancer.Endpoint{}} }
 
-// eventDecoders has a decoder for each kind of message that holds an event. Each checks the fields of its own and
-// leaves the instance's number to decoder.event.
+// eventDecoders has a decoder for each kind of message that holds an event. Each checks that the fields of its kind are
+// there; the number of the instance is left to decoder.event.
 var eventDecoders = map[string]func(*decoder, *message) (Event, error){
-	"OpenInstance": (*decoder).openInstance,
-	"Retire":       (*decoder).retire,
-	"View":         (*decoder).endpointList,
-	"Submit":       (*decoder).request,
-	"Ended":        (*decoder).outcome,
-	"ProbeDone":    (*decoder).healthCheckResult,
-	"Streaming":    (*decoder).streamStarted,
-	"Expired":      (*decoder).abandoned,
-	"Reminder":     (*decoder).timerFired,
-	"Peer":         (*decoder).gossipMessage,
+	KindOpenInstance: (*decoder).openInstance,
+	kindRetire:       (*decoder).retire,
+	kindView:         (*decoder).endpointList,
+	kindSubmit:       (*decoder).request,
+	kindEnded:        (*decoder).outcome,
+	kindProbeDone:    (*decoder).healthCheckResult,
+	kindStreaming:    (*decoder).streamStarted,
+	kindExpired:      (*decoder).abandoned,
+	kindReminder:     (*decoder).timerFired,
+	kindPeer:         (*decoder).gossipMessage,
 }
 
 // event returns the event that m holds.
@@ -138,7 +67,7 @@
 }
 
 func (item *listItem) endpoint() (balancer.Endpoint, error) {
-	state, err := translate(endpointStateWords, "Availability", item.Availability)
+	state, err := endpointStateWords.meaning(item.Availability)
 	if err != nil {
 		return balancer.Endpoint{}, err
 	}
@@ -146,8 +75,13 @@
 		return balancer.Endpoint{}, missing("Backend")
 	}
 	return balancer.Endpoint{
-		ID: item.Backend, State: state, Zone: item.Dc, Cell: item.Block,
-		Kind: item.Sku, Weight: item.Rating, StartedAt: clock.Milliseconds(item.LaunchedMs),
+		ID:        item.Backend,
+		State:     state,
+		Zone:      item.Dc,
+		Cell:      item.Block,
+		Kind:      item.Sku,
+		Weight:    item.Rating,
+		StartedAt: clock.Milliseconds(item.LaunchedMs),
 	}, nil
 }
 
@@ -168,7 +102,7 @@
 	if m.How == nil {
 		return Event{}, missing("How")
 	}
-	kind, err := translate(listKindWords, "How", *m.How)
+	kind, err := listKindWords.meaning(*m.How)
 	if err != nil {
 		return Event{}, err
 	}
@@ -190,8 +124,13 @@
 		return Event{}, missing("Job", "TierClass", "GraceMs")
 	}
 	request := balancer.Request{
-		ID: *m.Job, Class: *m.TierClass, Timeout: clock.Milliseconds(*m.GraceMs), Key: m.Item, Tenant: m.Project,
-		ClientRetry: m.StateBits&bitClientRetry != 0, Write: m.StateBits&bitWrite != 0,
+		ID:          *m.Job,
+		Class:       *m.TierClass,
+		Timeout:     clock.Milliseconds(*m.GraceMs),
+		Key:         m.Item,
+		Tenant:      m.Project,
+		ClientRetry: m.StateBits&bitClientRetry != 0,
+		Write:       m.StateBits&bitWrite != 0,
 	}
 	if m.StateBits&bitWorkHint != 0 {
 		request.Work = clock.Milliseconds(m.WorkHintMs)
@@ -203,13 +142,18 @@
 	if m.Job == nil || m.Outcome == nil || m.SendNo == nil || m.Backend == nil || m.WaitTimeMs == nil {
 		return Event{}, missing("Job", "Outcome", "SendNo", "Backend", "WaitTimeMs")
 	}
-	result, err := translate(resultWords, "Outcome", *m.Outcome)
+	result, err := resultWords.meaning(*m.Outcome)
 	if err != nil {
 		return Event{}, err
 	}
 	return Event{Event: balancer.Outcome{
-		Request: *m.Job, Attempt: *m.SendNo, Endpoint: *m.Backend, Result: result,
-		Latency: clock.Milliseconds(*m.WaitTimeMs), Done: m.Ended, LoadReport: loadreport.FromValues(m.Usage),
+		Request:    *m.Job,
+		Attempt:    *m.SendNo,
+		Endpoint:   *m.Backend,
+		Result:     result,
+		Latency:    clock.Milliseconds(*m.WaitTimeMs),
+		Done:       m.Ended,
+		LoadReport: loadreport.FromValues(m.Usage),
 	}}, nil
 }
 
@@ -217,13 +161,15 @@
 	if m.Backend == nil || m.Outcome == nil || m.WaitTimeMs == nil {
 		return Event{}, missing("Backend", "Outcome", "WaitTimeMs")
 	}
-	result, err := translate(resultWords, "Outcome", *m.Outcome)
+	result, err := resultWords.meaning(*m.Outcome)
 	if err != nil {
 		return Event{}, err
 	}
 	return Event{Event: balancer.HealthCheckResult{
-		Endpoint: *m.Backend, Result: result,
-		Latency: clock.Milliseconds(*m.WaitTimeMs), LoadReport: loadreport.FromValues(m.Usage),
+		Endpoint:   *m.Backend,
+		Result:     result,
+		Latency:    clock.Milliseconds(*m.WaitTimeMs),
+		LoadReport: loadreport.FromValues(m.Usage),
 	}}, nil
 }
 
@@ -258,12 +204,3 @@
 	}
 	return Event{Event: balancer.GossipMessage{From: *m.From, Data: data}}, nil
 }
-
-// translate returns what a word in a field stands for.
-func translate[T any](words map[string]T, field, word string) (T, error) {
-	value, ok := words[word]
-	if !ok {
-		return value, &UnknownWordError{Field: field, Word: word}
-	}
-	return value, nil
-}
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -12,10 +12,12 @@
 
 const ms = time.Millisecond
 
+// frame returns a batch of messages.
 func frame(lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":1500.25}\n" + strings.Join(lines, "\n") + "\n{\"msg\":\"End\"}\n"
 }
 
+// Each kind of message becomes its event, and fields that the package does not know are ignored.
 func TestEvents(t *testing.T) {
 	const list = `{"msg":"DefineList","Sheet":3,"Items":[` +
 		`{"Backend":"10.0.0.1:80","Availability":"on","Rating":1.5,"Block":2,"LaunchedMs":900,"Sku":1,"Dc":1},` +
@@ -27,17 +29,21 @@
 		line string
 		want balancer.Event
 	}{
-		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":240.5,"WorkHintMs":12,"StateBits":7,"Project":2,"Item":"91f0"}`,
+		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":240.5,"WorkHintMs":12,"StateBits":7,` +
+			`"Project":2,"Item":"91f0"}`,
 			balancer.Request{ID: "d0", Class: 1, Timeout: 240500 * time.Microsecond, Work: 12 * ms, ClientRetry: true,
 				Write: true, Tenant: 2, Key: "91f0"}},
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":240,"WorkHintMs":12,"Later":{"x":1}}`,
 			balancer.Request{ID: "d0", Timeout: 240 * ms}},
-		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"pass","WaitTimeMs":18.5,"Backend":"b","SendNo":2,"Ended":true,"Usage":{"backlog":4,"recent_ms":7,"errors_per_s":0.5,"outstanding":6,"utilization":0.75,"throughput":90,"later":1}}`,
+		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"pass","WaitTimeMs":18.5,"Backend":"b","SendNo":2,` +
+			`"Ended":true,"Usage":{"backlog":4,"recent_ms":7,"errors_per_s":0.5,"outstanding":6,"utilization":0.75,` +
+			`"throughput":90,"later":1}}`,
 			balancer.Outcome{Request: "d0", Attempt: 2, Endpoint: "b", Latency: 18500 * time.Microsecond, Done: true,
-				LoadReport: balancer.LoadReport{Valid: true, InFlight: 6, Queue: 4, Utilization: 0.75, Throughput: 90, Service: 7 * ms,
-					ErrorsPerSec: 0.5}}},
+				LoadReport: balancer.LoadReport{Valid: true, InFlight: 6, Queue: 4, Utilization: 0.75, Throughput: 90,
+					Service: 7 * ms, ErrorsPerSec: 0.5}}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"stale_send","WaitTimeMs":0,"Backend":"b","SendNo":0}`,
-			balancer.Outcome{Request: "d0", Endpoint: "b", Result: balancer.NotSent, LoadReport: loadreport.FromValues(nil)}},
+			balancer.Outcome{Request: "d0", Endpoint: "b", Result: balancer.NotSent,
+				LoadReport: loadreport.FromValues(nil)}},
 		{`{"msg":"Expired","Agent":3,"Job":"d0"}`, balancer.Abandoned{Request: "d0"}},
 		{`{"msg":"Reminder","Agent":3,"Cookie":9223372036854775807}`, balancer.TimerFired{Token: 1<<63 - 1}},
 		{`{"msg":"Streaming","Agent":3,"Job":"d0","WaitTimeMs":1,"SendNo":1,"Backend":"b"}`,
@@ -45,8 +51,10 @@
 		{`{"msg":"Peer","Agent":3,"From":2,"Msg":"68692037"}`,
 			balancer.GossipMessage{From: 2, Data: []byte("hi 7")}},
 		{`{"msg":"ProbeDone","Agent":3,"Backend":"b","Outcome":"no_route","WaitTimeMs":2}`,
-			balancer.HealthCheckResult{Endpoint: "b", Result: balancer.ConnectFailed, Latency: 2 * ms, LoadReport: loadreport.FromValues(nil)}},
-		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`, balancer.EndpointList{Kind: balancer.ListFailed}},
+			balancer.HealthCheckResult{Endpoint: "b", Result: balancer.ConnectFailed, Latency: 2 * ms,
+				LoadReport: loadreport.FromValues(nil)}},
+		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`,
+			balancer.EndpointList{Kind: balancer.ListFailed}},
 		{list + "\n" + `{"msg":"View","Agent":3,"How":"diff","Index":4,"Sheet":3}`,
 			balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: entries}},
 	}
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -10,7 +10,7 @@
 
 func (e sentinelError) Error() string { return string(e) }
 
-// Errors of a stream that cannot be read further. They come wrapped in a *LineError.
+// Errors of a stream that can't be read further. They come wrapped in a *LineError.
 const (
 	// ErrUnfinishedBatch reports that the input ends before the end of a batch.
 	ErrUnfinishedBatch = sentinelError("the input ends within a batch")
@@ -56,7 +56,7 @@
 // missing returns a *MissingFieldError for the fields of which at least one is absent.
 func missing(fields ...string) error { return &MissingFieldError{Fields: fields} }
 
-// FieldError reports a field that cannot be read.
+// FieldError reports a field whose value can't be decoded.
 type FieldError struct {
 	Field string
 	Err   error
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -28,31 +28,62 @@
 // Next reads one batch. It returns io.EOF where the input ends between batches, and a *LineError where the input is
 // malformed.
 func (r *Reader) Next() (*Batch, error) {
-	var batch *Batch
+	batch, err := r.startBatch()
+	if err != nil {
+		return nil, err
+	}
 	for {
 		m, err := r.readMessage()
-		if errors.Is(err, io.EOF) && batch != nil {
-			return nil, &LineError{Line: r.line, Err: ErrUnfinishedBatch}
+		if errors.Is(err, io.EOF) {
+			return nil, r.errorIn("", ErrUnfinishedBatch)
 		}
 		if err != nil {
 			return nil, err
 		}
-		switch {
-		case m.Kind == kindFrame:
-			batch, err = r.startBatch(batch, m)
-		case batch == nil:
-			err = &LineError{Line: r.line, Err: &OutsideBatchError{Message: m.Kind}}
-		case m.Kind == kindEnd:
+		if m.Kind == kindEnd {
 			return batch, nil
-		default:
-			err = r.addTo(batch, m)
 		}
-		if err != nil {
+		if err := r.addTo(batch, m); err != nil {
 			return nil, err
 		}
 	}
 }
 
+// startBatch reads the message that starts a batch.
+func (r *Reader) startBatch() (*Batch, error) {
+	m, err := r.readMessage()
+	if err != nil {
+		return nil, err
+	}
+	if m.Kind != kindFrame {
+		return nil, r.errorIn("", &OutsideBatchError{Message: m.Kind})
+	}
+	if m.ClockMs == nil {
+		return nil, r.errorIn(m.Kind, missing("ClockMs"))
+	}
+	return &Batch{Now: clock.Milliseconds(*m.ClockMs)}, nil
+}
+
+// addTo appends the event that m holds, or keeps the endpoint list that it defines.
+func (r *Reader) addTo(batch *Batch, m *message) error {
+	switch m.Kind {
+	case kindFrame:
+		return r.errorIn("", ErrNestedBatch)
+	case kindDefineList:
+		if err := r.decoder.defineList(m); err != nil {
+			return r.errorIn(m.Kind, err)
+		}
+	default:
+		event, err := r.decoder.event(m)
+		if err != nil {
+			return r.errorIn(m.Kind, err)
+		}
+		event.Line = r.line
+		batch.Events = append(batch.Events, event)
+	}
+	return nil
+}
+
 // readMessage reads the next line that is not blank. It returns io.EOF at the end of the input.
 func (r *Reader) readMessage() (*message, error) {
 	for {
@@ -60,45 +91,22 @@
 		if errors.Is(err, io.EOF) && len(text) == 0 {
 			return nil, io.EOF
 		}
+		r.line++
 		if err != nil && !errors.Is(err, io.EOF) {
-			return nil, &LineError{Line: r.line + 1, Err: err}
+			return nil, r.errorIn("", err)
 		}
-		r.line++
 		if len(bytes.Trim(text, " \t\r\n")) == 0 {
 			continue
 		}
 		var m message
 		if err := json.Unmarshal(text, &m); err != nil {
-			return nil, &LineError{Line: r.line, Err: err}
+			return nil, r.errorIn("", err)
 		}
 		return &m, nil
 	}
 }
 
-// startBatch returns the batch that m starts; open is the batch that has not ended yet, if any.
-func (r *Reader) startBatch(open *Batch, m *message) (*Batch, error) {
-	if open != nil {
-		return nil, &LineError{Line: r.line, Err: ErrNestedBatch}
-	}
-	if m.ClockMs == nil {
-		return nil, &LineError{Line: r.line, Message: m.Kind, Err: missing("ClockMs")}
-	}
-	return &Batch{Now: clock.Milliseconds(*m.ClockMs)}, nil
-}
-
-// addTo appends the event that m holds, or keeps the endpoint list that it defines.
-func (r *Reader) addTo(batch *Batch, m *message) error {
-	if m.Kind == kindDefineList {
-		if err := r.decoder.defineList(m); err != nil {
-			return &LineError{Line: r.line, Message: m.Kind, Err: err}
-		}
-		return nil
-	}
-	event, err := r.decoder.event(m)
-	if err != nil {
-		return &LineError{Line: r.line, Message: m.Kind, Err: err}
-	}
-	event.Line = r.line
-	batch.Events = append(batch.Events, event)
-	return nil
+// errorIn returns an error in the line that was read last; message is the kind of its message, or "".
+func (r *Reader) errorIn(message string, err error) error {
+	return &LineError{Line: r.line, Message: message, Err: err}
 }
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -9,6 +9,13 @@
 	"testing"
 )
 
+// openInstance returns the message that starts instance 1 with a settings object, which may have several lines.
+func openInstance(seed int, settings string) string {
+	return fmt.Sprintf(`{"msg":"OpenInstance","Agent":1,"RandomSeed":%d,"Facts":%s}`, seed,
+		strings.ReplaceAll(settings, "\n", ""))
+}
+
+// An error says in its text where it was found and what is wrong.
 func TestBadInput(t *testing.T) {
 	tests := []struct{ name, in, want string }{
 		{"not JSON", frame("{oops"), "line 2: "},
@@ -16,13 +23,16 @@
 		{"missing field", frame(`{"msg":"Submit","Agent":1,"Job":"x"}`), "line 2: Submit: missing"},
 		{"missing instance", frame(`{"msg":"Expired","Job":"x"}`), "line 2: Expired: missing Agent"},
 		{"ill-typed field", frame(`{"msg":"Expired","Agent":"one","Job":"x"}`), "line 2: "},
-		{"list never defined", frame(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`), "line 2: View: Sheet 5 was never defined"},
-		{"unknown outcome", frame(`{"msg":"Ended","Agent":1,"Job":"x","Outcome":"huh","WaitTimeMs":1,"Backend":"b","SendNo":0}`), `unknown Outcome "huh"`},
-		{"unknown kind of class", frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":{"Profiles":[{"Semantics":"maybe"}]}}`),
+		{"list never defined", frame(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`),
+			"line 2: View: Sheet 5 was never defined"},
+		{"unknown outcome", frame(`{"msg":"Ended","Agent":1,"Job":"x","Outcome":"huh","WaitTimeMs":1,` +
+			`"Backend":"b","SendNo":0}`), `unknown Outcome "huh"`},
+		{"unknown kind of class", frame(openInstance(1, `{"Profiles":[{"Semantics":"maybe"}]}`)),
 			`Profiles[0].Semantics: unknown kind "maybe"`},
-		{"unknown weights", frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":{"Weights":"x"}}`), `Weights: unknown meaning "x"`},
-		{"unknown report source", frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":{"Report":{"Source":"x"}}}`), `Report.Source: unknown source "x"`},
-		{"ill-typed setting", frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":{"Goal":{"Whole":"much"}}}`), "Goal.Whole"},
+		{"unknown weights", frame(openInstance(1, `{"Weights":"x"}`)), `Weights: unknown meaning "x"`},
+		{"unknown report source", frame(openInstance(1, `{"Report":{"Source":"x"}}`)),
+			`Report.Source: unknown source "x"`},
+		{"ill-typed setting", frame(openInstance(1, `{"Goal":{"Whole":"much"}}`)), "Goal.Whole"},
 		{"ends within a batch", "{\"msg\":\"Frame\",\"ClockMs\":1}\n", "line 1: the input ends within a batch"},
 		{"frame without clock", "{\"msg\":\"Frame\"}\n", "line 1: Frame: missing ClockMs"},
 		{"event outside a batch", "{\"msg\":\"Expired\",\"Agent\":1,\"Job\":\"x\"}\n", "outside a batch"},
@@ -51,7 +61,8 @@
 		{"unknown message", frame(`{"msg":"Nope","Agent":1}`), 2, "Nope", isError(ErrUnknownMessage)},
 		{"missing fields", frame(`{"msg":"Submit","Agent":1}`), 2, "Submit", isType[*MissingFieldError]},
 		{"unknown word", frame(`{"msg":"View","Agent":1,"How":"x"}`), 2, "View", isType[*UnknownWordError]},
-		{"undefined list", frame(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`), 2, "View", isType[*UndefinedListError]},
+		{"undefined list", frame(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`), 2, "View",
+			isType[*UndefinedListError]},
 		{"unreadable bytes", frame(`{"msg":"Peer","Agent":1,"From":2,"Msg":"6"}`), 2, "Peer", isType[*FieldError]},
 		{"not JSON", frame("{oops"), 2, "", isType[*json.SyntaxError]},
 	}
@@ -106,8 +117,9 @@
 // Whatever comes in, a batch or a plain error comes out.
 func FuzzNext(f *testing.F) {
 	f.Add(frame(`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":240.5,"Project":-1,"Item":""}`))
-	f.Add(frame(`{"msg":"DefineList","Sheet":3,"Items":[{"Backend":"a","Availability":"on"}]}`, `{"msg":"View","Agent":3,"How":"diff","Sheet":3}`))
-	f.Add(frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":` + strings.ReplaceAll(factsJSON, "\n", "") + `}`))
+	f.Add(frame(`{"msg":"DefineList","Sheet":3,"Items":[{"Backend":"a","Availability":"on"}]}`,
+		`{"msg":"View","Agent":3,"How":"diff","Sheet":3}`))
+	f.Add(frame(openInstance(1, allSettings)))
 	f.Add(frame(`{"msg":"Peer","Agent":3,"From":2,"Msg":"6"}`))
 	f.Add("{\"msg\":\"End\"}\n")
 	f.Add("null\n[]\n")
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -3,19 +3,16 @@
 import (
 	"bufio"
 	"encoding/hex"
-	"encoding/json"
 	"fmt"
 	"io"
-	"strconv"
-	"time"
 
 	"ashshunt/balancer"
 )
 
-// Writer writes replies.
+// Writer writes replies. Each consists of the messages of Actions and Broken, and is closed by End.
 type Writer struct {
-	out *bufio.Writer
-	buf []byte // the message being put together
+	out  *bufio.Writer
+	line line // the message that is being encoded
 }
 
 // NewWriter returns a Writer on w.
@@ -31,10 +28,10 @@
 // Actions writes the actions of one instance.
 func (w *Writer) Actions(agent int, actions []balancer.Action) error {
 	for _, action := range actions {
-		if err := w.encode(agent, action); err != nil {
+		if err := w.line.encode(agent, action); err != nil {
 			return err
 		}
-		if err := w.finish(); err != nil {
+		if err := w.writeLine(); err != nil {
 			return err
 		}
 	}
@@ -43,124 +40,55 @@
 
 // Broken reports that the decision code of an instance has failed.
 func (w *Writer) Broken(agent int, text string) error {
-	w.begin("Broken", agent).str("Msg", text)
-	return w.finish()
+	w.line.begin(kindBroken, agent).text("Msg", text)
+	return w.writeLine()
 }
 
 // End closes a reply and flushes it.
 func (w *Writer) End() error {
-	if _, err := w.out.WriteString("{\"msg\":\"Eor\"}\n"); err != nil {
+	w.line.beginReplyEnd()
+	if err := w.writeLine(); err != nil {
 		return err
 	}
 	return w.out.Flush()
 }
 
-// encode puts one action together, all but the end of its line.
-func (w *Writer) encode(agent int, action balancer.Action) error {
+func (w *Writer) writeLine() error {
+	_, err := w.out.Write(w.line.end())
+	return err
+}
+
+// encode starts a line anew with the message for an action.
+func (l *line) encode(agent int, action balancer.Action) error {
 	switch a := action.(type) {
 	case balancer.Send:
-		w.begin("Try", agent).str("Job", a.Request).str("Backend", a.Endpoint).positiveMs("PatienceMs", a.Timeout)
+		l.begin(kindTry, agent).text("Job", a.Request).text("Backend", a.Endpoint)
+		l.positiveMilliseconds("PatienceMs", a.Timeout)
 	case balancer.Cancel:
-		w.begin("Cancel", agent).str("Job", a.Request).num("SendNo", int64(a.Attempt))
+		l.begin(kindCancel, agent).text("Job", a.Request).integer("SendNo", int64(a.Attempt))
 	case balancer.Reject:
-		w.begin("SayNo", agent).str("Job", a.Request).positiveMs("WaitMs", a.RetryAfter)
+		l.begin(kindSayNo, agent).text("Job", a.Request)
+		l.positiveMilliseconds("WaitMs", a.RetryAfter)
 	case balancer.Fail:
-		w.begin("DropRequest", agent).str("Job", a.Request)
+		l.begin(kindDropRequest, agent).text("Job", a.Request)
 	case balancer.SetTimer:
-		w.begin("SetTimer", agent).ms("SpanMs", a.After).num("Cookie", a.Token)
+		l.begin(kindSetTimer, agent).milliseconds("SpanMs", a.After).integer("Cookie", a.Token)
 	case balancer.HealthCheck:
-		w.begin("Test", agent).str("Backend", a.Endpoint)
+		l.begin(kindTest, agent).text("Backend", a.Endpoint)
 	case balancer.Gossip:
-		w.begin("WritePeer", agent).recipient("Whom", a).str("Msg", hex.EncodeToString(a.Data))
+		l.begin(kindWritePeer, agent).recipient("Whom", a).text("Msg", hex.EncodeToString(a.Data))
 	case balancer.Subscribe:
-		w.begin("KeepInformed", agent).literal("Enable", "true")
+		l.begin(kindKeepInformed, agent).literal("Enable", "true")
 	case balancer.Unsubscribe:
-		w.begin("KeepInformed", agent).literal("Enable", "false")
+		l.begin(kindKeepInformed, agent).literal("Enable", "false")
 	case balancer.PollEndpoints:
-		w.begin("ListAll", agent)
+		l.begin(kindListAll, agent)
 	case balancer.CloseIdle:
-		w.begin("CloseIdle", agent).str("Backend", a.Endpoint)
+		l.begin(kindCloseIdle, agent).text("Backend", a.Endpoint)
 	case balancer.LogMessage:
-		w.begin("Trace", agent).str("Msg", a.Text)
+		l.begin(kindTrace, agent).text("Msg", a.Text)
 	default:
 		return &UnknownActionError{Action: action}
 	}
 	return nil
 }
-
-// begin starts a message of an instance; the methods below add fields to it.
-func (w *Writer) begin(kind string, agent int) *Writer {
-	w.buf = append(w.buf[:0], `{"msg":"`...)
-	w.buf = append(w.buf, kind...)
-	w.buf = append(w.buf, '"')
-	return w.num("Agent", int64(agent))
-}
-
-// finish ends the message and writes it.
-func (w *Writer) finish() error {
-	w.buf = append(w.buf, "}\n"...)
-	_, err := w.out.Write(w.buf)
-	return err
-}
-
-func (w *Writer) name(name string) {
-	w.buf = append(w.buf, `,"`...)
-	w.buf = append(w.buf, name...)
-	w.buf = append(w.buf, `":`...)
-}
-
-func (w *Writer) num(name string, v int64) *Writer {
-	w.name(name)
-	w.buf = strconv.AppendInt(w.buf, v, 10)
-	return w
-}
-
-func (w *Writer) ms(name string, d time.Duration) *Writer {
-	w.name(name)
-	w.buf = strconv.AppendFloat(w.buf, float64(d)/float64(time.Millisecond), 'f', -1, 64)
-	return w
-}
-
-// positiveMs adds a span, which is left out where there is none.
-func (w *Writer) positiveMs(name string, d time.Duration) *Writer {
-	if d <= 0 {
-		return w
-	}
-	return w.ms(name, d)
-}
-
-func (w *Writer) literal(name, v string) *Writer {
-	w.name(name)
-	w.buf = append(w.buf, v...)
-	return w
-}
-
-// recipient adds the number of the instance that a gossip message is for, or null for all of them.
-func (w *Writer) recipient(name string, gossip balancer.Gossip) *Writer {
-	if !gossip.One {
-		return w.literal(name, "null")
-	}
-	return w.num(name, int64(gossip.To))
-}
-
-func (w *Writer) str(name, v string) *Writer {
-	if !isPlain(v) {
-		quoted, _ := json.Marshal(v) // a string always marshals
-		return w.literal(name, string(quoted))
-	}
-	w.name(name)
-	w.buf = append(w.buf, '"')
-	w.buf = append(w.buf, v...)
-	w.buf = append(w.buf, '"')
-	return w
-}
-
-// isPlain reports whether a string needs nothing but quotes around it.
-func isPlain(v string) bool {
-	for i := range len(v) {
-		if c := v[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
-			return false
-		}
-	}
-	return true
-}
