--- a/cmd/ashshunt/soak_clients_test.go
+++ b/cmd/ashshunt/soak_clients_test.go
@@ -118,7 +118,7 @@
 		c.disconnect()
 		return
 	}
-	request.sentAt = time.Now()
+	judge.sent(request)
 	if rng.chance(0.08) { // leaves early
 		time.Sleep(rng.between(0, request.timeout))
 		request.leftAt = time.Now()
--- a/cmd/ashshunt/soak_judge_test.go
+++ b/cmd/ashshunt/soak_judge_test.go
@@ -106,6 +106,13 @@
 	j.requests[r.id] = r
 }
 
+// sent notes that a request has been written whole. An attempt may have begun meanwhile.
+func (j *soakJudge) sent(r *soakRequest) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	r.sentAt = time.Now()
+}
+
 // notTaken forgets a request that could not be written.
 func (j *soakJudge) notTaken(r *soakRequest) {
 	j.mu.Lock()
