--- a/cmd/ashshunt/main.go
+++ b/cmd/ashshunt/main.go
@@ -20,16 +20,26 @@
 	"ashshunt/internal/telemetry"
 )
 
+// configVariable is the environment variable that names the configuration file.
+const configVariable = "GW_CONFIG"
+
+// exitFailure is the exit status of an agent that did not start, or that failed.
+const exitFailure = 1
+
+// startRetryPeriod is for how long a file that can't be read holds up the start.
+const startRetryPeriod = 5 * time.Second
+
+// logFlushTimeout is for how long a slow reader of the log holds up the exit.
+const logFlushTimeout = 100 * time.Millisecond
+
+// gcPercent lets the heap more than double between collections: it is small, and stays far below its limit.
+const gcPercent = 150
+
+// The heap may take five eighths of the memory of the process: the program itself counts too.
 const (
-	// configVariable names the configuration file.
-	configVariable = "GW_CONFIG"
-	// gcPercent lets the heap more than double between collections: it is small, and stays far below the limit.
-	gcPercent  = 150
-	bytesPerMB = 1 << 20
-	// startPatience is how long the start is held up by a file that can't be read.
-	startPatience = 5 * time.Second
-	// logFlushTimeout is how long the end is held up by the reader of the log.
-	logFlushTimeout = 100 * time.Millisecond
+	bytesPerMB  = 1 << 20
+	memoryParts = 8
+	heapParts   = 5
 )
 
 func main() {
@@ -40,19 +50,17 @@
 	}
 	logWriter.Flush(logFlushTimeout)
 	if err != nil {
-		os.Exit(1)
+		os.Exit(exitFailure)
 	}
 }
 
+// run runs an agent until a signal ends it.
 func run(logWriter io.Writer) error {
-	// Signals come first: one that is not handled yet would end the process. A log that its reader has closed must not.
-	signal.Ignore(syscall.SIGPIPE)
-	stop, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	// Signals come first: one that is not handled yet would end the process.
+	stop, release, reloads := handleSignals()
 	defer release()
-	reload := make(chan os.Signal, 1) // signals that come during a reload make one more
-	signal.Notify(reload, syscall.SIGHUP)
-
 	runtime.GOMAXPROCS(1) // an agent has one core, which it may share
+
 	path := os.Getenv(configVariable)
 	if path == "" {
 		return errors.New(configVariable + " names no configuration file")
@@ -70,16 +78,26 @@
 	}
 	ended := make(chan struct{})
 	defer close(ended)
-	go (&reloader{path: path, agent: a, log: log}).run(reload, ended)
+	go (&reloader{path: path, agent: a, log: log}).run(reloads, ended)
 	log.Info(telemetry.MsgServing, "listen", a.Addr().String())
 	return a.Run(stop)
 }
 
+// handleSignals returns a context that SIGTERM and SIGINT end, until release is called, and a channel with a value
+// for SIGHUP. A log that its reader has closed must not end the process by SIGPIPE.
+func handleSignals() (stop context.Context, release context.CancelFunc, reloads <-chan os.Signal) {
+	signal.Ignore(syscall.SIGPIPE)
+	stop, release = signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	hangups := make(chan os.Signal, 1) // signals that come during a reload make one more
+	signal.Notify(hangups, syscall.SIGHUP)
+	return stop, release, hangups
+}
+
 // setMemoryLimits bounds the heap within the memory that the process may use; 0: no limit.
 func setMemoryLimits(memoryMB int) {
 	debug.SetGCPercent(gcPercent)
 	if memoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryMB) * bytesPerMB * 5 / 8) // the program itself counts too
+		debug.SetMemoryLimit(int64(memoryMB) * bytesPerMB * heapParts / memoryParts)
 	}
 }
 
@@ -90,7 +108,7 @@
 // loadConfig reads the configuration. A file that can't be read, or is just being written, is read again for a while.
 func loadConfig(path string, log *slog.Logger) (*config.Config, error) {
 	policy := retry.Policy{
-		Patience:  startPatience,
+		Patience:  startRetryPeriod,
 		MayPass:   func(err error) bool { return retry.MayPass(err) || errors.Is(err, config.ErrIncomplete) },
 		OnFailure: func(err error) { log.Warn(telemetry.MsgConfigurationUnread, telemetry.Err(err)) },
 	}
--- a/cmd/ashshunt/reload.go
+++ b/cmd/ashshunt/reload.go
@@ -10,26 +10,27 @@
 	"ashshunt/internal/telemetry"
 )
 
+// A reload that fails is retried after a backoff, which grows by backoffMultiple from firstBackoff to maxBackoff.
 const (
-	// firstReloadPause is the wait after a reload that has failed before it is tried again; it doubles up to
-	// maxReloadPause.
-	firstReloadPause = 10 * time.Millisecond
-	maxReloadPause   = 250 * time.Millisecond
-	// reloadPatience is how long after its signal a reload is tried again. A file that has been invalid for so long was
-	// not caught half-written.
-	reloadPatience = 30 * time.Second
+	firstBackoff    = 10 * time.Millisecond
+	backoffMultiple = 2
+	maxBackoff      = 250 * time.Millisecond
 )
 
-// reloader reads the configuration anew upon each signal. One that can't be read, or is not valid, may be so for a
-// moment only: it is read again for a while.
+// reloadRetryPeriod is how long after its signal a reload is retried. A file that has been invalid for so long was not
+// caught half-written.
+const reloadRetryPeriod = 30 * time.Second
+
+// reloader reads the configuration again upon each signal. A file that can't be read or is not valid is retried for a
+// while: it may be just being written.
 type reloader struct {
 	path  string
 	agent *agent.Agent
 	log   *slog.Logger
 
-	nextTry  <-chan time.Time // nil: none is due
-	pause    time.Duration
-	giveUpAt time.Time
+	retry      <-chan time.Time // nil: no retry is due
+	backoff    time.Duration    // before the next retry
+	retryUntil time.Time
 }
 
 // run reloads upon signals until ended is closed. The signals stay handled after that: they would end the process.
@@ -37,11 +38,12 @@
 	for {
 		select {
 		case <-signals:
-			r.pause, r.giveUpAt = firstReloadPause, time.Now().Add(reloadPatience)
+			r.backoff = firstBackoff
+			r.retryUntil = time.Now().Add(reloadRetryPeriod)
 			if err := r.reload(); err != nil {
 				r.log.Warn(telemetry.MsgConfigurationInvalid, telemetry.Err(err))
 			}
-		case <-r.nextTry:
+		case <-r.retry:
 			_ = r.reload() // the first error was logged
 		case <-ended:
 			return
@@ -49,17 +51,22 @@
 	}
 }
 
-// reload reads the configuration, and sets the time of the next try if that fails.
+// reload passes a new configuration to the agent, or schedules a retry.
 func (r *reloader) reload() error {
-	r.nextTry = nil
+	r.retry = nil
 	c, err := config.Load(r.path)
-	if err == nil {
-		r.agent.Reload(c)
-		return nil
+	if err != nil {
+		r.scheduleRetry()
+		return err
 	}
-	if time.Now().Before(r.giveUpAt) {
-		r.nextTry = time.After(r.pause)
-		r.pause = min(2*r.pause, maxReloadPause)
+	r.agent.Reload(c)
+	return nil
+}
+
+func (r *reloader) scheduleRetry() {
+	if !time.Now().Before(r.retryUntil) {
+		return
 	}
-	return err
+	r.retry = time.After(r.backoff)
+	r.backoff = min(backoffMultiple*r.backoff, maxBackoff)
 }
