--- a/internal/testutil/client.go
+++ b/internal/testutil/client.go
@@ -17,13 +17,13 @@
 // ID returns a well-formed X-Call-Id, a different one for each number.
 func ID(number int) string { return fmt.Sprintf("%016x", number) }
 
-// Get is the text of a request of the idempotent class of Settings.
+// Get returns the text of a request of the idempotent class of Settings.
 func Get(id string) string {
 	return "GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 7000\r\n\r\n"
 }
 
-// Post is the head of a request of the class of Settings that is not idempotent, with further header lines, each
-// ended by CRLF.
+// Post returns the head of a request of the class of Settings that is not idempotent, with further header lines, each
+// terminated by CRLF.
 func Post(id, headers string) string {
 	return "POST /settle HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 7000\r\n" + headers + "\r\n"
 }
@@ -39,7 +39,7 @@
 	if err := conn.SetDeadline(time.Now().Add(Timeout)); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(conn, text) // may fail where the other side closes early, as the test is to see
+	_, _ = io.WriteString(conn, text) // fails where the other side closes early, which is for the test to judge
 	return conn
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// ReadResponse reads one response off a connection that may bring more.
+// ReadResponse reads one response, body included, from a connection that may bring more.
 func ReadResponse(t *testing.T, in *bufio.Reader) *http.Response {
 	t.Helper()
 	response, err := http.ReadResponse(in, nil)
@@ -64,7 +64,7 @@
 	return response
 }
 
-// ReadStatus reads one response off a connection and returns its status.
+// ReadStatus reads one response from a connection and returns its status. What comes behind the response is lost.
 func ReadStatus(t *testing.T, conn net.Conn) int {
 	t.Helper()
 	return ReadResponse(t, bufio.NewReader(conn)).StatusCode
--- a/internal/testutil/config.go
+++ b/internal/testutil/config.go
@@ -1,5 +1,3 @@
-// Package testutil holds what the tests of several packages share: stand-in servers, clients, a log that can be read,
-// and waits.
 package testutil
 
 import (
@@ -10,21 +8,22 @@
 	"ashshunt/internal/config"
 )
 
-// Settings has one class of each kind of idempotency, and wide time bounds.
+// Settings is a settings object with one class of each kind of idempotency, and wide time bounds.
 const Settings = `{"Balancers":1,"Me":0,"TickMs":1,"Dcs":["dc"],"Kinds":["std"],"MembershipMode":"subscribe",
  "Profiles":[
   {"Name":"look","AimMs":5000,"DeadlineMs":8000,"Worth":1,"Semantics":"repeatable"},
   {"Name":"hold","AimMs":5000,"DeadlineMs":8000,"Worth":1,"Semantics":"by_key","Group":"cell","WindowMs":6000},
   {"Name":"settle","AimMs":5000,"DeadlineMs":8000,"Worth":1,"Semantics":"once"}],
- "PolicyLimits":{"TryLimit":3,"Cancel":true,"MayProbe":true,"SecondCopies":true,"ConnectTimeoutMs":5000,"IdleCloseMs":60000},
+ "PolicyLimits":{"TryLimit":3,"Cancel":true,"MayProbe":true,"SecondCopies":true,"ConnectTimeoutMs":5000,
+  "IdleCloseMs":60000},
  "Contract":{"ColdFrom":0.5,"AskWithinMs":640,"DrainGraceMs":250,"RampTimeMs":1000,"FallMs":1000,"FallMultiple":2}}`
 
-// configFormat takes the address of discovery, the known entries of the endpoint list and the settings.
+// configFormat takes the address of discovery, the known entries of the endpoint list and the settings object.
 const configFormat = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
  "limits":{"memory_mb":192,"sockets":1024},"known":{"version":1,"full":true,"servers":[%s]},"settings":%s}`
 
-// Config returns an agent's configuration with Settings, an address of discovery and known entries of the endpoint
-// list.
+// Config returns an agent's configuration with Settings, an address of discovery, and the entries of the endpoint list
+// that the agent knows at its start.
 func Config(t *testing.T, discovery string, entries ...string) *config.Config {
 	t.Helper()
 	c, err := config.Parse([]byte(fmt.Sprintf(configFormat, discovery, strings.Join(entries, ","), Settings)))
--- a/internal/testutil/discovery.go
+++ b/internal/testutil/discovery.go
@@ -2,33 +2,30 @@
 
 import (
 	"io"
-	"net"
 	"net/http"
 	"testing"
 )
 
-// Discovery is a stand-in for the discovery service. It hands the test each watch and sends what the test says.
+// Discovery is a stand-in for the discovery service. It reports each watch to the test and sends the lines that the
+// test gives it.
 type Discovery struct {
 	Addr     string
 	Watches  chan string   // the query of each watch, as it begins
 	Say      chan string   // lines for the current watch; "" is an empty one
 	Cut      chan struct{} // ends the current watch
-	Complete func() string // answers a poll of the complete list
+	Complete func() string // returns the response to a poll of the complete list
 }
 
-// NewDiscovery starts a discovery service.
+// NewDiscovery starts a discovery service, which ends with the test.
 func NewDiscovery(t *testing.T) *Discovery {
 	t.Helper()
 	d := &Discovery{
-		Watches:  make(chan string, 100),
-		Say:      make(chan string, 100),
+		Watches:  make(chan string, eventCapacity),
+		Say:      make(chan string, eventCapacity),
 		Cut:      make(chan struct{}, 1),
 		Complete: func() string { return "" },
 	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	listener := Listen(t)
 	d.Addr = listener.Addr().String()
 	server := &http.Server{Handler: d}
 	go func() { _ = server.Serve(listener) }() // until it is closed
@@ -42,14 +39,14 @@
 		_, _ = io.WriteString(w, d.Complete()) // an error means that the client has gone
 		return
 	}
-	flusher := w.(http.Flusher)
-	flusher.Flush()
+	connection := http.NewResponseController(w)
+	_ = connection.Flush() // an error means that the client has gone, here and below
 	d.Watches <- r.URL.RawQuery
 	for {
 		select {
 		case line := <-d.Say:
-			_, _ = io.WriteString(w, line+"\n") // an error means that the client has gone
-			flusher.Flush()
+			_, _ = io.WriteString(w, line+"\n")
+			_ = connection.Flush()
 		case <-d.Cut:
 			return
 		case <-r.Context().Done():
--- a/internal/testutil/log.go
+++ b/internal/testutil/log.go
@@ -7,13 +7,13 @@
 	"sync"
 )
 
-// Log is a log that tests may read while it is written.
+// Log holds what was logged. Tests may read it while it is written.
 type Log struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
 }
 
-// NewLogger returns a logger that writes to a log.
+// NewLogger returns a logger that writes to log.
 func NewLogger(log *Log) *slog.Logger { return slog.New(slog.NewTextHandler(log, nil)) }
 
 // Write implements io.Writer.
--- a/internal/testutil/server.go
+++ b/internal/testutil/server.go
@@ -9,31 +9,27 @@
 	"testing"
 )
 
-// handlerFunc answers a request on its connection and returns whether that stays open.
+// handlerFunc writes the response to a request and reports whether the connection stays open.
 type handlerFunc = func(conn net.Conn, request *http.Request, body []byte) bool
 
-// Server is a stand-in for an endpoint. It hands each complete request to a function.
+// Server is a stand-in for an endpoint. It passes each complete request to a function.
 type Server struct {
 	net.Listener
 	handle   handlerFunc
 	Received chan *http.Request // the requests that came; RemoteAddr tells their connections apart
-	Closed   chan struct{}      // holds a value for each connection that the other side has closed
+	Closed   chan struct{}      // has a value for each connection that the other side has closed
 }
 
-// NewServer starts a server whose requests are answered by handle.
+// NewServer starts a server whose requests are answered by handle. It accepts connections until the test ends, or
+// closes it.
 func NewServer(t *testing.T, handle func(net.Conn, *http.Request, []byte) bool) *Server {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
 	s := &Server{
-		Listener: listener,
+		Listener: Listen(t),
 		handle:   handle,
-		Received: make(chan *http.Request, 100),
-		Closed:   make(chan struct{}, 100),
+		Received: make(chan *http.Request, eventCapacity),
+		Closed:   make(chan struct{}, eventCapacity),
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // a test may have closed it
 	go s.acceptAll()
 	return s
 }
@@ -74,13 +70,13 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.Listener.Addr().String() }
 
-// Respond writes a response with further header lines, each ended by CRLF.
+// Respond writes a response with further header lines, each terminated by CRLF.
 func Respond(conn net.Conn, status int, headers, body string) {
 	// An error means that the other side has gone, which it may.
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 }
 
-// Echo responds with the body of the request.
+// Echo responds with "did " and the body of the request.
 func Echo(conn net.Conn, _ *http.Request, body []byte) bool {
 	Respond(conn, http.StatusOK, "", "did "+string(body))
 	return true
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Timeout bounds waits for what must happen; nothing waits so long unless it is broken.
+// Timeout bounds waits for what must happen; only something broken takes so long.
 const Timeout = 20 * time.Second
 
-// pollInterval is how often a condition that no event announces is examined.
+// pollInterval is the time between two checks of a condition that no event announces.
 const pollInterval = time.Millisecond
 
-// Receive takes one value from a channel.
+// Receive takes one value from a channel, and fails the test if none comes.
 func Receive[T any](t *testing.T, c <-chan T) (value T) {
 	t.Helper()
 	select {
@@ -22,7 +22,7 @@
 	return value
 }
 
-// Eventually waits for a condition that no event announces.
+// Eventually waits for a condition that no event announces; what names it if the test fails.
 func Eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !ok(); time.Sleep(pollInterval) {
