--- a/cmd/ashshunt/descriptors_test.go
+++ b/cmd/ashshunt/descriptors_test.go
@@ -16,30 +16,31 @@
 	"ashshunt/internal/testutil"
 )
 
-// descriptorLimit is how many file descriptors the agent of this test may hold.
+// descriptorLimit is the number of file descriptors that the agent of this test may have open.
 const descriptorLimit = 64
 
-// Clients must not take all descriptors while discovery is down, neither silent ones nor such that stay after one
-// request: the watch at its return, the endpoints and the next client still get theirs.
+// Idle clients must not take all descriptors while discovery is down, whether they have sent a request or not: the
+// next watch, the endpoints and the next client still get theirs.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
-	for _, test := range []struct{ name, limits string }{
+	tests := []struct{ name, limits string }{
 		{"limit in the configuration", fmt.Sprintf(`"limits":{"sockets":%d},`, descriptorLimit)},
 		{"limit of the system alone", ""},
-	} {
-		t.Run(test.name, func(t *testing.T) {
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			endpoint := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = io.WriteString(w, "done") // an error means that the agent has gone
 			})
 			var discoveryUp atomic.Bool
 			discovery := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-				if discoveryUp.Load() { // else it is silent
+				if discoveryUp.Load() { // otherwise it is silent
 					writeList(w, fmt.Sprintf(`{"id":"s0","addr":%q,"state":"SERVING"}`, endpoint))
 				}
 				<-r.Context().Done()
 			})
 			file := newConfigFile(t)
-			file.write(t, configText(discovery, test.limits, 3000))
+			file.write(t, configText(discovery, tt.limits, 3000))
 			limited := exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, descriptorLimit), os.Args[0])
 			process := startCommand(t, file, limited)
 			addr := process.addr(t)
@@ -53,7 +54,7 @@
 }
 
 // startIdleClients runs clients that keep their connection, half of them silent and half after one request, and open a
-// new one when it ends. It returns once each has connected, and a function that ends them.
+// new one when it ends. It returns once each has connected; stop ends them.
 func startIdleClients(addr net.Addr, count int) (stop func()) {
 	stopped := make(chan struct{})
 	var connected, ended sync.WaitGroup
--- a/cmd/ashshunt/faults_test.go
+++ b/cmd/ashshunt/faults_test.go
@@ -1,9 +1,9 @@
 package main
 
 import (
-	"bufio"
+	"errors"
 	"fmt"
-	"net"
+	"net/http"
 	"os"
 	"os/exec"
 	"strings"
@@ -13,28 +13,30 @@
 	"ashshunt/internal/testutil"
 )
 
-// startWithLog starts the agent with a pipe as its log, of which the test holds both ends.
-func startWithLog(t *testing.T, config configFile) (process agentProcess, reader, writer *os.File) {
+// logPipe is a pipe that an agent writes its log to. The test has both ends.
+type logPipe struct{ reader, writer *os.File }
+
+// startWithLogPipe starts the agent with a pipe as its log.
+func startWithLogPipe(t *testing.T, config configFile) (agentProcess, logPipe) {
 	t.Helper()
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = reader.Close(), writer.Close() }) // a test may have closed one
+	pipe := logPipe{reader: reader, writer: writer}
+	t.Cleanup(pipe.close)
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), processVariable+"=1", "GW_CONFIG="+string(config))
 	command.Stderr = writer
-	if err := command.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = command.Process.Kill() }) // it may have ended
-	return agentProcess{Cmd: command, log: bufio.NewScanner(reader)}, reader, writer
+	return startWithLog(t, config, command, reader), pipe
 }
 
-// fill writes to a pipe until it takes nothing more. It opens the pipe anew, so that the agent's own end still blocks.
-func fill(t *testing.T, writer *os.File) {
+// close closes the test's ends, which may be closed already.
+func (p logPipe) close() { _, _ = p.reader.Close(), p.writer.Close() }
+
+// fill writes to the pipe until it is full. It opens the pipe again, so that the agent's own end still blocks.
+func (p logPipe) fill(t *testing.T) {
 	t.Helper()
-	path := fmt.Sprintf("/proc/self/fd/%d", writer.Fd())
+	path := fmt.Sprintf("/proc/self/fd/%d", p.writer.Fd())
 	fd, err := syscall.Open(path, syscall.O_WRONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +46,7 @@
 		for err = nil; err == nil; {
 			_, err = syscall.Write(fd, block)
 		}
-		if err != syscall.EAGAIN {
+		if !errors.Is(err, syscall.EAGAIN) {
 			t.Fatal(err)
 		}
 	}
@@ -52,24 +54,32 @@
 
 // An agent whose log is closed by its reader, or is not read any more, goes on.
 func TestBrokenLog(t *testing.T) {
-	for name, breakLog := range map[string]func(t *testing.T, reader, writer *os.File){
-		"closed":   func(_ *testing.T, reader, writer *os.File) { _, _ = reader.Close(), writer.Close() },
-		"not read": func(t *testing.T, _, writer *os.File) { fill(t, writer) },
-	} {
-		t.Run(name, func(t *testing.T) {
+	tests := []struct {
+		name   string
+		closed bool // otherwise it is full
+	}{
+		{"closed", true},
+		{"not read", false},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
 			first, firstWatches := newDiscovery(t)
 			second, secondWatches := newDiscovery(t)
 			file := newConfigFile(t)
 			file.write(t, configText(first, "", 300))
-			process, reader, writer := startWithLog(t, file)
+			process, pipe := startWithLogPipe(t, file)
 			addr := process.addr(t)
 			expectWatch(t, firstWatches, "follow=1&since=0")
-			breakLog(t, reader, writer)
+			if tt.closed {
+				pipe.close()
+			} else {
+				pipe.fill(t)
+			}
 			file.write(t, configText(second, "", 300))
 			process.signal(t, syscall.SIGHUP)
 			expectWatch(t, secondWatches, "follow=1")
 			client := testutil.Dial(t, addr, requestText(1, 250))
-			if status := testutil.ReadStatus(t, client); status != 503 {
+			if status := testutil.ReadStatus(t, client); status != http.StatusServiceUnavailable {
 				t.Errorf("status %d, want 503 since there is no endpoint", status)
 			}
 			process.signal(t, syscall.SIGTERM)
@@ -80,21 +90,29 @@
 	}
 }
 
-// A signal to reload is not lost when the file can't be read for a moment, or has come in part.
+// A signal to reload is not lost when the file can't be read for a moment, or is incomplete.
 func TestReloadOnceTheFileCanBeRead(t *testing.T) {
-	for name, breakFile := range map[string]func(t *testing.T, file configFile){
-		"missing":      func(t *testing.T, file configFile) { removeFile(t, file) },
-		"half-written": func(t *testing.T, file configFile) { file.write(t, `{"name":"n0",`) },
-		"empty":        func(t *testing.T, file configFile) { file.write(t, "") },
-	} {
-		t.Run(name, func(t *testing.T) {
+	tests := []struct {
+		name, text string
+		missing    bool
+	}{
+		{name: "missing", missing: true},
+		{name: "half-written", text: `{"name":"n0",`},
+		{name: "empty", text: ""},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
 			first, firstWatches := newDiscovery(t)
 			second, secondWatches := newDiscovery(t)
 			file := newConfigFile(t)
 			file.write(t, configText(first, "", 300))
 			process := startAgent(t, file)
 			expectWatch(t, firstWatches, "follow=1&since=0")
-			breakFile(t, file)
+			if tt.missing {
+				file.remove(t)
+			} else {
+				file.write(t, tt.text)
+			}
 			process.signal(t, syscall.SIGHUP)
 			process.expectLine(t, "invalid configuration, keeping the old one")
 			file.write(t, configText(second, "", 300))
@@ -103,20 +121,9 @@
 	}
 }
 
-func removeFile(t *testing.T, file configFile) {
-	t.Helper()
-	if err := os.Remove(string(file)); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // An address that can't be listened on for a moment does not end the start.
 func TestStartOnceItCanListen(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = listener.Close() }()
+	listener := testutil.Listen(t)
 	file := newConfigFile(t)
 	listen := fmt.Sprintf(`"listen":%q`, listener.Addr())
 	file.write(t, strings.Replace(configText("127.0.0.1:1", "", 300), `"listen":"127.0.0.1:0"`, listen, 1))
--- a/cmd/ashshunt/helpers_test.go
+++ b/cmd/ashshunt/helpers_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -16,10 +17,10 @@
 	"ashshunt/internal/testutil"
 )
 
-// processVariable has the test program run the agent in place of the tests.
+// processVariable has the test program run the agent instead of the tests.
 const processVariable = "ASHSHUNT_TEST_PROCESS"
 
-// TestMain lets a test run the agent as a process of its own, for signals that the tests would not survive.
+// TestMain lets a test run the agent as a process of its own, which it may send signals that end a process.
 func TestMain(m *testing.M) {
 	if os.Getenv(processVariable) != "" {
 		main()
@@ -28,15 +29,16 @@
 	os.Exit(m.Run())
 }
 
-// configText returns a configuration with an address of discovery, further members, each ended by a comma, and the
-// deadline of the one class in milliseconds.
+// configText returns a configuration with an address of discovery, further members, each terminated by a comma, and the
+// deadline of the only class in milliseconds.
 func configText(discovery, members string, deadlineMs int) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1",%s
 	 "settings":{"Balancers":1,"Me":0,"TickMs":1,"Contract":{"ColdFrom":1},"PolicyLimits":{"ConnectTimeoutMs":1000},
-	 "Profiles":[{"Name":"a","AimMs":100,"DeadlineMs":%d,"Worth":1,"Semantics":"once"}]}}`, discovery, members, deadlineMs)
+	 "Profiles":[{"Name":"a","AimMs":100,"DeadlineMs":%d,"Worth":1,"Semantics":"once"}]}}`,
+		discovery, members, deadlineMs)
 }
 
-// configFile is a configuration file of a test.
+// configFile is the path of a test's configuration file.
 type configFile string
 
 func newConfigFile(t *testing.T) configFile {
@@ -51,24 +53,32 @@
 	}
 }
 
-// newDiscovery starts a discovery that answers each watch by an empty list. The watches' queries come out of the
-// channel.
-func newDiscovery(t *testing.T) (addr string, watches chan string) {
+// remove deletes the file.
+func (f configFile) remove(t *testing.T) {
 	t.Helper()
-	watches = make(chan string, 10)
+	if err := os.Remove(string(f)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// newDiscovery starts a discovery service that responds to each watch with an empty list. The channel has the query of
+// each watch.
+func newDiscovery(t *testing.T) (addr string, watches <-chan string) {
+	t.Helper()
+	queries := make(chan string, 10)
 	addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		writeList(w, "")
-		watches <- r.URL.RawQuery
+		queries <- r.URL.RawQuery
 		<-r.Context().Done()
 	})
-	return addr, watches
+	return addr, queries
 }
 
-// writeList writes the whole endpoint list as one line of a watch.
+// writeList writes a complete endpoint list as one line of a watch.
 func writeList(w http.ResponseWriter, entries string) {
 	// An error means that the agent has gone.
 	_, _ = fmt.Fprintf(w, `{"version":7,"full":true,"servers":[%s]}`+"\n", entries)
-	w.(http.Flusher).Flush()
+	_ = http.NewResponseController(w).Flush()
 }
 
 // serveHTTP runs an HTTP server until the test ends and returns its address.
@@ -79,6 +89,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
+// expectWatch waits for a watch and checks its query.
 func expectWatch(t *testing.T, watches <-chan string, want string) {
 	t.Helper()
 	if query := testutil.Receive(t, watches); query != want {
@@ -98,22 +109,28 @@
 	return startCommand(t, config, exec.Command(os.Args[0]))
 }
 
-// startCommand starts a command that ends in the agent.
+// startCommand starts a command that executes the agent.
 func startCommand(t *testing.T, config configFile, command *exec.Cmd) agentProcess {
 	t.Helper()
-	command.Env = append(os.Environ(), processVariable+"=1", "GW_CONFIG="+string(config))
 	stderr, err := command.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
+	return startWithLog(t, config, command, stderr)
+}
+
+// startWithLog starts a command that executes the agent. Its log can be read from a reader.
+func startWithLog(t *testing.T, config configFile, command *exec.Cmd, log io.Reader) agentProcess {
+	t.Helper()
+	command.Env = append(os.Environ(), processVariable+"=1", "GW_CONFIG="+string(config))
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = command.Process.Kill() }) // it may have ended
-	return agentProcess{Cmd: command, log: bufio.NewScanner(stderr)}
+	return agentProcess{Cmd: command, log: bufio.NewScanner(log)}
 }
 
-// signal sends a signal to the agent.
+// signal sends a signal to the agent, which must be running.
 func (p agentProcess) signal(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if err := p.Process.Signal(signal); err != nil {
@@ -121,7 +138,7 @@
 	}
 }
 
-// expectLine waits for a line of the log that holds a text.
+// expectLine waits for a line of the log that contains a text, and returns it.
 func (p agentProcess) expectLine(t *testing.T, text string) string {
 	t.Helper()
 	for p.log.Scan() {
@@ -133,13 +150,13 @@
 	return ""
 }
 
-// discardLog reads the log to its end, so that the agent does not wait for its reader.
+// discardLog reads the log to its end, so that the agent need not wait for its reader.
 func (p agentProcess) discardLog() {
 	for p.log.Scan() {
 	}
 }
 
-// addr waits until the agent serves and returns the address that it listens on.
+// addr waits until the agent serves, and returns the address that it listens on.
 func (p agentProcess) addr(t *testing.T) net.Addr {
 	t.Helper()
 	_, text, _ := strings.Cut(p.expectLine(t, "msg=serving"), "listen=")
@@ -150,7 +167,7 @@
 	return addr
 }
 
-// requestText is a request whose client waits so long.
+// requestText returns the text of a request whose client waits for timeoutMs.
 func requestText(number, timeoutMs int) string {
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Budget-Ms: %d\r\n\r\n",
 		testutil.ID(number), timeoutMs)
--- a/cmd/ashshunt/signals_test.go
+++ b/cmd/ashshunt/signals_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"strings"
@@ -22,15 +21,16 @@
 	}
 }
 
-// SIGHUP reads the configuration anew: a bad one changes nothing, a new address of discovery is watched, and signals
-// that overlap change nothing either.
+// SIGHUP reads the configuration again: an invalid one changes nothing, a new address of discovery is watched, and
+// signals that overlap change nothing either.
 func TestReload(t *testing.T) {
 	file := newConfigFile(t)
 	writeConfig := func(discovery string) {
 		file.write(t, fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 		 "limits":{"memory_mb":192,"sockets":1024},"known":{"version":3,"full":true,"servers":[]},
-		 "settings":{"Balancers":1,"Me":0,"TickMs":1,"MembershipMode":"subscribe","Contract":{"ColdFrom":1,"AskWithinMs":640},
-		 "Profiles":[{"Name":"a","AimMs":100,"DeadlineMs":500,"Worth":1,"Semantics":"once"}]}}`, discovery))
+		 "settings":{"Balancers":1,"Me":0,"TickMs":1,"MembershipMode":"subscribe",
+		  "Contract":{"ColdFrom":1,"AskWithinMs":640},
+		  "Profiles":[{"Name":"a","AimMs":100,"DeadlineMs":500,"Worth":1,"Semantics":"once"}]}}`, discovery))
 	}
 	first, firstWatches := newDiscovery(t)
 	second, secondWatches := newDiscovery(t)
@@ -58,8 +58,8 @@
 	}
 }
 
-// A SIGTERM that comes before the agent serves must not end it as if killed. A configuration that has not come as a
-// whole holds the start where the signals come.
+// A SIGTERM that comes before the agent serves ends it with status 0. The start waits for a configuration that is not
+// complete as the signals come.
 func TestSignalsRightAfterTheStart(t *testing.T) {
 	file := newConfigFile(t)
 	if err := syscall.Mkfifo(string(file), 0o600); err != nil {
@@ -83,20 +83,17 @@
 	}
 }
 
-// Signals that come during a shutdown change nothing for the requests in flight: not a new configuration, good or bad,
-// nor a second SIGTERM.
+// Signals that come during a shutdown change nothing for the requests in flight: neither a new configuration, valid or
+// not, nor a second SIGTERM.
 func TestSignalsDuringAShutdown(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = listener.Close() }()
+	listener := testutil.Listen(t)
 	first, _ := newDiscovery(t)
 	second, watches := newDiscovery(t)
 	file := newConfigFile(t)
 	config := func(discovery string) string {
 		known := fmt.Sprintf(`"known":{"version":9,"full":true,"servers":[
-		 {"id":"s0","addr":%q,"zone":"","kind":"","cell":1,"state":"SERVING","weight":1,"started_ms":0}]},`, listener.Addr())
+		 {"id":"s0","addr":%q,"zone":"","kind":"","cell":1,"state":"SERVING","weight":1,"started_ms":0}]},`,
+			listener.Addr())
 		return configText(discovery, known, 20000)
 	}
 	file.write(t, config(first))
