--- /dev/null
+++ b/cmd/ashshunt/soak_endpoint_test.go
@@ -0,0 +1,148 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"sync"
+	"time"
+
+	"ashshunt/internal/testutil"
+)
+
+// endpointFault is how an endpoint fails for a while.
+type endpointFault int
+
+// The faults of endpoints.
+const (
+	faultNone     endpointFault = iota
+	faultHang                   // no response
+	faultError                  // status 500
+	faultReject                 // rejected without having run
+	faultReset                  // the connection is reset
+	faultSlow                   // a late response
+	faultNoLength               // a response whose end can't be told from a broken connection
+)
+
+const faultCount = int(faultNoLength) + 1
+
+// soakEndpoint is a stand-in for an endpoint. It reports each attempt to the judge.
+type soakEndpoint struct {
+	soak   *soak
+	id     string
+	cell   int
+	server *testutil.Server
+
+	mu         sync.Mutex // protects what follows
+	fault      endpointFault
+	faultUntil time.Time
+}
+
+func newSoakEndpoint(s *soak, id string, cell int) *soakEndpoint {
+	e := &soakEndpoint{soak: s, id: id, cell: cell}
+	e.server = testutil.NewServer(s.t, e.handle)
+	go e.discardEvents()
+	return e
+}
+
+// discardEvents empties the channels of the server, of which the judge needs nothing.
+func (e *soakEndpoint) discardEvents() {
+	for {
+		select {
+		case <-e.server.Received:
+		case <-e.server.Closed:
+		}
+	}
+}
+
+// fail has the endpoint fail for some time. An earlier fault ends.
+func (e *soakEndpoint) fail(fault endpointFault, duration time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.fault, e.faultUntil = fault, time.Now().Add(duration)
+}
+
+func (e *soakEndpoint) currentFault() endpointFault {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if time.Now().After(e.faultUntil) {
+		return faultNone
+	}
+	return e.fault
+}
+
+// handle responds to a request. Its attempt is in flight until the response begins, or the agent closes the connection.
+func (e *soakEndpoint) handle(conn net.Conn, request *http.Request, _ []byte) bool {
+	id := request.Header.Get("X-Call-Id")
+	timeLeftMs, err := strconv.Atoi(request.Header.Get("X-Budget-Ms"))
+	if err != nil {
+		e.soak.judge.violated(ruleAttempt, "no X-Budget-Ms: "+err.Error())
+	}
+	fault := e.currentFault()
+	attempt := &soakAttempt{
+		endpoint: e.id,
+		cell:     e.cell,
+		begin:    time.Now(),
+		timeLeft: time.Duration(timeLeftMs) * time.Millisecond,
+		ran:      fault != faultReject,
+	}
+	e.soak.judge.attempted(id, attempt, e.soak.discovery.notifiedOfDrain(e.id))
+	closed := closesWithin(conn, e.serviceTime(fault))
+	e.soak.judge.ended(attempt)
+	if closed {
+		return false
+	}
+	return respond(conn, fault, id)
+}
+
+// serviceTime is the time until the response.
+func (e *soakEndpoint) serviceTime(fault endpointFault) time.Duration {
+	usual := e.soak.rng.between(2*time.Millisecond, 20*time.Millisecond)
+	switch fault {
+	case faultHang:
+		return time.Hour
+	case faultSlow:
+		return e.soak.rng.between(50*time.Millisecond, 400*time.Millisecond)
+	case faultNone, faultError, faultReject, faultReset, faultNoLength:
+	}
+	return usual
+}
+
+// respond writes the response to a request and reports whether the connection stays open.
+func respond(conn net.Conn, fault endpointFault, id string) bool {
+	switch fault {
+	case faultError:
+		testutil.Respond(conn, http.StatusInternalServerError, "", "")
+	case faultReject:
+		testutil.Respond(conn, http.StatusServiceUnavailable, "X-Rejected: 1\r\n", "")
+	case faultReset:
+		resetOnClose(conn)
+		return false
+	case faultNoLength:
+		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\ndid " + id)) // the agent may have gone
+		return false
+	case faultNone, faultHang, faultSlow:
+		testutil.Respond(conn, http.StatusOK, "", "did "+id)
+	}
+	return true
+}
+
+// resetOnClose has the close of a connection reset it.
+func resetOnClose(conn net.Conn) {
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		panic(fmt.Sprintf("%T can't be reset", conn))
+	}
+	_ = tcp.SetLinger(0) // fails on a connection that has ended
+}
+
+// closesWithin waits and reports whether the other side closes the connection meanwhile.
+func closesWithin(conn net.Conn, wait time.Duration) bool {
+	_ = conn.SetReadDeadline(time.Now().Add(wait)) // fails on a connection that has ended, as the read will
+	_, err := conn.Read(make([]byte, 1))
+	_ = conn.SetReadDeadline(time.Time{})
+	return !errors.Is(err, os.ErrDeadlineExceeded)
+}
--- a/cmd/ashshunt/soak_test.go
+++ b/cmd/ashshunt/soak_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"net"
 	"os"
 	"strings"
@@ -13,20 +12,31 @@
 )
 
 const (
-	// soakSeedsVariable names the seeds that TestSoak plays, as "FROM-TO"; without it, the four of CI are played.
+	// soakSeedsVariable names the seeds that TestSoak runs, as "FROM-TO"; without it, the four of CI are run.
 	soakSeedsVariable = "ASHSHUNT_SOAK_SEEDS"
-	// soakStrictVariable has TestSoak kill the agent at the earliest time and judge times by the protocol's slack, which
-	// wants a machine that is not busy. Without it, an agent that shuts down may take its time, and only what never
+	// soakStrictVariable has TestSoak kill the agent at the earliest time and judge times by the protocol's slack, for
+	// which the machine must not be busy. Without it, an agent that shuts down may take its time, and only what never
 	// happens, or happens too often, is an error.
 	soakStrictVariable = "ASHSHUNT_SOAK_STRICT"
+)
+
+const (
+	soakEndpoints    = 6
+	soakClients      = 14
+	soakIdleClients  = 90 // on some seeds
+	soakIncarnations = 3  // processes of the agent, one after the other
+)
 
-	soakEndpoints = 6
-	soakClients   = 14
-	soakCrowd     = 90 // idle clients, on some seeds
-	soakCycles    = 3  // lives of the agent
+const (
+	// acceptPeriod is how long after SIGTERM clients still connect.
+	acceptPeriod = 400 * time.Millisecond
+	// killDelay is how long after SIGTERM and the longest deadline the agent may be killed.
+	killDelay = 700 * time.Millisecond
+	// maxDeadline bounds the part of the longest deadline in that time.
+	maxDeadline = 3 * time.Second
 )
 
-// TestSoak plays an agent's process through reloads, shutdowns and kills. Clients keep using the connections that are
+// TestSoak runs an agent's process through reloads, shutdowns and kills. Clients keep using the connections that are
 // open, up to a kill at the earliest time that the protocol allows, while endpoints and discovery fail in many ways.
 func TestSoak(t *testing.T) {
 	from, to := 1, 4
@@ -38,71 +48,64 @@
 	for seed := from; seed <= to; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			newSoak(t, seed).play()
+			newSoak(t, seed).run()
 		})
 	}
 }
 
+// The words of the settings for kinds of idempotency and scopes of deduplication.
+const (
+	wordIdempotent    = "repeatable"
+	wordWithKey       = "by_key"
+	wordNotIdempotent = "once"
+
+	wordEverywhere = "all"
+	wordInZone     = "zone"
+	wordInCell     = "cell"
+)
+
 // soakClass is a class of requests.
 type soakClass struct {
-	name, semantics, group string
-	deadline, window       time.Duration
+	name, idempotency, dedupScope string
+	deadline, dedupWindow         time.Duration
 }
 
 // soak is one run.
 type soak struct {
-	t          *testing.T
-	rng        *lockedRand
-	classes    []soakClass
-	crowd      bool
-	listen     string
-	file       configFile
-	judge      *soakJudge
-	discovery  *soakDiscovery
-	endpoints  []*soakEndpoint
-	stopped    chan struct{} // closed at the end
-	mu         sync.Mutex    // protects what follows
-	mayConnect bool          // clients may open connections now
-}
-
-// lockedRand is a source of random numbers for several goroutines.
-type lockedRand struct {
-	mu  sync.Mutex
-	rng *rand.Rand
-}
+	t           *testing.T
+	rng         *lockedRand
+	classes     []soakClass
+	idleClients bool // there are soakIdleClients, and few descriptors
+	listen      string
+	file        configFile
+	judge       *soakJudge
+	discovery   *soakDiscovery
+	endpoints   []*soakEndpoint // owned by the goroutine of faults once it runs
+	stopped     chan struct{}   // closed at the end of the run
 
-func (r *lockedRand) float() float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.rng.Float64()
+	mu         sync.Mutex // protects what follows
+	mayConnect bool       // clients may open connections now
 }
 
-// between draws a time.
-func (r *lockedRand) between(low, high time.Duration) time.Duration {
-	return low + time.Duration(r.float()*float64(high-low))
-}
-
-func (r *lockedRand) chance(p float64) bool { return r.float() < p }
-
 func newSoak(t *testing.T, seed int) *soak {
 	t.Helper()
-	rng := &lockedRand{rng: rand.New(rand.NewPCG(uint64(seed), 3))}
+	rng := newLockedRand(seed)
 	longest := rng.between(50*time.Millisecond, 250*time.Millisecond)
 	if rng.chance(0.5) {
 		longest = rng.between(400*time.Millisecond, 2*time.Second)
 	}
-	groups := []string{"all", "zone", "cell"}
+	scopes := []string{wordEverywhere, wordInZone, wordInCell}
 	s := &soak{
-		t:       t,
-		rng:     rng,
-		crowd:   seed%3 == 0,
-		file:    newConfigFile(t),
-		stopped: make(chan struct{}),
+		t:           t,
+		rng:         rng,
+		idleClients: seed%3 == 0,
+		file:        newConfigFile(t),
+		stopped:     make(chan struct{}),
 		classes: []soakClass{
-			{name: "look", semantics: "repeatable", deadline: longest},
-			{name: "hold", semantics: "by_key", group: groups[seed%3], deadline: longest * 4 / 5,
-				window: rng.between(200*time.Millisecond, 900*time.Millisecond)},
-			{name: "settle", semantics: "once", deadline: longest * 2 / 3},
+			{name: "look", idempotency: wordIdempotent, deadline: longest},
+			{name: "hold", idempotency: wordWithKey, dedupScope: scopes[seed%3], deadline: longest * 4 / 5,
+				dedupWindow: rng.between(200*time.Millisecond, 900*time.Millisecond)},
+			{name: "settle", idempotency: wordNotIdempotent, deadline: longest * 2 / 3},
 		},
 	}
 	s.judge = newSoakJudge(t, s.classes, os.Getenv(soakStrictVariable) != "")
@@ -110,52 +113,46 @@
 	for i := range soakEndpoints {
 		s.addEndpoint(fmt.Sprint("s", i), 0)
 	}
+	s.listen = freeAddr(t, seed)
+	return s
+}
+
+// freeAddr returns an address that each process of the agent can listen on, as no other seed uses its host.
+func freeAddr(t *testing.T, seed int) string {
+	t.Helper()
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.1:0", 10+seed/250, seed%250))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.listen = listener.Addr().String()
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return listener.Addr().String()
 }
 
-// addEndpoint starts an endpoint and lists it.
-func (s *soak) addEndpoint(id string, startedMs int64) {
-	e := newSoakEndpoint(s, id, len(s.endpoints)%2)
-	s.endpoints = append(s.endpoints, e)
-	s.discovery.change(soakEntry{ID: id, Addr: e.server.Addr(), Zone: "a", Kind: "m", Cell: e.cell,
-		State: "SERVING", Weight: 1, StartedMs: startedMs})
-}
+// soakConfigFormat takes the agent's address, that of discovery, the limit of descriptors, the known endpoint list and
+// the classes.
+const soakConfigFormat = `{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"memory_mb":192,"sockets":%d},
+ "known":%s,"settings":{"Balancers":1,"Me":0,"TickMs":5,"MembershipMode":"automatic","Dcs":["a"],"Kinds":["m"],
+ "Contract":{"ColdFrom":0.3,"RampTimeMs":4000,"FallMs":1500,"FallMultiple":3,"DrainGraceMs":2000,"GraceToAnswerMs":20},
+ "PolicyLimits":{"ConnectTimeoutMs":150,"TryLimit":5,"IdleCloseMs":60000,"RetryAfter":true,"MaxRetryAfterMs":3000,
+ "Cancel":true,"StreamsPerConn":1},"Profiles":[%s]}}`
 
-// writeConfig writes the agent's configuration.
+// writeConfig writes the agent's configuration, with discovery as it is now.
 func (s *soak) writeConfig() {
 	var profiles []string
 	for _, c := range s.classes {
 		profiles = append(profiles, fmt.Sprintf(
 			`{"Name":%q,"AimMs":%d,"DeadlineMs":%d,"Worth":1,"Semantics":%q,"Group":%q,"WindowMs":%d}`,
-			c.name, c.deadline.Milliseconds()/2, c.deadline.Milliseconds(), c.semantics, c.group, c.window.Milliseconds()))
+			c.name, c.deadline.Milliseconds()/2, c.deadline.Milliseconds(),
+			c.idempotency, c.dedupScope, c.dedupWindow.Milliseconds()))
 	}
 	sockets := 1024
-	if s.crowd {
+	if s.idleClients {
 		sockets = 160
 	}
-	s.file.write(s.t, fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"memory_mb":192,"sockets":%d},
-	 "known":%s,"settings":{"Balancers":1,"Me":0,"TickMs":5,"MembershipMode":"automatic","Dcs":["a"],"Kinds":["m"],
-	 "Contract":{"ColdFrom":0.3,"RampTimeMs":4000,"FallMs":1500,"FallMultiple":3,"DrainGraceMs":2000,"GraceToAnswerMs":20},
-	 "PolicyLimits":{"ConnectTimeoutMs":150,"TryLimit":5,"IdleCloseMs":60000,"RetryAfter":true,"MaxRetryAfterMs":3000,
-	 "Cancel":true,"StreamsPerConn":1},"Profiles":[%s]}}`,
-		s.listen, s.discovery.currentAddr(), sockets, s.discovery.completeList(), strings.Join(profiles, ",")))
-}
-
-// longestDeadline is what the platform waits for after SIGTERM.
-func (s *soak) longestDeadline() time.Duration {
-	longest := time.Duration(0)
-	for _, c := range s.classes {
-		longest = max(longest, c.deadline)
-	}
-	return min(longest, 3*time.Second)
+	s.file.write(s.t, fmt.Sprintf(soakConfigFormat, s.listen, s.discovery.currentAddr(), sockets,
+		s.discovery.completeList(), strings.Join(profiles, ",")))
 }
 
 func (s *soak) setMayConnect(may bool) {
@@ -164,26 +161,26 @@
 	s.mayConnect = may
 }
 
-func (s *soak) connectsNow() bool {
+func (s *soak) clientsMayConnect() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.mayConnect
 }
 
-// play runs the agent through its lives.
-func (s *soak) play() {
+// run runs the agent's processes, then judges all requests.
+func (s *soak) run() {
 	var others sync.WaitGroup
 	for range soakClients {
 		others.Go(func() { newSoakClient(s).run() })
 	}
-	if s.crowd {
-		for range soakCrowd {
-			others.Go(s.idleClient)
+	if s.idleClients {
+		for range soakIdleClients {
+			others.Go(s.runIdleClient)
 		}
 	}
 	others.Go(s.runFaults)
-	for life := range soakCycles {
-		s.live(life)
+	for incarnation := range soakIncarnations {
+		s.runAgent(incarnation)
 	}
 	s.setMayConnect(false)
 	close(s.stopped)
@@ -191,12 +188,28 @@
 	s.judge.verdict()
 }
 
-// live starts the agent, sends it signals, and kills it at the earliest time that the protocol allows.
-func (s *soak) live(life int) {
+// runAgent runs one process of the agent from its start to its end.
+func (s *soak) runAgent(incarnation int) {
 	s.writeConfig()
 	s.discovery.restarted()
 	process := startAgent(s.t, s.file)
 	process.addr(s.t)
+	logEnded := s.watchLog(process)
+	s.setMayConnect(true)
+
+	time.Sleep(s.rng.between(1200*time.Millisecond, 2*time.Second))
+	for range s.rng.below(4) { // reloads in a row
+		s.reload(process)
+	}
+	time.Sleep(s.rng.between(500*time.Millisecond, 2*time.Second))
+
+	s.shutDown(process)
+	<-logEnded
+	s.awaitExit(process, incarnation)
+}
+
+// watchLog passes internal errors of the agent to the judge until the log ends, which closes the channel.
+func (s *soak) watchLog(process agentProcess) (ended <-chan struct{}) {
 	logEnded := make(chan struct{})
 	go func() {
 		defer close(logEnded)
@@ -206,69 +219,107 @@
 			}
 		}
 	}()
-	s.setMayConnect(true)
-	time.Sleep(s.rng.between(1200*time.Millisecond, 2*time.Second))
-	for range int(s.rng.float() * 4) { // reloads in a row
-		s.reload(process)
+	return logEnded
+}
+
+// reload has the agent read a configuration that may name another discovery. The file may be half-written at first.
+func (s *soak) reload(process agentProcess) {
+	if s.rng.chance(0.5) {
+		s.discovery.move()
 	}
-	time.Sleep(s.rng.between(500*time.Millisecond, 2*time.Second))
+	if s.rng.chance(0.3) {
+		s.file.write(s.t, `{"name":"n1",`)
+		_ = process.Process.Signal(syscall.SIGHUP) // it may have ended
+		time.Sleep(s.rng.between(0, 50*time.Millisecond))
+	}
+	s.writeConfig()
+	_ = process.Process.Signal(syscall.SIGHUP)
+	time.Sleep(s.rng.between(0, 100*time.Millisecond))
+}
+
+// shutDown sends SIGTERM, and further signals in half of the cases. If the judge is strict, the agent is killed at the
+// earliest time that the protocol allows.
+func (s *soak) shutDown(process agentProcess) {
 	if !s.judge.strict { // no client is still connecting as the listener closes, however busy the machine is
 		s.setMayConnect(false)
 		time.Sleep(200 * time.Millisecond)
 	}
-	term := time.Now()
+	terminatedAt := time.Now()
 	process.signal(s.t, syscall.SIGTERM)
-	time.AfterFunc(400*time.Millisecond, func() { s.setMayConnect(false) })
+	time.AfterFunc(acceptPeriod, func() { s.setMayConnect(false) })
 	if s.rng.chance(0.5) {
 		time.Sleep(s.rng.between(0, 200*time.Millisecond))
 		_ = process.Process.Signal(syscall.SIGTERM) // it may have ended
 		s.reload(process)
 	}
 	if s.judge.strict {
-		time.Sleep(time.Until(term.Add(s.longestDeadline() + 700*time.Millisecond)))
+		time.Sleep(time.Until(terminatedAt.Add(s.longestDeadline() + killDelay)))
 		s.judge.killed(time.Now())
 		_ = process.Process.Kill() // it may have ended
 	}
-	<-logEnded
-	err := process.Wait()
-	if status := process.ProcessState.Sys().(syscall.WaitStatus); err != nil && !status.Signaled() {
-		s.judge.broken("crash", fmt.Sprintf("life %d: %v", life, err))
-	}
 }
 
-// reload has the agent read a configuration that may name another discovery. The file may be half-written at first.
-func (s *soak) reload(process agentProcess) {
-	if s.rng.chance(0.5) {
-		s.discovery.move()
+// longestDeadline is the part of the time after SIGTERM that depends on the classes.
+func (s *soak) longestDeadline() time.Duration {
+	longest := time.Duration(0)
+	for _, c := range s.classes {
+		longest = max(longest, c.deadline)
 	}
-	if s.rng.chance(0.3) {
-		s.file.write(s.t, `{"name":"n1",`)
-		_ = process.Process.Signal(syscall.SIGHUP) // it may have ended
-		time.Sleep(s.rng.between(0, 50*time.Millisecond))
+	return min(longest, maxDeadline)
+}
+
+// awaitExit waits for the agent's end, which must be an exit with status 0 or a kill.
+func (s *soak) awaitExit(process agentProcess, incarnation int) {
+	err := process.Wait()
+	status, ok := process.ProcessState.Sys().(syscall.WaitStatus)
+	killed := ok && status.Signaled()
+	if err != nil && !killed {
+		s.judge.violated(ruleCrash, fmt.Sprintf("incarnation %d: %v", incarnation, err))
 	}
-	s.writeConfig()
-	_ = process.Process.Signal(syscall.SIGHUP)
-	time.Sleep(s.rng.between(0, 100*time.Millisecond))
 }
 
-// runFaults has endpoints fail, drain and be replaced, and watches break, until the end.
+// runFaults has endpoints fail, drain and be replaced, and watches break, until the end of the run.
 func (s *soak) runFaults() {
 	for number := soakEndpoints; ; number++ {
 		select {
 		case <-s.stopped:
 			return
 		case <-time.After(s.rng.between(100*time.Millisecond, 700*time.Millisecond)):
+			s.injectFault(fmt.Sprint("s", number))
 		}
-		live := s.endpoints[len(s.endpoints)-soakEndpoints:]
-		victim := live[int(s.rng.float()*float64(len(live)))]
-		switch {
-		case s.rng.chance(0.15):
-			s.discovery.breakWatches(s.rng.chance(0.5))
-		case s.rng.chance(0.15): // the oldest drains, and another one starts
-			s.discovery.drain(live[0].id)
-			s.addEndpoint(fmt.Sprint("s", number), time.Now().UnixMilli())
-		default:
-			victim.fail(endpointFault(s.rng.float()*float64(faultCount)), s.rng.between(200*time.Millisecond, 1500*time.Millisecond))
-		}
 	}
 }
+
+// injectFault causes one fault. newID is for an endpoint that may be started.
+func (s *soak) injectFault(newID string) {
+	serving := s.endpoints[len(s.endpoints)-soakEndpoints:]
+	endpoint := serving[s.rng.below(len(serving))]
+	if s.rng.chance(0.15) {
+		s.discovery.breakWatches(s.rng.chance(0.5))
+		return
+	}
+	if s.rng.chance(0.15) {
+		oldest := serving[0]
+		s.discovery.drain(oldest.id)
+		s.addEndpoint(newID, time.Now().UnixMilli())
+		return
+	}
+	fault := endpointFault(s.rng.below(faultCount))
+	endpoint.fail(fault, s.rng.between(200*time.Millisecond, 1500*time.Millisecond))
+}
+
+// addEndpoint starts an endpoint and lists it.
+func (s *soak) addEndpoint(id string, startedMs int64) {
+	e := newSoakEndpoint(s, id, len(s.endpoints)%2)
+	s.endpoints = append(s.endpoints, e)
+	s.discovery.change(soakEntry{
+		ID:        id,
+		Addr:      e.server.Addr(),
+		Zone:      "a",
+		Kind:      "m",
+		Cell:      e.cell,
+		State:     "SERVING",
+		Weight:    1,
+		StartedMs: startedMs,
+	})
+}
