--- a/tools/test.sh
+++ b/tools/test.sh
@@ -5,35 +5,75 @@
 cd "$(dirname "$0")/.."
 
 max_known_red=3
-known_red=()
-if [ -f KNOWN-RED.txt ]; then
-	mapfile -t known_red < <(grep -vE '^(#|[[:space:]]*$)' KNOWN-RED.txt || true)
-fi
-if [ "${#known_red[@]}" -gt "$max_known_red" ]; then
-	echo "KNOWN-RED.txt: ${#known_red[@]} tests, $max_known_red allowed" >&2
-	exit 1
-fi
+known_red_timeout=120s
+known_red_output_lines=20
 line_form='^(\./[a-z/]+) (Test[A-Za-z0-9_]+): .+ \(issue [0-9]+\)$'
-names=()
-for line in "${known_red[@]}"; do
-	[[ $line =~ $line_form ]] || { echo "KNOWN-RED.txt: not 'PACKAGE TEST: cause (issue N)': $line" >&2; exit 1; }
-	# A name that no test has would hide a mistake, and one that two have would leave out a test too many.
-	in_package=$(go test -list "^${BASH_REMATCH[2]}\$" "${BASH_REMATCH[1]}" | grep -cx "${BASH_REMATCH[2]}" || true)
-	in_all=$(go test -list "^${BASH_REMATCH[2]}\$" ./... | grep -cx "${BASH_REMATCH[2]}" || true)
-	[ "$in_package $in_all" = "1 1" ] ||
-		{ echo "KNOWN-RED.txt: ${BASH_REMATCH[2]} is not one test, in ${BASH_REMATCH[1]}" >&2; exit 1; }
-	names+=("${BASH_REMATCH[2]}")
-done
-skip=()
-[ "${#names[@]}" -eq 0 ] || skip=("-skip=^($(IFS='|'; echo "${names[*]}"))\$")
-
-go test -count=1 "${skip[@]}" ./balancer/... ./cmd/... ./docs/...
-go test -count=1 -race "${skip[@]}" ./internal/...
-
-for line in "${known_red[@]}"; do
-	[[ $line =~ $line_form ]]
-	echo "known red: $line"
-	if go test -count=1 -timeout 120s -race -run "^${BASH_REMATCH[2]}\$" "${BASH_REMATCH[1]}" 2>&1 | tail -n 20; then
-		echo "${BASH_REMATCH[2]} passed; it stays listed until its cause is mended"
-	fi
-done
+
+known_red=() # the lines of KNOWN-RED.txt
+names=()     # the names of the tests in these lines
+
+main() {
+	read_known_red
+	run_counted_tests
+	run_known_red
+}
+
+fail() {
+	echo "KNOWN-RED.txt: $1" >&2
+	exit 1
+}
+
+# read_known_red reads and checks KNOWN-RED.txt, which may be absent.
+read_known_red() {
+	[ -f KNOWN-RED.txt ] || return 0
+	mapfile -t known_red < <(grep -vE '^(#|[[:space:]]*$)' KNOWN-RED.txt || true)
+	[ "${#known_red[@]}" -le "$max_known_red" ] || fail "${#known_red[@]} tests, $max_known_red allowed"
+	local line
+	for line in "${known_red[@]}"; do
+		parse_line "$line"
+		check_is_one_test "$package" "$name"
+		names+=("$name")
+	done
+}
+
+# parse_line sets package and name from a line of KNOWN-RED.txt.
+parse_line() {
+	[[ $1 =~ $line_form ]] || fail "not 'PACKAGE TEST: cause (issue N)': $1"
+	package=${BASH_REMATCH[1]}
+	name=${BASH_REMATCH[2]}
+}
+
+# check_is_one_test fails for a name that no test has, which would hide a mistake, and for one that two tests have, which
+# would leave out a test too many.
+check_is_one_test() {
+	local in_package in_all
+	in_package=$(count_tests "$2" "$1")
+	in_all=$(count_tests "$2" ./...)
+	[ "$in_package $in_all" = "1 1" ] || fail "$2 is not one test, in $1"
+}
+
+# count_tests prints how many tests in packages have a name.
+count_tests() { go test -list "^$1\$" "$2" | grep -cx "$1" || true; }
+
+# run_counted_tests runs all tests but the known red ones, those of internal/ with the race detector.
+run_counted_tests() {
+	local skip=()
+	[ "${#names[@]}" -eq 0 ] || skip=("-skip=^($(IFS='|'; echo "${names[*]}"))\$")
+	go test -count=1 "${skip[@]}" ./balancer/... ./cmd/... ./docs/...
+	go test -count=1 -race "${skip[@]}" ./internal/...
+}
+
+# run_known_red runs the known red tests and prints the end of their output.
+run_known_red() {
+	local line
+	for line in "${known_red[@]}"; do
+		parse_line "$line"
+		echo "known red: $line"
+		if go test -count=1 -timeout "$known_red_timeout" -race -run "^$name\$" "$package" 2>&1 |
+			tail -n "$known_red_output_lines"; then
+			echo "$name passed; it stays listed until its cause is mended"
+		fi
+	done
+}
+
+main
