--- a/cmd/ashshunt/soak_judge_test.go
+++ b/cmd/ashshunt/soak_judge_test.go
@@ -30,7 +30,7 @@
 
 	// lateResponse is how long after its deadline a response only earns nothing.
 	lateResponse = 500 * time.Millisecond
-	// timeLeftSlack is how much more time than its client has an attempt may tell.
+	// timeLeftSlack is how much more time than its client has an attempt may state.
 	timeLeftSlack = 150 * time.Millisecond
 	// drainGrace is how long after the notice a draining endpoint may still get attempts.
 	drainGrace = 2 * time.Second
@@ -60,7 +60,7 @@
 	endpoint   string
 	cell       int
 	begin, end time.Time     // end is zero while it is in flight
-	timeLeft   time.Duration // as the agent told the endpoint
+	timeLeft   time.Duration // of the client, as X-Budget-Ms states it
 	ran        bool
 }
 
@@ -183,7 +183,7 @@
 	}
 	timeLeft := r.sentAt.Add(r.timeout).Sub(a.begin)
 	if a.timeLeft > timeLeft+timeLeftSlack+j.slack {
-		j.violatedLocked(ruleTimeLeft, fmt.Sprintf("%s: told %v with %v left", id, a.timeLeft, timeLeft))
+		j.violatedLocked(ruleTimeLeft, fmt.Sprintf("%s: states %v with %v left", id, a.timeLeft, timeLeft))
 	}
 	r.attempts = append(r.attempts, a)
 }
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -58,7 +58,7 @@
 	return err
 }
 
-// encode starts a line anew with the message for an action.
+// encode replaces what is in the line by the message for an action.
 func (l *line) encode(agent int, action balancer.Action) error {
 	switch a := action.(type) {
 	case balancer.Send:
