--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"container/list"
 	"context"
 	"fmt"
 	"io"
@@ -14,42 +13,24 @@
 )
 
 const (
-	// minReadTime is the least that a request may take to come, however late it began on a new connection.
+	// minReadTime is the least time that a request gets, however late it began on a new connection.
 	minReadTime = 300 * time.Millisecond
-	// closeLinger and closeLingerBytes bound what is still read of a connection before it is closed over unread bytes.
-	closeLinger      = 500 * time.Millisecond
-	closeLingerBytes = 256 << 10
+	// closeLinger bounds how long a connection with unread bytes is still read before it is closed.
+	closeLinger = 500 * time.Millisecond
+	// maxLingerBytes bounds how much of a connection that is about to be closed is read and dropped.
+	maxLingerBytes = 256 << 10
 )
 
-// phase is what a connection is in the middle of.
-type phase uint8
-
-const (
-	phaseIdle    phase = iota // no byte of a request has come
-	phaseReading              // a request has begun and is not complete
-	phaseServing              // a request is complete, or is being answered with an error
-	phaseRefused              // a request that was not complete has been answered; what comes is dropped
-	phaseRetired              // closed, or about to be; nothing more is read
-)
+// continueLine begins an interim response, which net/http writes while a request is still being read.
+var continueLine = []byte("HTTP/1.1 100 ")
 
-// connection is one accepted connection. Its first byte ends its idleness at once, before net/http makes a request of
-// it; from then on the time of the request counts, not the idle time of the connection.
+// connection is an accepted connection. Its first byte ends its idleness at once, before net/http parses a request
+// from it; from then on the time of the request counts, not the idle time of the connection.
 type connection struct {
 	net.Conn
-	listener   *connectionListener
+	table      *connectionTable
 	acceptedAt time.Time
-
-	// Guarded by listener.mu.
-	phase         phase
-	idleElement   *list.Element // in listener.idle; nil while a request is open
-	idleSince     time.Time
-	used          bool        // it has had a request
-	nextBegun     bool        // a byte of the next request was read while one was open
-	requestNumber int         // counts the requests that have begun
-	begunAt       time.Time   // when the current request began
-	reads         int         // of its bytes so far ...
-	lastByteAt    time.Time   // ... and when the last of them was
-	refuseTimer   *time.Timer // refuses the current request; nil before the first one
+	state      connectionState // guarded by table.mu
 }
 
 // connectionKey is the key of a request's connection in the request's context.
@@ -59,140 +40,10 @@
 	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
-// connectionOf returns the connection on which a request came.
+// connectionOf returns the connection on which a request came; nil if it came on none of a connectionListener.
 func connectionOf(r *http.Request) *connection {
-	return r.Context().Value(connectionKey{}).(*connection)
-}
-
-// markIdle puts the connection on the idle list, unless its next request has begun already. The caller holds
-// listener.mu.
-func (c *connection) markIdle() {
-	switch {
-	case c.phase == phaseRefused || c.phase == phaseRetired || c.idleElement != nil:
-	case c.nextBegun:
-		c.beginRequest()
-	default:
-		c.phase = phaseIdle
-		c.stopReading()
-		c.idleSince = time.Now()
-		c.idleElement = c.listener.idle.PushBack(c)
-	}
-}
-
-// leaveIdle takes the connection off the idle list. The caller holds listener.mu.
-func (c *connection) leaveIdle() {
-	if c.idleElement != nil {
-		c.listener.idle.Remove(c.idleElement)
-		c.idleElement = nil
-	}
-}
-
-// beginRequest notes the first byte of a request. It is refused once it has stopped coming for too long, or takes too
-// long in all. The caller holds listener.mu.
-func (c *connection) beginRequest() {
-	allowed := c.listener.timeouts.ReadRequest
-	if !c.used { // who connects has so long in all
-		allowed = max(minReadTime, allowed-time.Since(c.acceptedAt))
-	}
-	c.leaveIdle()
-	c.phase = phaseReading
-	c.used = true
-	c.nextBegun = false
-	c.listener.incomplete[c] = struct{}{}
-	c.requestNumber++
-	number := c.requestNumber
-	c.begunAt, c.reads = time.Now(), 0
-	c.refuseTimer = time.AfterFunc(allowed, func() { c.refuseIfStopped(number) })
-	_ = c.Conn.SetReadDeadline(time.Time{}) // that of the idle time; fails on a connection that has ended
-}
-
-// completeRequest notes that a request is complete, or is to be answered with an error, and reports whether it may be:
-// it may have been refused meanwhile.
-func (c *connection) completeRequest() bool {
-	c.listener.mu.Lock()
-	defer c.listener.mu.Unlock()
-	return c.startServing()
-}
-
-// startServing is completeRequest. The caller holds listener.mu.
-func (c *connection) startServing() bool {
-	if c.phase == phaseRefused || c.phase == phaseRetired {
-		return false
-	}
-	c.phase = phaseServing
-	c.stopReading()
-	return true
-}
-
-// stopReading ends the time of a request to come. The caller holds listener.mu.
-func (c *connection) stopReading() {
-	delete(c.listener.incomplete, c)
-	if c.refuseTimer != nil {
-		c.refuseTimer.Stop() // one that has fired finds another phase
-	}
-}
-
-// refuseIfStopped refuses the request of a number unless some of it has come meanwhile: a client may be slow.
-func (c *connection) refuseIfStopped(number int) {
-	timeouts := c.listener.timeouts
-	c.listener.mu.Lock()
-	end := c.lastByteAt.Add(timeouts.ReadRequest)
-	if last := c.begunAt.Add(timeouts.ReadSlowRequest); last.Before(end) {
-		end = last
-	}
-	remaining := time.Until(end)
-	goesOn := c.reads > 1 && remaining > 0 && c.phase == phaseReading && c.requestNumber == number
-	if goesOn {
-		c.refuseTimer = time.AfterFunc(remaining, func() { c.refuseIfStopped(number) })
-	}
-	c.listener.mu.Unlock()
-	if !goesOn {
-		c.refuse(number, http.StatusRequestTimeout)
-	}
-}
-
-// refuse answers the request of a number that is not complete yet, and ends the sending. net/http, which may be reading
-// it, sees its end.
-func (c *connection) refuse(number, status int) {
-	c.listener.mu.Lock()
-	refused := c.phase == phaseReading && c.requestNumber == number
-	if refused {
-		c.phase = phaseRefused
-		c.stopReading()
-	}
-	c.listener.mu.Unlock()
-	if !refused {
-		return
-	}
-	// An error means that the client has gone.
-	_ = c.SetWriteDeadline(time.Now().Add(closeLinger))
-	_, _ = fmt.Fprintf(c.Conn, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
-	socket.CloseWrite(c.Conn)
-	_ = c.Conn.SetReadDeadline(time.Now()) // ends a read that waits
-}
-
-// retire takes the connection out of use and reports whether it was in use until now; if so, the caller closes it by
-// closeRetired next. The caller holds listener.mu.
-func (c *connection) retire() (first bool) {
-	first = c.phase != phaseRetired
-	c.leaveIdle()
-	c.phase = phaseRetired
-	c.stopReading()
-	return first
-}
-
-// closeRetired closes a connection that was retired and gives back its slot.
-func (c *connection) closeRetired() error {
-	err := c.Conn.Close()
-	l := c.listener
-	l.mu.Lock()
-	l.open-- // not before: the descriptor is free only now
-	l.mu.Unlock()
-	select {
-	case l.released <- struct{}{}:
-	default:
-	}
-	return err
+	c, _ := r.Context().Value(connectionKey{}).(*connection)
+	return c
 }
 
 // Read takes an idle connection off the idle list before it reads any of its bytes. Otherwise a connection whose
@@ -202,94 +53,82 @@
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	c.listener.mu.Lock()
-	defer c.listener.mu.Unlock()
-	switch {
-	case c.phase == phaseRefused:
-		return 0, net.ErrClosed // what was read belongs to a request that is answered
-	case c.phase == phaseServing && n > 0:
-		c.nextBegun = true // read by net/http as it looked for a disconnect
-	case c.phase == phaseReading && n > 0:
-		c.reads++
-		c.lastByteAt = time.Now()
+	if rejected := c.noteRead(n); rejected != nil {
+		return 0, rejected
 	}
 	return n, err
 }
 
-// awaitFirstByte waits until an idle connection has something to be read, and notes that a request has begun.
+// awaitFirstByte waits until an idle connection has something to be read.
 func (c *connection) awaitFirstByte() error {
-	l := c.listener
-	l.mu.Lock()
-	idle := c.phase == phaseIdle
-	l.mu.Unlock()
-	if idle {
+	if c.isIdle() {
 		if err := socket.WaitReadable(c.Conn); err != nil {
 			return err
 		}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if c.phase == phaseRefused || c.phase == phaseRetired {
-		return net.ErrClosed
-	}
-	if c.phase == phaseIdle {
-		c.beginRequest()
-	}
-	return nil
+	return c.noteReadable()
 }
 
-// continueLine begins what net/http writes while a request is still being read.
-var continueLine = []byte("HTTP/1.1 100 ")
-
-// Write writes a response. That of net/http to a malformed request ends the reading of it.
+// Write writes a response. One that net/http writes itself, to a malformed request, ends the reading of that request.
 func (c *connection) Write(p []byte) (int, error) {
-	if !c.mayWrite(bytes.HasPrefix(p, continueLine)) {
+	if !c.mayWrite(p) {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(p)
 }
 
-func (c *connection) mayWrite(readingGoesOn bool) bool {
-	c.listener.mu.Lock()
-	defer c.listener.mu.Unlock()
-	if readingGoesOn {
-		return c.phase == phaseReading || c.phase == phaseServing
+func (c *connection) mayWrite(p []byte) bool {
+	if bytes.HasPrefix(p, continueLine) {
+		return c.mayContinue()
 	}
-	return c.startServing()
+	return c.completeRequest()
 }
 
-// SetReadDeadline sets the deadline of reads, unless a request is being read: its own time counts then.
+// SetReadDeadline sets the deadline of reads, unless a request is being read, which has a timer of its own.
 func (c *connection) SetReadDeadline(t time.Time) error {
-	c.listener.mu.Lock()
-	defer c.listener.mu.Unlock()
-	if c.phase == phaseReading {
+	c.table.mu.Lock() // held over the call: enterReading must not clear the deadline before it is set
+	defer c.table.mu.Unlock()
+	if c.state.phase == phaseReading {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
+// answerIncomplete answers a request that was rejected before it was complete, and ends the sending. A read by net/http
+// that waits for more of the request ends. Errors mean that the client has gone.
+func (c *connection) answerIncomplete(status int) {
+	_ = c.SetWriteDeadline(time.Now().Add(closeLinger))
+	_, _ = fmt.Fprintf(c.Conn, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+		status, http.StatusText(status))
+	socket.CloseWrite(c.Conn)
+	_ = c.Conn.SetReadDeadline(time.Now())
+}
+
 // Close closes the connection and gives back its slot. A close over unread bytes resets the connection, and a response
-// that is still on its way goes with it: then the sending ends first, and what comes is dropped for a while.
+// that is still on its way is lost with it: then the sending ends first, and what comes is dropped for a while.
 func (c *connection) Close() error {
-	c.listener.mu.Lock()
-	refused := c.phase == phaseRefused
-	first := c.retire()
-	c.listener.mu.Unlock()
-	if !first {
+	previous := c.beginClose()
+	if previous == phaseClosing {
 		return c.Conn.Close()
 	}
-	if refused || socket.HasUnread(c.Conn) {
+	if previous == phaseRejected || socket.HasUnread(c.Conn) {
 		go c.lingerAndClose() // ends after closeLinger at the latest
 		return nil
 	}
-	return c.closeRetired()
+	return c.finishClose()
 }
 
-// lingerAndClose ends the sending, drops what still comes, and closes the connection. Errors are of no interest: the
+// lingerAndClose ends the sending, drops what still comes, and closes the connection. Errors are ignored: the
 // connection ends in any case.
 func (c *connection) lingerAndClose() {
 	socket.CloseWrite(c.Conn)
 	_ = c.Conn.SetReadDeadline(time.Now().Add(closeLinger))
-	_, _ = io.CopyN(io.Discard, c.Conn, closeLingerBytes)
-	_ = c.closeRetired()
+	_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes)
+	_ = c.finishClose()
+}
+
+// finishClose closes a connection in phaseClosing. Its slot is free only now, since until then it holds a descriptor.
+func (c *connection) finishClose() error {
+	defer c.table.release()
+	return c.Conn.Close()
 }
--- /dev/null
+++ b/internal/frontend/connectionstate.go
@@ -0,0 +1,279 @@
+package frontend
+
+import (
+	"container/list"
+	"net"
+	"net/http"
+	"time"
+
+	"ashshunt/internal/socket"
+)
+
+// phase is the state of a connection.
+//
+//	            first byte                   complete, or answered with an error
+//	phaseIdle --------------> phaseReading --------------------------------------> phaseServing
+//	    ^                      |        ^                                            |     |
+//	    |                      |        +---- response out, next request begun ------+     |
+//	    +----------------------|------------- response out --------------------------------+
+//	                           |  too slow, or shutdown
+//	                           +--------------------------> phaseRejected
+//
+// Each phase leads to phaseClosing, by Close or, if idle, by the table. Only the enter methods change the phase, and
+// their caller holds the table's mutex.
+type phase uint8
+
+const (
+	// phaseIdle: no byte of a request has been read. The table may close the connection at any time.
+	phaseIdle phase = iota
+	// phaseReading: a request has begun and is not complete. The connection is in the table's set of incomplete
+	// requests, and the request's timer runs. Deadlines that net/http sets have no effect.
+	phaseReading
+	// phaseServing: a request is complete, or is being answered with an error.
+	phaseServing
+	// phaseRejected: an incomplete request has been answered. Reads and writes fail, and Close drops what still comes.
+	phaseRejected
+	// phaseClosing: the connection is closed, or about to be, by whoever has moved it here. Reads and writes fail.
+	phaseClosing
+)
+
+// connectionState is the state of a connection. The mutex of the connection's table guards it.
+type connectionState struct {
+	phase       phase
+	used        bool          // a request has begun on the connection
+	nextBegun   bool          // some of the next request has been read while one was served
+	idleElement *list.Element // in the table's idle list; nil if not in it
+	idleSince   time.Time
+	request     requestProgress
+}
+
+// isOver reports whether no request can be served any more.
+func (s *connectionState) isOver() bool { return s.phase == phaseRejected || s.phase == phaseClosing }
+
+// isReading reports whether the request of a number is being read.
+func (s *connectionState) isReading(number int) bool {
+	return s.phase == phaseReading && s.request.number == number
+}
+
+// requestProgress says how far the request that is being read has come.
+type requestProgress struct {
+	number     int // counts the requests that have begun on the connection
+	begunAt    time.Time
+	reads      int // that returned bytes of the request
+	lastReadAt time.Time
+	timer      *time.Timer // rejects the request; nil before the first one
+}
+
+// remaining is the time until the request is rejected. One that comes in several reads is only slow: its time runs
+// from the last of them, up to a limit for the request as a whole.
+func (p *requestProgress) remaining(timeouts *Timeouts) time.Duration {
+	if p.reads <= 1 {
+		return 0
+	}
+	end := p.lastReadAt.Add(timeouts.ReadRequest)
+	if last := p.begunAt.Add(timeouts.ReadSlowRequest); last.Before(end) {
+		end = last
+	}
+	return time.Until(end)
+}
+
+func (p *requestProgress) stopTimer() {
+	if p.timer != nil {
+		p.timer.Stop() // one that has fired finds another phase
+	}
+}
+
+// The events of a connection follow. Each takes the table's mutex.
+
+func (c *connection) isIdle() bool {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	return c.state.phase == phaseIdle
+}
+
+// noteReadable notes that there is something to be read, which begins a request on an idle connection. It fails if
+// the connection must not be read.
+func (c *connection) noteReadable() error {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	if c.state.isOver() {
+		return net.ErrClosed
+	}
+	if c.state.phase == phaseIdle {
+		c.enterReading()
+	}
+	return nil
+}
+
+// noteRead notes that n bytes have been read. It fails if they belong to a request that was rejected meanwhile.
+func (c *connection) noteRead(n int) error {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	switch c.state.phase {
+	case phaseReading:
+		if n > 0 {
+			c.state.request.reads++
+			c.state.request.lastReadAt = time.Now()
+		}
+	case phaseServing:
+		if n > 0 { // net/http has read it to look for a disconnect
+			c.state.nextBegun = true
+		}
+	case phaseRejected:
+		return net.ErrClosed
+	case phaseIdle, phaseClosing:
+	}
+	return nil
+}
+
+// completeRequest notes that a request is complete, or is to be answered with an error. It reports false if there must
+// be no answer, since the request was rejected or the connection closed meanwhile.
+func (c *connection) completeRequest() bool {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	if c.state.isOver() {
+		return false
+	}
+	c.enterServing()
+	return true
+}
+
+// mayContinue reports whether a client may be told to go on sending its request.
+func (c *connection) mayContinue() bool {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	return c.state.phase == phaseReading || c.state.phase == phaseServing
+}
+
+// rejectIncomplete moves the connection to phaseRejected if the request of a number is still incomplete, and reports
+// whether it has done so. The caller sends the answer.
+func (c *connection) rejectIncomplete(number int) bool {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	if !c.state.isReading(number) {
+		return false
+	}
+	c.enterRejected()
+	return true
+}
+
+// rejectIfStopped is rejectIncomplete for a request whose timer has fired. One that still comes gets more time.
+func (c *connection) rejectIfStopped(number int) bool {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	if !c.state.isReading(number) {
+		return false
+	}
+	if remaining := c.state.request.remaining(c.table.timeouts); remaining > 0 {
+		c.startRequestTimer(remaining)
+		return false
+	}
+	c.enterRejected()
+	return true
+}
+
+// beginClose moves the connection to phaseClosing and returns the phase before. Unless that was phaseClosing already,
+// the caller calls finishClose next.
+func (c *connection) beginClose() (previous phase) {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	previous = c.state.phase
+	c.enterClosing()
+	return previous
+}
+
+// noteServerState follows the state that net/http reports. It reports whether the connection is in phaseClosing now
+// for the caller to close, since a shutdown has begun: its request may have been answered just before that, when the
+// response did not yet close the connection.
+func (c *connection) noteServerState(state http.ConnState) (closing bool) {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	switch state {
+	case http.StateNew:
+		c.awaitRequest()
+	case http.StateActive:
+		if c.state.phase == phaseIdle { // the bytes of the request came with those of the one before
+			c.enterReading()
+		}
+	case http.StateIdle:
+		c.awaitRequest()
+		if c.table.closing && c.state.phase == phaseIdle && !socket.HasUnread(c.Conn) {
+			c.enterClosing()
+			return true
+		}
+	case http.StateHijacked, http.StateClosed: // no handler hijacks; Close has noted the end
+	}
+	return false
+}
+
+// awaitRequest moves a connection without an open request to phaseIdle, or to phaseReading if its next request has
+// begun. The caller holds the table's mutex.
+func (c *connection) awaitRequest() {
+	switch {
+	case c.state.isOver() || c.state.idleElement != nil:
+	case c.state.nextBegun:
+		c.enterReading()
+	default:
+		c.enterIdle()
+	}
+}
+
+// The transitions follow. Their caller holds the table's mutex.
+
+// enterIdle puts the connection into the idle list.
+func (c *connection) enterIdle() {
+	c.leaveReading()
+	c.state.phase = phaseIdle
+	c.table.idle.add(c)
+}
+
+// enterReading notes the first byte of a request and starts its timer. The time of the first request on a connection
+// includes that from the connect to this byte.
+func (c *connection) enterReading() {
+	allowed := c.table.timeouts.ReadRequest
+	if !c.state.used {
+		allowed = max(minReadTime, allowed-time.Since(c.acceptedAt))
+	}
+	c.table.idle.remove(c)
+	c.table.incomplete[c] = struct{}{}
+	c.state.phase = phaseReading
+	c.state.used = true
+	c.state.nextBegun = false
+	c.state.request = requestProgress{number: c.state.request.number + 1, begunAt: time.Now()}
+	c.startRequestTimer(allowed)
+	_ = c.Conn.SetReadDeadline(time.Time{}) // ends the idle timeout; fails on a connection that has ended
+}
+
+// enterServing ends the request's timer. A malformed request that came with the one before is answered from phaseIdle:
+// net/http reports no StateActive for it.
+func (c *connection) enterServing() {
+	c.leaveReading()
+	c.state.phase = phaseServing
+}
+
+func (c *connection) enterRejected() {
+	c.leaveReading()
+	c.state.phase = phaseRejected
+}
+
+func (c *connection) enterClosing() {
+	c.table.idle.remove(c)
+	c.leaveReading()
+	c.state.phase = phaseClosing
+}
+
+// leaveReading undoes what enterReading has set up, if the connection is in phaseReading.
+func (c *connection) leaveReading() {
+	delete(c.table.incomplete, c)
+	c.state.request.stopTimer()
+}
+
+// startRequestTimer has the request that is being read rejected after a while, unless it still comes by then.
+func (c *connection) startRequestTimer(after time.Duration) {
+	number := c.state.request.number
+	c.state.request.timer = time.AfterFunc(after, func() {
+		if c.rejectIfStopped(number) {
+			c.answerIncomplete(http.StatusRequestTimeout)
+		}
+	})
+}
--- /dev/null
+++ b/internal/frontend/connectiontable.go
@@ -0,0 +1,204 @@
+package frontend
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"ashshunt/internal/socket"
+)
+
+// minSlotWait keeps a wait for a free slot from spinning.
+const minSlotWait = time.Millisecond
+
+// connectionTable holds the open connections of a listener, and bounds their number: each holds a descriptor, and
+// clients that stay silent, or send one request and stay, would take them all. Its mutex also guards the states of the
+// connections. It is never held over I/O that may block.
+type connectionTable struct {
+	limit    int           // of open connections; 0: none
+	timeouts *Timeouts     // must not change once a connection is open
+	released chan struct{} // holds a value once a connection has ended
+
+	mu         sync.Mutex
+	open       int                      // connections that hold a descriptor
+	closing    bool                     // shutting down: no connection stays open without a request
+	idle       idleList                 // connections in phaseIdle, except for those found with unread bytes
+	incomplete map[*connection]struct{} // connections in phaseReading
+}
+
+func newConnectionTable(limit int, timeouts *Timeouts) *connectionTable {
+	return &connectionTable{
+		limit:      limit,
+		timeouts:   timeouts,
+		released:   make(chan struct{}, 1),
+		incomplete: map[*connection]struct{}{},
+	}
+}
+
+// add returns an accepted connection as one of the open ones.
+func (t *connectionTable) add(accepted net.Conn) *connection {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.open++
+	return &connection{Conn: socket.NewConn(accepted), table: t, acceptedAt: time.Now()}
+}
+
+// release gives back the slot of a connection that has been closed.
+func (t *connectionTable) release() {
+	t.removeOne()
+	select {
+	case t.released <- struct{}{}:
+	default:
+	}
+}
+
+func (t *connectionTable) removeOne() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.open--
+}
+
+// counts returns how many connections are open, and how many of these are without an open request.
+func (t *connectionTable) counts() (open, idle int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.open, t.idle.len()
+}
+
+// nearLimit reports whether connections begin to run short. Then each is closed with its response: clients that send
+// one request and stay would otherwise take all that there are, until each has been idle for long enough to be
+// reclaimed. The price is that clients which would have sent another request connect anew.
+func (t *connectionTable) nearLimit() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.limit > 0 && t.open > t.limit/2
+}
+
+// freeSlot makes sure that the limit allows one more connection, if need be by closing an idle one. Otherwise it
+// returns how long to wait before it is called again.
+func (t *connectionTable) freeSlot(now time.Time) (wait time.Duration, ok bool) {
+	reclaimed, wait, ok := t.claimSlot(now)
+	if reclaimed != nil {
+		_ = reclaimed.finishClose() // the descriptor is free in any case
+	}
+	return wait, ok
+}
+
+// claimSlot is freeSlot, except that its caller closes the connection that was reclaimed, if any.
+func (t *connectionTable) claimSlot(now time.Time) (reclaimed *connection, wait time.Duration, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.limit == 0 || t.open < t.limit {
+		return nil, 0, true
+	}
+	reclaimed, wait = t.reclaimIdle(now)
+	if reclaimed == nil {
+		return nil, max(wait, minSlotWait), false
+	}
+	return reclaimed, 0, true
+}
+
+// reclaimIdle moves the connection that has been idle for longest to phaseClosing, if it has been idle for long enough.
+// Otherwise it returns when the next one will have been. The caller holds the mutex.
+func (t *connectionTable) reclaimIdle(now time.Time) (reclaimed *connection, wait time.Duration) {
+	wait = t.timeouts.ReclaimIdle
+	for c := range t.idle.all() {
+		minIdle := t.minIdle(c)
+		if idle := now.Sub(c.state.idleSince); idle < minIdle {
+			wait = min(wait, minIdle-idle)
+			continue
+		}
+		if socket.HasUnread(c.Conn) { // a request has come that is not read yet
+			t.idle.remove(c)
+			continue
+		}
+		c.enterClosing()
+		return c, 0
+	}
+	return nil, wait
+}
+
+// minIdle is how long a connection must have been idle before it may be reclaimed.
+func (t *connectionTable) minIdle(c *connection) time.Duration {
+	if c.state.used {
+		return t.timeouts.ReclaimIdle
+	}
+	return t.timeouts.ReclaimUnused
+}
+
+// closeUsedIdle closes the connections that have had a request and are without an open one, and from now on each as
+// its response is out. Those that have not had a request yet stay: who connects now is about to send one.
+func (t *connectionTable) closeUsedIdle() {
+	t.closeIdle(func(c *connection) bool { return c.state.used })
+}
+
+// closeAllIdle closes all connections without an open request.
+func (t *connectionTable) closeAllIdle() {
+	t.closeIdle(func(*connection) bool { return true })
+}
+
+// closeIdle closes the idle connections that match, and from now on each as its response is out.
+func (t *connectionTable) closeIdle(match func(*connection) bool) {
+	for _, c := range t.beginCloseIdle(match) {
+		_ = c.finishClose() // nothing was under way on it
+	}
+}
+
+// beginCloseIdle moves the idle connections that match to phaseClosing, and returns them. One whose next request has
+// come, though it is not read yet, is not idle.
+func (t *connectionTable) beginCloseIdle(match func(*connection) bool) (closing []*connection) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.closing = true
+	for c := range t.idle.all() {
+		if match(c) && !socket.HasUnread(c.Conn) {
+			c.enterClosing()
+			closing = append(closing, c)
+		}
+	}
+	return closing
+}
+
+// rejectIncomplete answers the requests that have begun and are not complete, and closes their connections.
+func (t *connectionTable) rejectIncomplete(status int) {
+	for c, number := range t.incompleteRequests() {
+		if c.rejectIncomplete(number) {
+			c.answerIncomplete(status)
+		}
+	}
+}
+
+// incompleteRequests returns the numbers of the incomplete requests, by connection.
+func (t *connectionTable) incompleteRequests() map[*connection]int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	numbers := make(map[*connection]int, len(t.incomplete))
+	for c := range t.incomplete {
+		numbers[c] = c.state.request.number
+	}
+	return numbers
+}
+
+// waitUntilEmpty waits until no connection is open, or ctx ends.
+func (t *connectionTable) waitUntilEmpty(ctx context.Context) {
+	for {
+		if open, _ := t.counts(); open == 0 {
+			return
+		}
+		select {
+		case <-t.released:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// trackState is the ConnState hook of the http.Server.
+func (t *connectionTable) trackState(conn net.Conn, state http.ConnState) {
+	c, ok := conn.(*connection)
+	if ok && c.noteServerState(state) {
+		_ = c.finishClose() // nothing was under way on it
+	}
+}
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -20,8 +20,8 @@
 // errDisconnected reports that a request's client has closed its connection.
 var errDisconnected = errors.New("client disconnected")
 
-// errRefused reports that a request took too long to come and has been answered.
-var errRefused = errors.New("request refused before it was complete")
+// errRejectedIncomplete reports that a request took too long to come and has been answered.
+var errRejectedIncomplete = errors.New("request rejected before it was complete")
 
 // errLoopEnded reports that the event loop has ended: no response comes any more.
 var errLoopEnded = errors.New("event loop has ended")
@@ -116,7 +116,7 @@
 		arrived = time.Now() // a request's time counts from its last byte
 	}
 	if !client.completeRequest() {
-		return nil, errRefused
+		return nil, errRejectedIncomplete
 	}
 	// The client may have gone while its request waited to be read.
 	if err := checkDisconnect(client); err != nil {
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -68,7 +68,7 @@
 	first := testutil.Dial(t, server.Addr(), testutil.Post(id, ""))
 	testutil.Receive(t, submitted)
 	second := testutil.Dial(t, server.Addr(), testutil.Post(otherID, "")) // waits in the system's queue
-	if wait, ok := server.listener.freeSlot(time.Now().Add(time.Hour)); ok {
+	if wait, ok := server.connections.freeSlot(time.Now().Add(time.Hour)); ok {
 		t.Errorf("a slot was freed under an open request (wait %v)", wait)
 	}
 	close(gate)
@@ -106,8 +106,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	accepted = conn.(*connection)
-	listener.trackState(accepted, http.StateNew)
+	accepted, ok := conn.(*connection)
+	if !ok {
+		t.Fatalf("accepted a %T", conn)
+	}
+	listener.table.trackState(accepted, http.StateNew)
 	return client, accepted
 }
 
@@ -118,7 +121,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := newListener(inner, 1, &Timeouts{ReadRequest: testutil.Timeout}, testutil.NewLogger(&testutil.Log{}))
+	table := newConnectionTable(1, &Timeouts{ReadRequest: testutil.Timeout})
+	listener := newListener(inner, table, testutil.NewLogger(&testutil.Log{}))
 	t.Cleanup(func() { _ = listener.Close() })
 	return listener
 }
@@ -132,12 +136,12 @@
 	client, conn := listenerClient(t, listener)
 	testutil.Write(t, client, "request")
 	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(conn.Conn) })
-	listener.closeAllIdle()
+	listener.table.closeAllIdle()
 	if n, err := conn.Read(buffer); n != len("request") || err != nil {
 		t.Fatalf("a request that waits to be read: %d bytes, %v", n, err)
 	}
-	listener.closeAllIdle() // read, but net/http has not made a request of it yet
-	if _, ok := listener.freeSlot(time.Now()); ok {
+	listener.table.closeAllIdle() // read, but net/http has not made a request of it yet
+	if _, ok := listener.table.freeSlot(time.Now()); ok {
 		t.Error("a slot was freed under a request that is being read")
 	}
 	testutil.Write(t, client, "more")
@@ -149,26 +153,24 @@
 	}
 
 	client, conn = listenerClient(t, listener)
-	listener.mu.Lock()
-	first := conn.retire() // it was about to be closed as the request came
-	listener.mu.Unlock()
+	previous := conn.beginClose() // it was about to be closed as the request came
 	testutil.Write(t, client, "request")
 	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(conn.Conn) })
 	if n, err := conn.Read(buffer); n != 0 || err == nil {
-		t.Errorf("read %d bytes of a retired connection, %v", n, err)
+		t.Errorf("read %d bytes of a closing connection, %v", n, err)
 	}
-	if !first || conn.retire() {
-		t.Error("a connection must be retired once")
+	if previous == phaseClosing || conn.beginClose() != phaseClosing {
+		t.Error("a connection must begin to close once")
 	}
-	if err := conn.closeRetired(); err != nil {
+	if err := conn.finishClose(); err != nil {
 		t.Error(err)
 	}
 
 	_, conn = listenerClient(t, listener)
-	listener.trackState(conn, http.StateActive)
-	listener.trackState(conn, http.StateIdle) // its response was on its way out as the shutdown began
-	if open, _ := listener.counts(); conn.phase != phaseRetired || open != 0 {
-		t.Errorf("idle in a shutdown: phase %d, %d open", conn.phase, open)
+	listener.table.trackState(conn, http.StateActive)
+	listener.table.trackState(conn, http.StateIdle) // its response was on its way out as the shutdown began
+	if open, _ := listener.table.counts(); conn.state.phase != phaseClosing || open != 0 {
+		t.Errorf("idle in a shutdown: phase %d, %d open", conn.state.phase, open)
 	}
 }
 
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -7,9 +7,6 @@
 	"time"
 )
 
-// lingerBytes is how much of the rest of a rejected request is read before its connection is closed.
-const lingerBytes = 256 << 10
-
 // writeResponse writes the final answer to a request.
 func writeResponse(w http.ResponseWriter, response Response) {
 	header := w.Header()
@@ -31,5 +28,5 @@
 	w.Header().Set("Connection", "close")
 	http.Error(w, invalid.Reason, invalid.Status)
 	_ = controller.Flush()
-	_, _ = io.CopyN(io.Discard, r.Body, lingerBytes)
+	_, _ = io.CopyN(io.Discard, r.Body, maxLingerBytes)
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -57,19 +57,21 @@
 type Server struct {
 	Timeouts Timeouts // may be changed until Serve is called
 
-	listener *connectionListener
-	handler  *handler
-	http     *http.Server
+	connections *connectionTable
+	listener    *connectionListener
+	handler     *handler
+	http        *http.Server
 }
 
 // NewServer returns a server for the connections of a listener. It answers once Serve is called.
 func NewServer(listener net.Listener, c *config.Config, clock clock.Clock, loop EventLoop, log *slog.Logger) *Server {
 	s := &Server{Timeouts: DefaultTimeouts()}
-	s.listener = newListener(listener, c.ClientConnections(), &s.Timeouts, log)
-	s.handler = newHandler(c, clock, loop, &s.Timeouts, s.listener.nearLimit)
+	s.connections = newConnectionTable(c.ClientConnections(), &s.Timeouts)
+	s.listener = newListener(listener, s.connections, log)
+	s.handler = newHandler(c, clock, loop, &s.Timeouts, s.connections.nearLimit)
 	s.http = &http.Server{
 		Handler:        s.handler,
-		ConnState:      s.listener.trackState,
+		ConnState:      s.connections.trackState,
 		ConnContext:    withConnection,
 		MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
@@ -93,23 +95,23 @@
 
 // CloseUsedIdle closes the connections that have had a request and are without an open one, and from now on each as
 // its response is out. Those that have not had one yet stay: who connects now is about to send one.
-func (s *Server) CloseUsedIdle() { s.listener.closeUsedIdle() }
+func (s *Server) CloseUsedIdle() { s.connections.closeUsedIdle() }
 
 // CloseAllIdle closes all connections that are without an open request.
-func (s *Server) CloseAllIdle() { s.listener.closeAllIdle() }
+func (s *Server) CloseAllIdle() { s.connections.closeAllIdle() }
 
 // RejectIncomplete rejects the requests that have begun and are not complete, and closes their connections.
-func (s *Server) RejectIncomplete() { s.listener.refuseIncomplete(http.StatusServiceUnavailable) }
+func (s *Server) RejectIncomplete() { s.connections.rejectIncomplete(http.StatusServiceUnavailable) }
 
 // StopAccepting closes the listener. Open connections are not touched. An error changes nothing: the system takes the
 // descriptor back in any case.
 func (s *Server) StopAccepting() { _ = s.listener.Close() }
 
 // WaitUntilEmpty waits until no connection is open, or ctx ends.
-func (s *Server) WaitUntilEmpty(ctx context.Context) { s.listener.waitUntilEmpty(ctx) }
+func (s *Server) WaitUntilEmpty(ctx context.Context) { s.connections.waitUntilEmpty(ctx) }
 
 // Close closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
 
 // Connections returns how many connections are open, and how many of these are without an open request.
-func (s *Server) Connections() (open, idle int) { return s.listener.counts() }
+func (s *Server) Connections() (open, idle int) { return s.connections.counts() }
