--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -19,7 +19,7 @@
 	case balancer.Reject:
 		l.reject(action)
 	case balancer.Fail:
-		l.fail(action.Request)
+		l.fail(action)
 	case balancer.SetTimer:
 		l.timers.add(&timer{at: now + max(0, action.After), token: action.Token})
 	case balancer.HealthCheck:
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -11,85 +11,90 @@
 	"ashshunt/internal/upstream"
 )
 
-// startAttempt starts an attempt. Every Send takes the request's next attempt number and gets exactly one outcome.
+// startAttempt starts an attempt. Every Send takes the request's next attempt number and gets exactly one outcome,
+// also where nothing may be sent.
 func (l *eventLoop) startAttempt(ctx context.Context, now time.Duration, action balancer.Send) {
-	r := l.requests[action.Request]
+	r := l.requests.find(action.Request)
 	if r == nil {
 		l.log.Error(telemetry.MsgAttemptNotOpen, telemetry.Request(action.Request))
 		return
 	}
-	number := len(r.attemptCancels)
 	attemptCtx, cancel := context.WithCancel(ctx)
-	r.attemptCancels = append(r.attemptCancels, cancel)
-	r.inFlight++
 	outcome := balancer.Outcome{
 		Request:  action.Request,
-		Attempt:  number,
+		Attempt:  r.beginAttempt(cancel),
 		Endpoint: action.Endpoint,
 		Result:   balancer.NotSent,
 	}
-	end := l.attemptEnd(now, r, action.Timeout)
-	if r.answered || number >= max(1, l.settings.MaxAttempts) || now >= end {
+	deadline := l.attemptDeadline(now, r, action.Timeout)
+	if r.isOver() || r.attempts() > l.maxAttempts() || now >= deadline {
 		l.finishAttempt(r, outcome, nil)
 		return
 	}
-	bounds := upstream.Bounds{Deadline: l.clock.Time(end)}
-	if action.NotAfter > 0 {
-		bounds.NotAfter = l.clock.Time(action.NotAfter)
-	}
-	go func() { // ends with the attempt, at the deadline at the latest
-		result, response := l.upstream.Attempt(attemptCtx, r.upstream, action.Endpoint, bounds)
-		outcome.Result = result
-		outcome.Latency = l.clock.At(response.EndedAt) - now
-		outcome.LoadReport = response.LoadReport()
-		l.post(attemptFinished{request: r, outcome: outcome, response: response})
-	}()
+	go l.runAttempt(attemptCtx, r, outcome, now, l.attemptBounds(deadline, action.NotAfter)) // ends by the deadline
 }
 
-// attemptEnd is when an attempt that starts now has to end. timeout is the module's own bound; 0: it sets none.
-func (l *eventLoop) attemptEnd(now time.Duration, r *openRequest, timeout time.Duration) time.Duration {
-	end := r.attemptDeadline
-	if l.shutdownDeadline > 0 {
-		end = min(end, l.shutdownDeadline-attemptMargin)
+// maxAttempts is the number of attempts that a request may have.
+func (l *eventLoop) maxAttempts() int { return max(1, l.settings.MaxAttempts) }
+
+// attemptDeadline is when an attempt that starts now has to end, on the agent's clock. timeout is the decision
+// module's own bound; 0: it sets none.
+func (l *eventLoop) attemptDeadline(now time.Duration, r *openRequest, timeout time.Duration) time.Duration {
+	deadline := r.attemptDeadline
+	if l.isShuttingDown() {
+		deadline = min(deadline, l.shutdownDeadline-attemptMargin)
 	}
 	if timeout > 0 {
-		end = min(end, now+timeout)
+		deadline = min(deadline, now+timeout)
 	}
-	return end
+	return deadline
 }
 
-// cancelAttempt gives up an attempt that is in flight.
-func (l *eventLoop) cancelAttempt(action balancer.Cancel) {
-	r := l.requests[action.Request]
-	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attemptCancels) {
-		return
+// attemptBounds translates times on the agent's clock for the upstream client. A notAfter of 0 means none.
+func (l *eventLoop) attemptBounds(deadline, notAfter time.Duration) upstream.Bounds {
+	bounds := upstream.Bounds{Deadline: l.clock.Time(deadline)}
+	if notAfter > 0 {
+		bounds.NotAfter = l.clock.Time(notAfter)
 	}
-	if cancel := r.attemptCancels[action.Attempt]; cancel != nil {
-		cancel()
+	return bounds
+}
+
+// runAttempt makes an attempt that starts at a time on the agent's clock, and posts its outcome. It runs on a goroutine
+// of its own, and reads nothing of the request that changes.
+func (l *eventLoop) runAttempt(ctx context.Context, r *openRequest, outcome balancer.Outcome, start time.Duration,
+	bounds upstream.Bounds) {
+	result, response := l.upstream.Attempt(ctx, r.upstream, outcome.Endpoint, bounds)
+	outcome.Result = result
+	outcome.Latency = l.clock.At(response.EndedAt) - start
+	outcome.LoadReport = response.LoadReport()
+	l.post(attemptFinished{request: r, outcome: outcome, response: response})
+}
+
+// cancelAttempt cancels an attempt for the decision module. Its outcome follows.
+func (l *eventLoop) cancelAttempt(action balancer.Cancel) {
+	if r := l.requests.find(action.Request); r != nil {
+		r.cancelAttempt(action.Attempt)
 	}
 }
 
-// finishAttempt takes the outcome of an attempt. The first response that was served goes to the client without the
-// module's word.
+// finishAttempt notes the outcome of an attempt and passes it to the decision module. The first response that was
+// served goes to the client at once, without a decision.
 func (l *eventLoop) finishAttempt(r *openRequest, outcome balancer.Outcome, body []byte) {
-	r.attemptCancels[outcome.Attempt]()
-	r.attemptCancels[outcome.Attempt] = nil
-	r.inFlight--
-	r.mayHaveRun = r.mayHaveRun || l.mayHaveRun(outcome.Result)
-	if outcome.Result == balancer.Served && !r.answered {
-		l.respond(r, frontend.Response{Status: http.StatusOK, Body: body})
+	r.endAttempt(outcome.Attempt, l.mayHaveRun(outcome.Result))
+	if outcome.Result == balancer.Served && !r.isOver() {
+		l.answer(r, frontend.Response{Status: http.StatusOK, Body: body})
 	}
-	outcome.Done = r.answered
-	l.removeIfComplete(r)
+	outcome.Done = r.isOver()
+	l.requests.removeIfComplete(r)
 	l.addEvent(outcome)
 }
 
-// mayHaveRun reports whether an attempt that ended so may have had an effect.
+// mayHaveRun reports whether an attempt with a result may have had an effect.
 func (l *eventLoop) mayHaveRun(result balancer.Result) bool {
 	return !result.NeverRan() || l.settings.RejectedMayHaveRun && result == balancer.Rejected
 }
 
-// startHealthCheck examines an endpoint outside any request.
+// startHealthCheck checks an endpoint outside any request.
 func (l *eventLoop) startHealthCheck(ctx context.Context, endpointID string) {
 	start := l.clock.Now()
 	go func() { // ends with the health check, which has a timeout of its own
--- /dev/null
+++ b/internal/agent/deadlineguard.go
@@ -0,0 +1,82 @@
+package agent
+
+import (
+	"net/http"
+	"time"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/frontend"
+	"ashshunt/internal/telemetry"
+)
+
+const (
+	// attemptMargin is how long before a request's deadline its attempts end, and its time is up for the decision
+	// module, so that its final answer is written in time.
+	attemptMargin = 20 * time.Millisecond
+	// minAttemptMargin is how long before the deadline attempts end at the latest, where a step came late.
+	minAttemptMargin = 2 * guardMargin
+	// guardMargin is how long before the deadline the deadline guard answers, so that the last byte is written in time.
+	guardMargin = 5 * time.Millisecond
+)
+
+// setTimeout returns the event of a request with the timeout that the decision module gets, and sets the end of the
+// request's attempts.
+func (l *eventLoop) setTimeout(now time.Duration, event balancer.Request) balancer.Request {
+	r := l.requests.find(event.ID)
+	if r == nil {
+		return event
+	}
+	arrived, deadline := r.client.Arrived, r.client.Deadline
+	// A step comes within a tick of an arrival. A longer delay is this machine's, and the module would treat a client
+	// with a shorter timeout as one that retries.
+	stepDelay := min(now-arrived, l.tick)
+	event.Timeout = deadline - attemptMargin - arrived - stepDelay
+	// An attempt that times out with the request must not do so before the module's deadline for that: the module
+	// would wait for a retry that can't come, until the deadline guard answers.
+	r.attemptDeadline = min(now+event.Timeout, deadline-minAttemptMargin)
+	return event
+}
+
+// setDeadlineGuard sets or moves the deadline guard of a request: the timer that answers it if the decision module has
+// not done so in time.
+func (l *eventLoop) setDeadlineGuard(r *openRequest) {
+	if r.isOver() {
+		return
+	}
+	at := r.client.Deadline - guardMargin
+	if l.isShuttingDown() {
+		at = min(at, l.shutdownDeadline)
+	}
+	l.removeDeadlineGuard(r)
+	r.deadlineGuard = &timer{at: at, request: r}
+	l.timers.add(r.deadlineGuard)
+}
+
+// removeDeadlineGuard removes the timer, which would otherwise hold the request and its body until the deadline.
+func (l *eventLoop) removeDeadlineGuard(r *openRequest) {
+	if r.deadlineGuard != nil {
+		l.timers.remove(r.deadlineGuard)
+		r.deadlineGuard = nil
+	}
+}
+
+// expire answers a request whose deadline guard has fired, cancels its attempts, and tells the decision module. Unless
+// a shutdown or a short timeout explains the lack of an answer, it is an internal error; if one does, a request that was
+// never sent is rejected, so that its client may come again.
+func (l *eventLoop) expire(r *openRequest) {
+	if r.isOver() {
+		return
+	}
+	expected := l.isShuttingDown() || r.client.Event.Timeout <= attemptMargin
+	if !expected {
+		l.log.Error(telemetry.MsgNoFinalAnswer, telemetry.Request(r.id()),
+			"attempts", r.attempts(), "in_flight", r.inFlight)
+	}
+	status := http.StatusBadGateway
+	if expected && r.attempts() == 0 {
+		status = http.StatusServiceUnavailable
+	}
+	l.answer(r, frontend.Response{Status: status})
+	r.cancelAttempts()
+	l.addEvent(balancer.Abandoned{Request: r.id()})
+}
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -198,7 +198,7 @@
 		testutil.Receive(t, busy)
 		disconnect(client)
 		// The loop is held, and nothing else is in its table.
-		testutil.Eventually(t, "the disconnect", a.loop.requests[id].upstream.ClientGone)
+		testutil.Eventually(t, "the disconnect", a.loop.requests.find(id).upstream.ClientGone)
 		close(gate)
 		expectNotSent(t, outcomes, server)
 	})
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -20,7 +20,8 @@
 const (
 	// messageBuffer is how many messages may wait for the event loop before their senders do.
 	messageBuffer = 1024
-	// maxTick bounds the gap between two steps. Longer ones make sense in a simulation only: requests would wait for them.
+	// maxTick bounds the gap between two steps. Longer ones make sense in a simulation only, since requests wait for
+	// them.
 	maxTick = 10 * time.Millisecond
 	// maxSleep is the longest that the event loop sleeps when nothing is due.
 	maxSleep = time.Minute
@@ -51,9 +52,8 @@
 	lastStep         time.Duration    // when the module was last stepped
 	pending          []balancer.Event // for the next step
 	timers           timerQueue
-	requests         map[string]*openRequest // by request id
-	unanswered       int                     // requests without a final answer
-	shutdownDeadline time.Duration           // all requests are answered by then; 0: not shutting down
+	requests         requestTable
+	shutdownDeadline time.Duration // all requests are answered by then; 0: not shutting down
 }
 
 func newEventLoop(c *config.Config, clock clock.Clock, log *slog.Logger) (*eventLoop, error) {
@@ -78,7 +78,7 @@
 		done:     make(chan struct{}),
 		ready:    make(chan struct{}),
 		lastStep: clock.Now() - maxTick, // the first step is due at once
-		requests: map[string]*openRequest{},
+		requests: newRequestTable(),
 	}
 	l.discovery = discovery.New(l.discoveryOptions(c))
 	l.pending = append(l.pending, l.discovery.Known())
@@ -111,7 +111,10 @@
 		ConnectTimeout: c.Settings.ConnectTimeout,
 		DrainGrace:     c.Settings.DrainGrace,
 		Seed:           c.Seed,
-		SlowStart:      discovery.SlowStart{Duration: c.Settings.SlowStartDuration, MinCapacity: c.Settings.SlowStartMinCapacity},
+		SlowStart: discovery.SlowStart{
+			Duration:    c.Settings.SlowStartDuration,
+			MinCapacity: c.Settings.SlowStartMinCapacity,
+		},
 	}
 }
 
@@ -174,7 +177,7 @@
 	l.pending = nil
 	for i, event := range events {
 		if request, ok := event.(balancer.Request); ok {
-			events[i] = l.withTimeLeft(now, request)
+			events[i] = l.setTimeout(now, request)
 		}
 	}
 	l.lastStep = now
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -32,7 +32,7 @@
 	discoveryMoved struct{ addr string }
 )
 
-func (m requestSubmitted) apply(_ context.Context, l *eventLoop) { l.admit(m.request) }
+func (m requestSubmitted) apply(_ context.Context, l *eventLoop) { l.submit(m.request) }
 
 func (m requestAbandoned) apply(_ context.Context, l *eventLoop) { l.abandon(m.request) }
 
--- /dev/null
+++ b/internal/agent/openrequest.go
@@ -0,0 +1,150 @@
+package agent
+
+import (
+	"context"
+	"time"
+
+	"ashshunt/internal/frontend"
+	"ashshunt/internal/upstream"
+)
+
+// requestPhase is where a request is in its life. The phases follow one another; a request passes through either
+// phaseAnswered or phaseAbandoned. requestTable alone changes the phase, on the event loop's goroutine.
+type requestPhase uint8
+
+const (
+	// phaseSubmitted: the request waits for its answer. Its deadline guard is set.
+	phaseSubmitted requestPhase = iota
+	// phaseAnswered: the request has got its only response. Nothing more goes out for it, but attempts that were sent
+	// run on, so that their outcome is known.
+	phaseAnswered
+	// phaseAbandoned: as phaseAnswered, but without a response, since the client has disconnected.
+	phaseAbandoned
+	// phaseRemoved: the request is over and no attempt is in flight. It is not in the table, and its ID is free.
+	phaseRemoved
+)
+
+// openRequest is a request that was submitted, with its attempts.
+type openRequest struct {
+	client        *frontend.Request
+	upstream      *upstream.Request
+	phase         requestPhase
+	markDone      context.CancelFunc // ends upstream.Done, which tells attempts that the request is over
+	deadlineGuard *timer             // nil once the request is over
+
+	attemptDeadline time.Duration        // on the agent's clock: attempts end then; 0 until the module gets the request
+	attemptCancels  []context.CancelFunc // by attempt number; nil once the attempt has ended
+	inFlight        int                  // attempts that have not ended
+	mayHaveRun      bool                 // by the outcomes of the attempts that have ended
+}
+
+func newOpenRequest(client *frontend.Request) *openRequest {
+	done, markDone := context.WithCancel(context.Background())
+	return &openRequest{
+		client: client,
+		upstream: &upstream.Request{
+			ID:             client.Event.ID,
+			IdempotencyKey: client.IdempotencyKey,
+			Method:         client.Method,
+			Host:           client.Host,
+			Target:         client.Target,
+			Body:           client.Body,
+			Done:           done,
+			ClientGone:     client.ClientGone,
+		},
+		markDone: markDone,
+	}
+}
+
+func (r *openRequest) id() string { return r.client.Event.ID }
+
+// isOver reports whether the request was answered or abandoned.
+func (r *openRequest) isOver() bool { return r.phase != phaseSubmitted }
+
+// attempts is how many attempts the request has had, including those that were never sent.
+func (r *openRequest) attempts() int { return len(r.attemptCancels) }
+
+// mayRun reports whether some attempt may have run, or may still.
+func (r *openRequest) mayRun() bool { return r.mayHaveRun || r.inFlight > 0 }
+
+// beginAttempt notes an attempt and returns its number.
+func (r *openRequest) beginAttempt(cancel context.CancelFunc) (number int) {
+	r.attemptCancels = append(r.attemptCancels, cancel)
+	r.inFlight++
+	return len(r.attemptCancels) - 1
+}
+
+// endAttempt notes the end of an attempt.
+func (r *openRequest) endAttempt(number int, mayHaveRun bool) {
+	r.cancelAttempt(number)
+	r.attemptCancels[number] = nil
+	r.inFlight--
+	r.mayHaveRun = r.mayHaveRun || mayHaveRun
+}
+
+// cancelAttempt cancels an attempt if it is in flight.
+func (r *openRequest) cancelAttempt(number int) {
+	if number < 0 || number >= len(r.attemptCancels) {
+		return
+	}
+	if cancel := r.attemptCancels[number]; cancel != nil {
+		cancel()
+	}
+}
+
+// cancelAttempts cancels all attempts in flight.
+func (r *openRequest) cancelAttempts() {
+	for number := range r.attemptCancels {
+		r.cancelAttempt(number)
+	}
+}
+
+// requestTable holds each request from its submission until it is over and no attempt for it is in flight.
+type requestTable struct {
+	byID       map[string]*openRequest
+	unanswered int // requests in phaseSubmitted
+}
+
+func newRequestTable() requestTable { return requestTable{byID: map[string]*openRequest{}} }
+
+// find returns the request with an ID; nil if there is none.
+func (t *requestTable) find(id string) *openRequest { return t.byID[id] }
+
+// findUnanswered returns the request with an ID if it is in phaseSubmitted; nil otherwise.
+func (t *requestTable) findUnanswered(id string) *openRequest {
+	if r := t.byID[id]; r != nil && !r.isOver() {
+		return r
+	}
+	return nil
+}
+
+// submit adds a request, in phaseSubmitted. No request in the table has its ID.
+func (t *requestTable) submit(r *openRequest) {
+	t.byID[r.id()] = r
+	t.unanswered++
+}
+
+// answer moves a request to phaseAnswered and responds to its client.
+func (t *requestTable) answer(r *openRequest, response frontend.Response) {
+	r.client.Respond(response)
+	t.end(r, phaseAnswered)
+}
+
+// abandon moves a request to phaseAbandoned.
+func (t *requestTable) abandon(r *openRequest) { t.end(r, phaseAbandoned) }
+
+func (t *requestTable) end(r *openRequest, phase requestPhase) {
+	r.phase = phase
+	r.markDone()
+	t.unanswered--
+	t.removeIfComplete(r)
+}
+
+// removeIfComplete moves a request to phaseRemoved if it is over and has no attempt in flight.
+func (t *requestTable) removeIfComplete(r *openRequest) {
+	if !r.isOver() || r.inFlight > 0 || r.phase == phaseRemoved {
+		return
+	}
+	r.phase = phaseRemoved
+	delete(t.byID, r.id())
+}
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -112,7 +112,7 @@
 func TestDisconnectAfterRejection(t *testing.T) {
 	l := newTestLoop(t)
 	client := submit(l, id, time.Minute)
-	first := l.requests[id]
+	first := l.requests.find(id)
 	duplicate := submit(l, id, time.Minute)
 	l.settings.MaxOpen = 1
 	beyondLimit := submit(l, otherID, time.Minute)
@@ -123,14 +123,15 @@
 		}
 		requestAbandoned{rejected}.apply(context.Background(), l)
 	}
-	if first.answered || l.unanswered != 1 || len(l.requests) != 1 || len(l.pending) != events {
-		t.Errorf("open request: answered %v, %d unanswered, %d in the table, %d events more",
-			first.answered, l.unanswered, len(l.requests), len(l.pending)-events)
+	if first.isOver() || l.requests.unanswered != 1 || len(l.requests.byID) != 1 || len(l.pending) != events {
+		t.Errorf("open request: phase %d, %d unanswered, %d in the table, %d events more",
+			first.phase, l.requests.unanswered, len(l.requests.byID), len(l.pending)-events)
 	}
 	requestAbandoned{client}.apply(context.Background(), l)
-	if !first.answered || l.unanswered != 0 || len(l.requests) != 0 || l.timers.len() != 0 || len(l.pending) != events+1 {
-		t.Errorf("after its own disconnect: answered %v, %d unanswered, %d in the table, %d timers",
-			first.answered, l.unanswered, len(l.requests), l.timers.len())
+	if !first.isOver() || l.requests.unanswered != 0 || len(l.requests.byID) != 0 || l.timers.len() != 0 ||
+		len(l.pending) != events+1 {
+		t.Errorf("after its own disconnect: phase %d, %d unanswered, %d in the table, %d timers",
+			first.phase, l.requests.unanswered, len(l.requests.byID), l.timers.len())
 	}
 }
 
@@ -146,7 +147,7 @@
 		return nil
 	})
 	submit(l, id, 6*time.Second)
-	r = l.requests[id]
+	r = l.requests.find(id)
 	now = r.client.Arrived + delay
 	l.step(context.Background(), now)
 	return r, now, timeout
@@ -202,7 +203,7 @@
 	default:
 		t.Error("it was not answered at once")
 	}
-	if len(l.pending) != events || len(l.requests) != 0 {
+	if len(l.pending) != events || len(l.requests.byID) != 0 {
 		t.Error("the decision module hears of it")
 	}
 }
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// After a shutdown was asked for, the process may be killed once the longest deadline, which counts as
-	// maxShutdownWait at most, and killDelay are over. All requests are answered shutdownMargin before that.
+	// maxShutdownWait bounds the longest deadline of a class, as it counts in a shutdown.
 	maxShutdownWait = 3 * time.Second
-	killDelay       = 700 * time.Millisecond
-	shutdownMargin  = 300 * time.Millisecond
+	// killDelay is how long after that deadline, counted from the signal to stop, the process may be killed.
+	killDelay = 700 * time.Millisecond
+	// shutdownMargin is how long before that all requests are answered.
+	shutdownMargin = 300 * time.Millisecond
 )
 
-// shutdownTimeout is how long after a shutdown was asked for all open requests are answered.
+// shutdownTimeout is how long after the signal to stop all open requests are answered.
 func shutdownTimeout(settings balancer.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range settings.Classes {
@@ -26,7 +27,14 @@
 // startShutdown has every open request answered within the shutdown's time.
 func (l *eventLoop) startShutdown() {
 	l.shutdownDeadline = l.clock.Now() + shutdownTimeout(l.settings)
-	for _, r := range l.requests {
+	for _, r := range l.requests.byID {
 		l.setDeadlineGuard(r)
 	}
 }
+
+func (l *eventLoop) isShuttingDown() bool { return l.shutdownDeadline > 0 }
+
+// isShutdownOver reports whether a shutdown's deadline has passed: a request that comes now is rejected.
+func (l *eventLoop) isShutdownOver() bool {
+	return l.isShuttingDown() && l.clock.Now() >= l.shutdownDeadline
+}
--- a/internal/agent/timers.go
+++ b/internal/agent/timers.go
@@ -12,9 +12,9 @@
 
 // timer is a timer of the decision module, or the deadline guard of a request.
 type timer struct {
-	at      time.Duration
-	token   int64        // the module's
-	request *openRequest // of a deadline guard; else nil
+	at      time.Duration // on the agent's clock
+	token   int64         // the module's; unused in a deadline guard
+	request *openRequest  // of a deadline guard; nil in a timer of the module
 
 	sequence int // orders timers that are due at the same time
 	index    int // in the heap, or notQueued
@@ -61,12 +61,14 @@
 	return q.heap[0].at, true
 }
 
-// popDue removes and returns the first timer if it is due; else nil.
+// popDue removes and returns the first timer if it is due; nil otherwise.
 func (q *timerQueue) popDue(now time.Duration) *timer {
 	if at, ok := q.next(); !ok || at > now {
 		return nil
 	}
-	return heap.Pop(&q.heap).(*timer)
+	first := q.heap[0]
+	heap.Pop(&q.heap)
+	return first
 }
 
 // timerHeap implements heap.Interface.
@@ -87,9 +89,10 @@
 }
 
 func (h *timerHeap) Push(x any) {
-	t := x.(*timer)
-	t.index = len(*h)
-	*h = append(*h, t)
+	if t, ok := x.(*timer); ok { // nothing else is pushed
+		t.index = len(*h)
+		*h = append(*h, t)
+	}
 }
 
 func (h *timerHeap) Pop() any {
