--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// acceptPeriod is how long new connections are accepted after a shutdown was asked for: clients learn of it late,
-	// and what waits in the queue of a closed listener is lost.
+	// acceptPeriod is how long a shutdown still accepts new connections: clients learn of it late, and connections that
+	// wait in the queue of a closed listener are lost.
 	acceptPeriod = 500 * time.Millisecond
 	// finalWriteTime is the time for the last responses of a shutdown to be written and read.
 	finalWriteTime = 150 * time.Millisecond
-	// listenPatience is how long the start is held up by an address that can't be listened on.
-	listenPatience = 5 * time.Second
+	// maxListenTime is how long a start retries to listen on its address.
+	maxListenTime = 5 * time.Second
 )
 
 // Agent is one agent: the frontend, and the event loop that answers its requests.
@@ -32,7 +32,7 @@
 	frontend *frontend.Server
 	log      *slog.Logger
 
-	acceptPeriod time.Duration // see the constant
+	acceptPeriod time.Duration // the constant, unless a test has changed it
 }
 
 // New returns an agent that listens; it serves once Run is called.
@@ -50,10 +50,10 @@
 	return &Agent{loop: loop, frontend: server, log: log, acceptPeriod: acceptPeriod}, nil
 }
 
-// listen opens the listener; what fails for a moment is tried again.
+// listen opens the listener. It retries after failures that may be temporary.
 func listen(addr string, log *slog.Logger) (net.Listener, error) {
 	policy := retry.Policy{
-		Patience:  listenPatience,
+		Patience:  maxListenTime,
 		MayPass:   retry.MayPass,
 		OnFailure: func(err error) { log.Warn(telemetry.MsgListenFailed, telemetry.Err(err)) },
 	}
@@ -63,8 +63,8 @@
 // Addr is the address that the agent listens on.
 func (a *Agent) Addr() net.Addr { return a.frontend.Addr() }
 
-// Reload takes over from a new configuration what may change while the agent runs: the address of discovery. All else
-// takes effect at the next start.
+// Reload applies the part of a new configuration that may change while the agent runs: the address of discovery. All
+// else takes effect at the next start.
 func (a *Agent) Reload(c *config.Config) {
 	a.log.Info(telemetry.MsgConfigurationLoaded, telemetry.Discovery(c.Discovery))
 	a.loop.post(discoveryMoved{addr: c.Discovery})
@@ -85,13 +85,13 @@
 	}
 }
 
-// shutDown answers what was accepted, and what is still accepted for a while. Its steps have to come in this order:
-// connections are closed between requests only, and while their clients can still open new ones.
+// shutDown answers the requests that were accepted, and those that are still accepted for a while. The order of its
+// steps matters: connections are closed between requests only, and while their clients can still open new ones.
 func (a *Agent) shutDown(ctx context.Context, served <-chan error) error {
 	a.log.Info(telemetry.MsgShuttingDown)
 	a.frontend.StartShutdown()
 	a.loop.post(shutdownStarted{})
-	// At once, while a request that crosses the close still finds the listener open on a new connection.
+	// Now, while the listener is open: a client whose request crosses the close can send it on a new connection.
 	a.frontend.CloseUsedIdle()
 	select {
 	case err := <-served:
@@ -99,20 +99,20 @@
 	case <-time.After(a.acceptPeriod):
 	}
 	a.frontend.StopAccepting()
-	// No http.Server.Shutdown: that takes a connection for idle until it has read a whole head, and would close it
+	// Not http.Server.Shutdown: it treats a connection as idle until it has read a complete head, and would close it
 	// under the request.
 	a.frontend.CloseAllIdle()
 	a.awaitConnections(ctx, shutdownTimeout(a.loop.settings)-a.acceptPeriod)
 	a.frontend.RejectIncomplete()
 	a.awaitConnections(ctx, finalWriteTime)
 	a.log.Info(telemetry.MsgStopped)
-	_ = a.frontend.Close() // whatever fails, nothing is left to be answered
+	_ = a.frontend.Close() // nothing is left to be answered, so that an error changes nothing
 	return nil
 }
 
-// awaitConnections waits until no client is connected any more, or a while has passed.
-func (a *Agent) awaitConnections(ctx context.Context, longest time.Duration) {
-	waitCtx, cancel := context.WithTimeout(ctx, longest)
+// awaitConnections waits until no client is connected any more, or a timeout has passed.
+func (a *Agent) awaitConnections(ctx context.Context, timeout time.Duration) {
+	waitCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	a.frontend.WaitUntilEmpty(waitCtx)
 }
--- a/internal/agent/deadlineguard.go
+++ b/internal/agent/deadlineguard.go
@@ -61,8 +61,8 @@
 }
 
 // expire answers a request whose deadline guard has fired, cancels its attempts, and tells the decision module. Unless
-// a shutdown or a short timeout explains the lack of an answer, it is an internal error; if one does, a request that was
-// never sent is rejected, so that its client may come again.
+// a shutdown or a short timeout explains the lack of an answer, it is an internal error; if one does, a request that
+// was never sent is rejected, so that its client may come again.
 func (l *eventLoop) expire(r *openRequest) {
 	if r.isOver() {
 		return
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -27,7 +27,7 @@
 	maxSleep = time.Minute
 )
 
-// decisionModule decides what to do upon events; in service it is a *balancer.Balancer.
+// decisionModule turns events into actions. In service it is a *balancer.Balancer.
 type decisionModule interface {
 	Step(now time.Duration, events []balancer.Event) []balancer.Action
 }
@@ -37,7 +37,7 @@
 type eventLoop struct {
 	clock    clock.Clock
 	settings balancer.Settings
-	tick     time.Duration // between two steps
+	tick     time.Duration // the least time between two steps
 	module   decisionModule
 	log      *slog.Logger
 
@@ -49,11 +49,11 @@
 	done     chan struct{} // closed when run returns
 	ready    chan struct{} // closed after the first step
 
-	lastStep         time.Duration    // when the module was last stepped
+	lastStep         time.Duration    // when the module was last stepped, on the agent's clock
 	pending          []balancer.Event // for the next step
 	timers           timerQueue
 	requests         requestTable
-	shutdownDeadline time.Duration // all requests are answered by then; 0: not shutting down
+	shutdownDeadline time.Duration // all requests are answered by then, on the agent's clock; 0: not shutting down
 }
 
 func newEventLoop(c *config.Config, clock clock.Clock, log *slog.Logger) (*eventLoop, error) {
@@ -143,8 +143,7 @@
 	}
 }
 
-// nextStep is when the module may be stepped again: steps come a tick apart, and what happens meanwhile makes one
-// batch.
+// nextStep is when the module may be stepped again. Steps come a tick apart, and one step takes all events between.
 func (l *eventLoop) nextStep() time.Duration { return l.lastStep + l.tick }
 
 // nextWake is when the loop has something to do, unless a message comes first.
@@ -191,7 +190,8 @@
 	}
 }
 
-// stepModule steps the module. A panic there costs one step and no more: the deadline guards answer what it forgets.
+// stepModule steps the module. A panic there loses the actions of one step; the deadline guards answer the requests
+// that it leaves open.
 func (l *eventLoop) stepModule(now time.Duration, events []balancer.Event) (actions []balancer.Action) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -8,7 +8,7 @@
 	"ashshunt/internal/upstream"
 )
 
-// message tells the event loop what happened on another goroutine. Its effect is applied on the loop's own.
+// message tells the event loop what happened on another goroutine. The loop applies it on its own.
 type message interface {
 	apply(ctx context.Context, l *eventLoop)
 }
@@ -46,7 +46,7 @@
 
 func (m discoveryMoved) apply(ctx context.Context, l *eventLoop) { l.discovery.Move(ctx, m.addr) }
 
-// post hands a message to the event loop. Once that has ended, the message has no effect.
+// post sends a message to the event loop, which drops it if it has ended.
 func (l *eventLoop) post(m message) {
 	select {
 	case l.messages <- m:
--- a/internal/frontend/connectionstate.go
+++ b/internal/frontend/connectionstate.go
@@ -33,7 +33,7 @@
 	phaseServing
 	// phaseRejected: an incomplete request has been answered. Reads and writes fail, and Close drops what still comes.
 	phaseRejected
-	// phaseClosing: the connection is closed, or about to be, by whoever has moved it here. Reads and writes fail.
+	// phaseClosing: the connection is closed, or about to be by the caller that moved it here. Reads and writes fail.
 	phaseClosing
 )
 
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -13,32 +13,32 @@
 	"ashshunt/internal/socket"
 )
 
-// disconnectCheckInterval is how often an open request's connection is examined, for clients whose disconnect
-// net/http may not see.
+// disconnectCheckInterval is the time between two checks of an open request's connection, for disconnects that
+// net/http does not see.
 const disconnectCheckInterval = 100 * time.Millisecond
 
-// errDisconnected reports that a request's client has closed its connection.
-var errDisconnected = errors.New("client disconnected")
-
-// errRejectedIncomplete reports that a request took too long to come and has been answered.
-var errRejectedIncomplete = errors.New("request rejected before it was complete")
-
-// errLoopEnded reports that the event loop has ended: no response comes any more.
-var errLoopEnded = errors.New("event loop has ended")
-
-// errTooMuchUnread rejects a request behind which so much has come that a disconnect would not be seen.
-var errTooMuchUnread = &RequestError{Status: http.StatusBadRequest, Reason: "too much behind a request"}
+// The causes, besides a malformed request, for which a request gets no response from the event loop.
+var (
+	// errDisconnected: the client has closed its connection.
+	errDisconnected = errors.New("client disconnected")
+	// errRejectedIncomplete: the request took too long to come, and has been answered.
+	errRejectedIncomplete = errors.New("request rejected before it was complete")
+	// errLoopEnded: the event loop has ended, and no response comes any more.
+	errLoopEnded = errors.New("event loop has ended")
+	// errTooMuchUnread: so much has come behind the request that a disconnect would not be seen.
+	errTooMuchUnread = &RequestError{Status: http.StatusBadRequest, Reason: "too much behind a request"}
+)
 
 // handler answers the application's requests.
 type handler struct {
 	loop         EventLoop
 	clock        clock.Clock
 	classes      map[string]int // index in settings.Classes, by name
-	tenants      []string
+	tenants      []string       // by index
 	settings     balancer.Settings
 	timeouts     *Timeouts
-	nearLimit    func() bool // whether connections begin to run short
-	created      time.Time
+	nearLimit    func() bool // reports whether connections begin to run short
+	created      time.Time   // the wait for an endpoint list counts from here
 	shuttingDown atomic.Bool
 }
 
@@ -77,15 +77,13 @@
 		h.answerError(w, r, err)
 		return
 	}
-	if h.shuttingDown.Load() || h.nearLimit() {
-		// While shutting down, the client's next request belongs to a new process.
+	if h.shuttingDown.Load() || h.nearLimit() { // in a shutdown, the client's next request belongs to a new process
 		w.Header().Set("Connection", "close")
 	}
 	writeResponse(w, response)
 }
 
-// answerError answers what led to no response of the event loop: a request that was not submitted, a client that has
-// gone, or a loop that has ended.
+// answerError ends a request that gets no response from the event loop.
 func (h *handler) answerError(w http.ResponseWriter, r *http.Request, err error) {
 	var invalid *RequestError
 	switch {
@@ -94,11 +92,11 @@
 	case errors.Is(err, errLoopEnded):
 		w.WriteHeader(http.StatusBadGateway)
 	default:
-		panic(http.ErrAbortHandler) // no answer: to return would send an empty one, as if served
+		panic(http.ErrAbortHandler) // a return would send an empty response with status 200
 	}
 }
 
-// readRequest reads a request to its last byte.
+// readRequest reads a request to its last byte, from which its time counts.
 func (h *handler) readRequest(r *http.Request) (*Request, error) {
 	arrived := time.Now()
 	if err := checkFraming(r); err != nil {
@@ -108,13 +106,13 @@
 	if err != nil {
 		return nil, err
 	}
-	client := connectionOf(r)
 	if r.ContentLength != 0 {
 		if request.Body, err = readBody(r); err != nil {
 			return nil, &RequestError{Status: http.StatusBadRequest, Reason: "bad body", Err: err}
 		}
-		arrived = time.Now() // a request's time counts from its last byte
+		arrived = time.Now()
 	}
+	client := connectionOf(r)
 	if !client.completeRequest() {
 		return nil, errRejectedIncomplete
 	}
@@ -128,9 +126,9 @@
 	return request, nil
 }
 
-// awaitResponse waits for the response to a submitted request, and abandons the request if its client goes first.
-// net/http looks for a disconnect until it has read a byte behind the request; beyond that, the connection is
-// examined now and then.
+// awaitResponse waits for the response to a submitted request, and abandons the request if its client disconnects
+// first. net/http looks for a disconnect until it has read a byte behind the request; from then on, the connection is
+// checked at intervals.
 func (h *handler) awaitResponse(r *http.Request, request *Request) (Response, error) {
 	client := connectionOf(r)
 	ticker := time.NewTicker(disconnectCheckInterval)
@@ -152,8 +150,8 @@
 	return Response{}, err
 }
 
-// checkDisconnect returns an error if a client has gone, or if so much waits behind its request that a disconnect
-// would not be seen.
+// checkDisconnect fails if a client has disconnected, or if so much waits behind its request that a disconnect would
+// not be seen.
 func checkDisconnect(client *connection) error {
 	switch peer := socket.Peer(client.Conn); {
 	case peer.Closed:
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// serveHealth answers whether the agent is ready. It closes the connection: whoever asks for this asks once, and
-// would otherwise keep a descriptor for good.
+// serveHealth answers whether the agent is ready. It closes the connection, which a caller that asks only once would
+// otherwise keep open.
 func (h *handler) serveHealth(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if !h.isReady() {
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -15,26 +15,30 @@
 )
 
 const (
-	// maxTimeout is the longest that a client may be willing to wait.
+	// maxTimeout bounds the timeout that a client may set.
 	maxTimeout = time.Hour
-	// maxIdempotencyKey bounds an Idempotency-Key.
-	maxIdempotencyKey = 255
-	// maxWorkMicros bounds a client's guess at the work; what is beyond it is no guess.
+	// maxIdempotencyKeyBytes bounds an Idempotency-Key.
+	maxIdempotencyKeyBytes = 255
+	// maxWorkMicros bounds a client's estimate of the work, in microseconds; one beyond it is ignored.
 	maxWorkMicros = 1e12
 	// requestIDLength is the number of hexadecimal digits of an X-Call-Id.
 	requestIDLength = 16
 )
 
-// singleHeaders are the headers that a request carries once at most: which of two counts would be anyone's guess.
+// singleHeaders are the headers that a request may carry only once, since nothing says which of two values counts.
 var singleHeaders = []string{
-	protocol.HeaderRequestID, protocol.HeaderTimeout, protocol.HeaderIdempotencyKey, protocol.HeaderTenant, protocol.HeaderKey,
+	protocol.HeaderRequestID,
+	protocol.HeaderTimeout,
+	protocol.HeaderIdempotencyKey,
+	protocol.HeaderTenant,
+	protocol.HeaderKey,
 }
 
-// RequestError says what is wrong with a request.
+// RequestError says what is wrong with a request, and how its client is answered.
 type RequestError struct {
 	Status int    // of the answer
 	Reason string // the body of the answer
-	Err    error  // the cause, if there is another one
+	Err    error  // the cause; nil if Reason says all
 }
 
 // Error implements error.
@@ -52,41 +56,35 @@
 	return &RequestError{Status: http.StatusBadRequest, Reason: reason}
 }
 
-// checkFraming checks what tells where a request ends, before a byte of its body is read. net/http drops the length
-// of a request that is also chunked, and the encoding of one in HTTP/1.0, and goes on: whoever reads it the other way
-// finds a second request in the body. So neither is accepted.
+// checkFraming checks what determines the end of a request, before any of its body is read. net/http drops the length
+// of a request that is also chunked, and the encoding of one in HTTP/1.0, and goes on: a server that reads it the other
+// way finds a second request in the body. So neither is accepted.
 func checkFraming(r *http.Request) error {
 	switch {
 	case r.ProtoMajor != 1 || r.ProtoMinor != 1:
 		return &RequestError{Status: http.StatusHTTPVersionNotSupported, Reason: "HTTP/1.1 wanted"}
 	case len(r.TransferEncoding) > 0 || r.ContentLength < 0:
-		return &RequestError{Status: http.StatusLengthRequired, Reason: "Content-Length wanted, and no Transfer-Encoding"}
+		return &RequestError{
+			Status: http.StatusLengthRequired,
+			Reason: "Content-Length wanted, and no Transfer-Encoding",
+		}
 	case r.ContentLength > protocol.MaxBodySize:
 		return &RequestError{Status: http.StatusRequestEntityTooLarge, Reason: "too large a body"}
 	}
 	return nil
 }
 
-// parseHead reads and checks a request's head.
+// parseHead checks a request's head and returns the request, still without its body.
 func (h *handler) parseHead(r *http.Request) (*Request, error) {
 	class, err := h.parseClass(r)
 	if err != nil {
 		return nil, err
 	}
-	for _, name := range singleHeaders {
-		if len(r.Header[name]) > 1 {
-			return nil, badRequest(name + " twice")
-		}
-	}
 	idempotency := h.settings.Classes[class].Idempotency
-	if idempotency == balancer.Idempotent && r.ContentLength != 0 {
-		return nil, badRequest("a body with GET")
-	}
-	id := r.Header.Get(protocol.HeaderRequestID)
-	if !validRequestID(id) {
-		return nil, badRequest(protocol.HeaderRequestID + ": 16 hex digits wanted")
+	if err := checkHead(r, idempotency); err != nil {
+		return nil, err
 	}
-	timeout, err := parseTimeout(r)
+	event, err := h.parseEvent(r, class)
 	if err != nil {
 		return nil, err
 	}
@@ -99,7 +97,36 @@
 		return nil, err
 	}
 	request := NewRequest()
-	request.Event = balancer.Request{
+	request.Event = event
+	request.IdempotencyKey = key
+	request.Method, request.Host, request.Target = r.Method, r.Host, target
+	return request, nil
+}
+
+// checkHead checks a head as a whole, apart from the values of its headers.
+func checkHead(r *http.Request, idempotency balancer.Idempotency) error {
+	for _, name := range singleHeaders {
+		if len(r.Header[name]) > 1 {
+			return badRequest(name + " twice")
+		}
+	}
+	if idempotency == balancer.Idempotent && r.ContentLength != 0 {
+		return badRequest("a body with GET")
+	}
+	return nil
+}
+
+// parseEvent returns what the decision module gets of a request.
+func (h *handler) parseEvent(r *http.Request, class int) (balancer.Request, error) {
+	id, err := parseRequestID(r)
+	if err != nil {
+		return balancer.Request{}, err
+	}
+	timeout, err := parseTimeout(r)
+	if err != nil {
+		return balancer.Request{}, err
+	}
+	return balancer.Request{
 		ID:          id,
 		Class:       class,
 		Tenant:      h.parseTenant(r),
@@ -107,13 +134,10 @@
 		Timeout:     min(timeout, h.settings.Classes[class].Deadline), // no client of the class waits longer
 		ClientRetry: r.Header.Get(protocol.HeaderClientRetry) == protocol.Yes,
 		Work:        parseWork(r),
-	}
-	request.IdempotencyKey = key
-	request.Method, request.Host, request.Target = r.Method, r.Host, target
-	return request, nil
+	}, nil
 }
 
-// parseClass returns the class that the path names, if the method is that of the class.
+// parseClass returns the index of the class that the path names, if the method is that of the class.
 func (h *handler) parseClass(r *http.Request) (int, error) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class, ok := h.classes[name]
@@ -126,7 +150,7 @@
 	return class, nil
 }
 
-// methodFor is the method of requests of a kind.
+// methodFor is the method of a class's requests.
 func methodFor(idempotency balancer.Idempotency) string {
 	if idempotency == balancer.Idempotent {
 		return http.MethodGet
@@ -134,7 +158,15 @@
 	return http.MethodPost
 }
 
-func validRequestID(id string) bool {
+func parseRequestID(r *http.Request) (string, error) {
+	id := r.Header.Get(protocol.HeaderRequestID)
+	if !isRequestID(id) {
+		return "", badRequest(protocol.HeaderRequestID + ": 16 hex digits wanted")
+	}
+	return id, nil
+}
+
+func isRequestID(id string) bool {
 	if len(id) != requestIDLength {
 		return false
 	}
@@ -154,28 +186,32 @@
 	milliseconds, err := strconv.ParseUint(r.Header.Get(protocol.HeaderTimeout), 10, 32)
 	timeout := time.Duration(milliseconds) * time.Millisecond
 	if err != nil || timeout <= 0 || timeout > maxTimeout {
-		return 0, &RequestError{Status: http.StatusBadRequest, Reason: protocol.HeaderTimeout + ": whole milliseconds wanted", Err: err}
+		return 0, &RequestError{
+			Status: http.StatusBadRequest,
+			Reason: protocol.HeaderTimeout + ": whole milliseconds wanted",
+			Err:    err,
+		}
 	}
 	return timeout, nil
 }
 
-// parseIdempotencyKey returns the key of a request whose class wants one. Endpoints know a retry by its key alone:
-// without one, a second attempt might run again.
+// parseIdempotencyKey returns the key of a request whose class requires one; no other class may have one. Endpoints
+// recognize a retry by its key alone: without one, a second attempt might run again.
 func parseIdempotencyKey(r *http.Request, idempotency balancer.Idempotency) (string, error) {
 	key := r.Header.Get(protocol.HeaderIdempotencyKey)
 	wanted := idempotency == balancer.IdempotentWithKey
-	if wanted != (key != "") || len(key) > maxIdempotencyKey {
+	if wanted != (key != "") || len(key) > maxIdempotencyKeyBytes {
 		return "", badRequest(protocol.HeaderIdempotencyKey + ": wanted for a keyed class alone")
 	}
 	return key, nil
 }
 
-// parseTenant returns the index of the tenant; one that is unknown counts as the first.
+// parseTenant returns the index of the tenant; an unknown tenant counts as the first.
 func (h *handler) parseTenant(r *http.Request) int {
 	return max(0, slices.Index(h.tenants, r.Header.Get(protocol.HeaderTenant)))
 }
 
-// parseWork returns the client's guess at the work; 0: there is none that can be used.
+// parseWork returns the client's estimate of the work; 0 if there is none that can be used.
 func parseWork(r *http.Request) time.Duration {
 	micros, err := strconv.ParseFloat(r.Header.Get(protocol.HeaderWork), 64)
 	if err == nil && micros > 0 && micros < maxWorkMicros {
@@ -196,8 +232,8 @@
 	return &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.RequestURI, "?")}, nil
 }
 
-// readBody reads a body whose length is known to fit. No read deadline bounds it: that might pass just as the body is
-// complete, and be taken for a disconnect. Its connection refuses a request that takes too long.
+// readBody reads a body whose length has been checked. No read deadline bounds it, since one that passes just as the
+// body is complete would look like a disconnect. The connection rejects a request that takes too long.
 func readBody(r *http.Request) ([]byte, error) {
 	body := make([]byte, r.ContentLength)
 	_, err := io.ReadFull(r.Body, body)
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -7,16 +7,16 @@
 	"ashshunt/balancer"
 )
 
-// Request is a client's request that was read whole and found well-formed.
+// Request is a client's request, complete and well-formed.
 type Request struct {
 	Event          balancer.Request // what the decision module gets of it
-	IdempotencyKey string
+	IdempotencyKey string           // empty for a class without keys
 	Method         string
 	Host           string
-	Target         *url.URL
+	Target         *url.URL // path and query, as the client sent them
 	Body           []byte
-	Arrived        time.Duration // on the agent's clock: when its last byte had come
-	Deadline       time.Duration // on the agent's clock
+	Arrived        time.Duration // when its last byte had come, on the agent's clock
+	Deadline       time.Duration // when the client's timeout ends, on the agent's clock
 	// ClientGone reports whether the client has closed its connection, which the event loop may not know yet.
 	ClientGone func() bool
 
@@ -29,14 +29,14 @@
 // Respond sets the response to the client. It never blocks; it must be called once at most.
 func (r *Request) Respond(response Response) { r.response <- response }
 
-// Response is where the response arrives.
+// Response returns the channel on which the only response arrives.
 func (r *Request) Response() <-chan Response { return r.response }
 
 // Response is the final answer to a client.
 type Response struct {
 	Status     int
 	Body       []byte
-	RetryAfter time.Duration // 0: none
+	RetryAfter time.Duration // 0: no Retry-After header
 }
 
 // EventLoop is what the frontend needs of the agent's event loop.
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// writeResponse writes the final answer to a request.
+// writeResponse writes the final response to a request. Header keys are set in their canonical form, which saves the
+// conversion.
 func writeResponse(w http.ResponseWriter, response Response) {
 	header := w.Header()
 	header["Content-Type"] = []string{"application/octet-stream"}
@@ -19,9 +20,9 @@
 	_, _ = w.Write(response.Body) // an error here means that the client has gone
 }
 
-// reject answers a malformed request and closes its connection: what follows on it can't be trusted. Some of the body
-// is read all the same, since a close on unread bytes resets the connection and takes the answer along. Errors are of
-// no interest: the connection ends in any case.
+// reject answers a malformed request and closes its connection, since what follows on it can't be trusted. Some of the
+// body is read all the same: a close over unread bytes resets the connection, and the answer may be lost with it.
+// Errors are ignored, since the connection ends in any case.
 func (h *handler) reject(w http.ResponseWriter, r *http.Request, invalid *RequestError) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(h.timeouts.Linger))
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -13,15 +13,29 @@
 	"ashshunt/internal/config"
 )
 
+// maxHeaderBytes bounds the head of a request; net/http allows a little more.
 const maxHeaderBytes = 8 << 10
 
+// The timeouts in service, one for each field of Timeouts.
+const (
+	defaultFirstByte       = 2500 * time.Millisecond
+	defaultReadRequest     = 2800 * time.Millisecond
+	defaultReadSlowRequest = 4500 * time.Millisecond
+	defaultReclaimIdle     = 2 * time.Second
+	defaultReclaimUnused   = 250 * time.Millisecond
+	defaultIdle            = defaultReclaimIdle + 100*time.Millisecond
+	defaultLinger          = 100 * time.Millisecond
+	defaultEndpointList    = 5 * time.Second
+)
+
 // Timeouts bound how long clients may take, and how long their connections are kept.
 type Timeouts struct {
 	// FirstByte is how long a new connection may be silent.
 	FirstByte time.Duration
-	// ReadRequest is how long a request may stop coming, from its first byte, or from the connect for the first one.
+	// ReadRequest is how long a client may pause within a request. Until the request's second read it counts from the
+	// first byte, or from the connect for the first request of a connection.
 	ReadRequest time.Duration
-	// ReadSlowRequest is how long a request may take that keeps coming.
+	// ReadSlowRequest is how long a request may take in all if its client goes on sending.
 	ReadSlowRequest time.Duration
 	// Idle ends a connection that has had no request for so long. Clients hold a third of the descriptors at most:
 	// those that stay after one request would keep the others out.
@@ -33,23 +47,22 @@
 	ReclaimUnused time.Duration
 	// Linger is how long the rest of a rejected request is read before its connection is closed.
 	Linger time.Duration
-	// EndpointList is how long an agent that knows no endpoint waits for discovery before it says that it is ready
-	// all the same: while discovery is down, its rejections are a better answer to the application than silence.
+	// EndpointList is how long an agent that knows no endpoint waits for discovery before it reports that it is ready
+	// all the same: while discovery is down, rejections are a better answer to the application than silence.
 	EndpointList time.Duration
 }
 
 // DefaultTimeouts returns the timeouts used in service.
 func DefaultTimeouts() Timeouts {
-	const reclaimIdle = 2 * time.Second
 	return Timeouts{
-		FirstByte:       2500 * time.Millisecond,
-		ReadRequest:     2800 * time.Millisecond,
-		ReadSlowRequest: 4500 * time.Millisecond,
-		Idle:            reclaimIdle + 100*time.Millisecond,
-		ReclaimIdle:     reclaimIdle,
-		ReclaimUnused:   250 * time.Millisecond,
-		Linger:          100 * time.Millisecond,
-		EndpointList:    5 * time.Second,
+		FirstByte:       defaultFirstByte,
+		ReadRequest:     defaultReadRequest,
+		ReadSlowRequest: defaultReadSlowRequest,
+		Idle:            defaultIdle,
+		ReclaimIdle:     defaultReclaimIdle,
+		ReclaimUnused:   defaultReclaimUnused,
+		Linger:          defaultLinger,
+		EndpointList:    defaultEndpointList,
 	}
 }
 
@@ -103,8 +116,8 @@
 // RejectIncomplete rejects the requests that have begun and are not complete, and closes their connections.
 func (s *Server) RejectIncomplete() { s.connections.rejectIncomplete(http.StatusServiceUnavailable) }
 
-// StopAccepting closes the listener. Open connections are not touched. An error changes nothing: the system takes the
-// descriptor back in any case.
+// StopAccepting closes the listener; open connections stay. An error is ignored: the system takes the descriptor back
+// in any case.
 func (s *Server) StopAccepting() { _ = s.listener.Close() }
 
 // WaitUntilEmpty waits until no connection is open, or ctx ends.
