--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -25,7 +25,7 @@
 		t.Errorf("response %d %q", response.StatusCode, body)
 	}
 	forwarded := testutil.Receive(t, server.Received)
-	if forwarded.Method != "POST" || forwarded.RequestURI != "/hold/a%2Fb?x=%20y" ||
+	if forwarded.Method != http.MethodPost || forwarded.RequestURI != "/hold/a%2Fb?x=%20y" ||
 		forwarded.Header.Get("X-Call-Id") != id || forwarded.Header.Get("Idempotency-Key") != "k1" {
 		t.Errorf("the endpoint got %s %s %v", forwarded.Method, forwarded.RequestURI, forwarded.Header)
 	}
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -43,6 +43,7 @@
 
 // of disconnects a client.
 func (d disconnect) of(t *testing.T, conn net.Conn) {
+	t.Helper()
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
@@ -52,18 +53,12 @@
 	case <-sent:
 	case <-time.After(50 * time.Millisecond):
 	}
-	if err := d.end(conn.(*net.TCPConn)); err != nil {
-		t.Log("disconnect:", err) // the agent may have been first
+	tcpConn, ok := conn.(*net.TCPConn)
+	if !ok {
+		t.Fatalf("a client on a %T", conn)
 	}
-}
-
-// forEachDisconnect runs a test for each way to disconnect, which it gets as a function.
-func forEachDisconnect(t *testing.T, run func(t *testing.T, disconnect func(net.Conn))) {
-	for _, way := range disconnects {
-		t.Run(way.name, func(t *testing.T) {
-			t.Parallel()
-			run(t, func(conn net.Conn) { way.of(t, conn) })
-		})
+	if err := d.end(tcpConn); err != nil {
+		t.Log("disconnect:", err) // the agent may have been first
 	}
 }
 
@@ -76,6 +71,36 @@
 	expectNothingReceived(t, server)
 }
 
+// requestRecorder records what the decision module learns of the request with the test's id.
+type requestRecorder struct {
+	abandoned chan struct{}
+	outcomes  chan balancer.Outcome // of all requests
+}
+
+func newRequestRecorder() requestRecorder {
+	return requestRecorder{abandoned: make(chan struct{}, 10), outcomes: make(chan balancer.Outcome, 10)}
+}
+
+func (r requestRecorder) record(event balancer.Event) {
+	switch event := event.(type) {
+	case balancer.Abandoned:
+		if event.Request == id {
+			r.abandoned <- struct{}{}
+		}
+	case balancer.Outcome:
+		r.outcomes <- event
+	}
+}
+
+// sendAtOnce is a script of the decision module that sends the test's request to s0 as it comes.
+func (r requestRecorder) sendAtOnce(_ time.Duration, event balancer.Event) []balancer.Action {
+	r.record(event)
+	if request, ok := event.(balancer.Request); ok && request.ID == id {
+		return []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}}
+	}
+	return nil
+}
+
 func expectNothingReceived(t *testing.T, server *testutil.Server) {
 	t.Helper()
 	if len(server.Received) != 0 {
@@ -156,134 +181,128 @@
 // Where a request waits for a backoff or a timer, the module learns of the disconnect however it came, nothing goes out
 // for the request, and no response is made up.
 func TestDisconnectDuringBackoff(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
-		s := startLateSender(t)
-		client := s.submit(t)
-		disconnect(client)
-		s.awaitLateSend(t)
-		select {
-		case outcome := <-s.outcomes:
-			if outcome.Result != balancer.NotSent {
-				t.Errorf("result %d of an attempt after the client had disconnected", outcome.Result)
+	for _, way := range disconnects {
+		t.Run(way.name, func(t *testing.T) {
+			t.Parallel()
+			s := startLateSender(t)
+			client := s.submit(t)
+			way.of(t, client)
+			s.awaitLateSend(t)
+			select {
+			case outcome := <-s.outcomes:
+				if outcome.Result != balancer.NotSent {
+					t.Errorf("result %d of an attempt after the client had disconnected", outcome.Result)
+				}
+			default: // not even tried
 			}
-		default: // not even tried
-		}
-		expectNothingReceived(t, s.server)
-		if text, _ := io.ReadAll(client); strings.Contains(string(text), " 200 ") {
-			t.Errorf("the client that only ended its sending got %q", text)
-		}
-	})
+			expectNothingReceived(t, s.server)
+			if text, _ := io.ReadAll(client); strings.Contains(string(text), " 200 ") {
+				t.Errorf("the client that only ended its sending got %q", text)
+			}
+		})
+	}
 }
 
 // A request does not go out from a busy loop that has yet to learn of the disconnect.
 func TestDisconnectBehindABusyLoop(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
-		server := testutil.NewServer(t, testutil.Echo)
-		busy, gate, outcomes := make(chan struct{}), make(chan struct{}), make(chan balancer.Outcome, 10)
-		module := func(_ time.Duration, event balancer.Event) []balancer.Action {
-			switch event := event.(type) {
-			case balancer.Request:
-				if event.ID == id {
+	for _, way := range disconnects {
+		t.Run(way.name, func(t *testing.T) {
+			t.Parallel()
+			server := testutil.NewServer(t, testutil.Echo)
+			busy, gate, recorder := make(chan struct{}), make(chan struct{}), newRequestRecorder()
+			module := func(now time.Duration, event balancer.Event) []balancer.Action {
+				if request, ok := event.(balancer.Request); ok && request.ID == id {
 					close(busy)
 					<-gate
-					return []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}}
 				}
-			case balancer.Outcome:
-				outcomes <- event
+				return recorder.sendAtOnce(now, event)
 			}
-			return nil
-		}
-		a, _ := startScripted(t, newConfig(t, server), module)
-		client := testutil.Dial(t, a.Addr(), testutil.Get(id))
-		testutil.Receive(t, busy)
-		disconnect(client)
-		// The loop is held, and nothing else is in its table.
-		testutil.Eventually(t, "the disconnect", a.loop.requests.find(id).upstream.ClientGone)
-		close(gate)
-		expectNotSent(t, outcomes, server)
-	})
+			a, _ := startScripted(t, newConfig(t, server), module)
+			client := testutil.Dial(t, a.Addr(), testutil.Get(id))
+			testutil.Receive(t, busy)
+			way.of(t, client)
+			// The loop is held, and nothing else is in its table.
+			testutil.Eventually(t, "the disconnect", a.loop.requests.find(id).upstream.ClientGone)
+			close(gate)
+			expectNotSent(t, recorder.outcomes, server)
+		})
+	}
 }
 
 // A request does not go out on a connection that came up after its client had disconnected.
 func TestDisconnectDuringADial(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
-		server := testutil.NewServer(t, testutil.Echo)
-		dialling, gate := make(chan struct{}, 10), make(chan struct{})
-		abandoned, outcomes := make(chan struct{}, 10), make(chan balancer.Outcome, 10)
-		module := func(_ time.Duration, event balancer.Event) []balancer.Action {
-			switch event := event.(type) {
-			case balancer.Request:
-				if event.ID == id {
-					return []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}}
-				}
-			case balancer.Abandoned:
-				if event.Request == id {
-					abandoned <- struct{}{}
+	for _, way := range disconnects {
+		t.Run(way.name, func(t *testing.T) {
+			t.Parallel()
+			server := testutil.NewServer(t, testutil.Echo)
+			dialling, gate := make(chan struct{}, 10), make(chan struct{})
+			recorder := newRequestRecorder()
+			c := newConfig(t, server)
+			a, _ := startPrepared(t, c, func(a *Agent) {
+				options := upstreamOptions(c, a.loop.table, a.log)
+				options.DialControl = func(_, _ string, _ syscall.RawConn) error {
+					dialling <- struct{}{}
+					<-gate
+					return nil
 				}
-			case balancer.Outcome:
-				outcomes <- event
-			}
-			return nil
-		}
-		c := newConfig(t, server)
-		a, _ := startPrepared(t, c, func(a *Agent) {
-			options := upstreamOptions(c, a.loop.table, a.log)
-			options.DialControl = func(_, _ string, _ syscall.RawConn) error {
-				dialling <- struct{}{}
-				<-gate
-				return nil
+				a.loop.upstream = upstream.New(options)
+				a.loop.module = scriptedModule(recorder.sendAtOnce)
+			})
+			client := testutil.Dial(t, a.Addr(), testutil.Get(id))
+			testutil.Receive(t, dialling)
+			way.of(t, client)
+			testutil.Receive(t, recorder.abandoned)
+			close(gate)
+			if outcome := testutil.Receive(t, recorder.outcomes); outcome.Result != balancer.NotSent || !outcome.Done {
+				t.Errorf("outcome %+v", outcome)
 			}
-			a.loop.upstream = upstream.New(options)
-			a.loop.module = scriptedModule(module)
+			expectNothingReceived(t, server)
 		})
-		client := testutil.Dial(t, a.Addr(), testutil.Get(id))
-		testutil.Receive(t, dialling)
-		disconnect(client)
-		testutil.Receive(t, abandoned)
-		close(gate)
-		if outcome := testutil.Receive(t, outcomes); outcome.Result != balancer.NotSent || !outcome.Done {
-			t.Errorf("outcome %+v", outcome)
-		}
-		expectNothingReceived(t, server)
-	})
+	}
 }
 
 // The request of a client that disconnected while its connection waited to be accepted is not forwarded.
 func TestDisconnectBeforeAccept(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
-		gate := make(chan struct{})
-		server := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
-			<-gate
-			return testutil.Echo(conn, r, body)
-		})
-		c := newConfig(t, server)
-		c.Sockets = 2 // one for clients
-		a := startAgent(t, c)
-		first := testutil.Dial(t, a.Addr(), testutil.Get(testutil.ID(1)))
-		testutil.Receive(t, server.Received)
-		second := testutil.Dial(t, a.Addr(), testutil.Get(id))
-		disconnect(second) // which its system passes on at once, to a connection that the agent has not accepted yet
-		close(gate)
-		if status := testutil.ReadStatus(t, first); status != http.StatusOK {
-			t.Errorf("first request: status %d", status)
-		}
-		_ = first.Close() // the agent may have closed it already
-		if status := requestStatus(t, a, "GET", "/look", testutil.ID(3), "7000"); status != http.StatusOK {
-			t.Errorf("third request: status %d", status)
-		}
-		for len(server.Received) > 0 {
-			if r := <-server.Received; r.Header.Get("X-Call-Id") == id {
-				t.Error("a request was forwarded whose client had disconnected before it was read")
+	for _, way := range disconnects {
+		t.Run(way.name, func(t *testing.T) {
+			t.Parallel()
+			gate := make(chan struct{})
+			server := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+				<-gate
+				return testutil.Echo(conn, r, body)
+			})
+			c := newConfig(t, server)
+			c.Sockets = 2 // one for clients
+			a := startAgent(t, c)
+			first := testutil.Dial(t, a.Addr(), testutil.Get(testutil.ID(1)))
+			testutil.Receive(t, server.Received)
+			second := testutil.Dial(t, a.Addr(), testutil.Get(id))
+			way.of(t, second) // which its system passes on at once, to a connection that the agent has not accepted yet
+			close(gate)
+			if status := testutil.ReadStatus(t, first); status != http.StatusOK {
+				t.Errorf("first request: status %d", status)
 			}
-		}
-	})
+			_ = first.Close() // the agent may have closed it already
+			if status := requestStatus(t, a, "GET", "/look", testutil.ID(3), "7000"); status != http.StatusOK {
+				t.Errorf("third request: status %d", status)
+			}
+			for len(server.Received) > 0 {
+				if r := <-server.Received; r.Header.Get("X-Call-Id") == id {
+					t.Error("a request was forwarded whose client had disconnected before it was read")
+				}
+			}
+		})
+	}
 }
 
 // A request whose body is over the limit and stops is not forwarded, however its client disconnects.
 func TestDisconnectWithinTheBody(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
-		expectIncompleteNotForwarded(t, 3000000, disconnect)
-	})
+	for _, way := range disconnects {
+		t.Run(way.name, func(t *testing.T) {
+			t.Parallel()
+			expectIncompleteNotForwarded(t, 3000000, way)
+		})
+	}
 }
 
 // A request whose body is within the limit and stops is not forwarded either: its body is read, but never whole.
@@ -295,19 +314,19 @@
 		}
 		t.Run(way.name, func(t *testing.T) {
 			t.Parallel()
-			expectIncompleteNotForwarded(t, bodyLength, func(conn net.Conn) { way.of(t, conn) })
+			expectIncompleteNotForwarded(t, bodyLength, way)
 		})
 	}
 }
 
 // expectIncompleteNotForwarded sends the head of a request with the beginning of its body, disconnects, and expects
 // that just the next client's request is forwarded.
-func expectIncompleteNotForwarded(t *testing.T, bodyLength int, disconnect func(net.Conn)) {
+func expectIncompleteNotForwarded(t *testing.T, bodyLength int, way disconnect) {
 	t.Helper()
 	server := testutil.NewServer(t, testutil.Echo)
 	a := startAgent(t, newConfig(t, server))
 	head := testutil.Post(id, fmt.Sprintf("Content-Length: %d\r\n", bodyLength))
-	disconnect(testutil.Dial(t, a.Addr(), head+"half"))
+	way.of(t, testutil.Dial(t, a.Addr(), head+"half"))
 	if status := requestStatus(t, a, "GET", "/look", testutil.ID(1), "7000"); status != http.StatusOK {
 		t.Errorf("next request: status %d", status)
 	}
@@ -318,42 +337,36 @@
 
 // An attempt in flight as its client disconnects is neither retried nor kept.
 func TestDisconnectWithAnAttemptInFlight(t *testing.T) {
-	forEachDisconnect(t, func(t *testing.T, disconnect func(net.Conn)) {
-		gate := make(chan struct{})
-		server := testutil.NewServer(t, func(conn net.Conn, _ *http.Request, _ []byte) bool {
-			<-gate
-			testutil.Respond(conn, 500, "", "")
-			return true
-		})
-		abandoned, outcomes := make(chan struct{}, 10), make(chan balancer.Outcome, 10)
-		observe := func(event balancer.Event) {
-			switch event := event.(type) {
-			case balancer.Abandoned:
-				if event.Request == id {
-					abandoned <- struct{}{}
-				}
-			case balancer.Outcome:
-				outcomes <- event
+	for _, way := range disconnects {
+		t.Run(way.name, func(t *testing.T) {
+			t.Parallel()
+			gate := make(chan struct{})
+			server := testutil.NewServer(t, func(conn net.Conn, _ *http.Request, _ []byte) bool {
+				<-gate
+				testutil.Respond(conn, 500, "", "")
+				return true
+			})
+			recorder := newRequestRecorder()
+			a, _ := startPrepared(t, newConfig(t, server), func(a *Agent) {
+				a.loop.module = observedModule{a.loop.module, recorder.record}
+			})
+			client := testutil.Dial(t, a.Addr(), testutil.Get(id))
+			testutil.Receive(t, server.Received)
+			way.of(t, client)
+			testutil.Receive(t, recorder.abandoned)
+			close(gate)
+			outcome := testutil.Receive(t, recorder.outcomes)
+			if outcome.Result != balancer.ServerError || !outcome.Done {
+				t.Errorf("outcome %+v", outcome)
+			}
+			if status := requestStatus(t, a, "POST", "/settle", id, "7000"); status != http.StatusBadGateway {
+				t.Errorf("its id, free again, got %d", status) // 400 while it is open
+			}
+			if n := len(server.Received); n != 1 {
+				t.Errorf("%d attempts more, want that of the next request alone", n)
 			}
-		}
-		a, _ := startPrepared(t, newConfig(t, server), func(a *Agent) {
-			a.loop.module = observedModule{a.loop.module, observe}
 		})
-		client := testutil.Dial(t, a.Addr(), testutil.Get(id))
-		testutil.Receive(t, server.Received)
-		disconnect(client)
-		testutil.Receive(t, abandoned)
-		close(gate)
-		if outcome := testutil.Receive(t, outcomes); outcome.Result != balancer.ServerError || !outcome.Done {
-			t.Errorf("outcome %+v", outcome)
-		}
-		if status := requestStatus(t, a, "POST", "/settle", id, "7000"); status != http.StatusBadGateway {
-			t.Errorf("its id, free again, got %d", status) // 400 while it is open
-		}
-		if n := len(server.Received); n != 1 {
-			t.Errorf("%d attempts more, want that of the next request alone", n)
-		}
-	})
+	}
 }
 
 // observedModule is a decision module whose events can be observed.
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -171,7 +171,8 @@
 	},
 }
 
-func flush(w http.ResponseWriter) { w.(http.Flusher).Flush() }
+// flush sends what was written. It fails if the agent was first to end the call.
+func flush(w http.ResponseWriter) { _ = http.NewResponseController(w).Flush() }
 
 // failFirst returns the address of a discovery that fails its first calls, and answers the next with the endpoint s7.
 func failFirst(t *testing.T, calls int32, fail http.HandlerFunc) string {
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -37,7 +37,10 @@
 
 func newHoldingPair(t *testing.T) *holdingPair {
 	t.Helper()
-	p := &holdingPair{servers: [2]*holdingServer{newHoldingServer(t), newHoldingServer(t)}, statuses: make(chan int, 100)}
+	p := &holdingPair{
+		servers:  [2]*holdingServer{newHoldingServer(t), newHoldingServer(t)},
+		statuses: make(chan int, 100),
+	}
 	p.agent = startAgent(t, newConfig(t, p.servers[0].Server, p.servers[1].Server))
 	return p
 }
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -102,7 +102,8 @@
 		t.Errorf("rejected with an attempt in flight: status %d, want 502", status)
 	}
 	response, _ := testutil.Do(t, a.Addr(), "POST", "/settle", "", "X-Call-Id", otherID, "X-Budget-Ms", "7000")
-	if retryAfter := response.Header.Get("Retry-After"); response.StatusCode != 503 || retryAfter != "1.5" {
+	retryAfter := response.Header.Get("Retry-After")
+	if response.StatusCode != http.StatusServiceUnavailable || retryAfter != "1.5" {
 		t.Errorf("status %d, Retry-After %q", response.StatusCode, retryAfter)
 	}
 }
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// A request that is still incomplete as the time of a shutdown is over, or that comes after that, is rejected before its
-// connection is closed.
+// A request that is still incomplete as the time of a shutdown is over, or that comes after that, is rejected before
+// its connection is closed.
 func TestShutdownRejectsIncompleteRequests(t *testing.T) {
 	t.Parallel()
 	config := newConfig(t, testutil.NewServer(t, testutil.Echo))
@@ -201,7 +201,10 @@
 	} {
 		clients[name] = testutil.Dial(t, a.Addr(), text)
 	}
-	testutil.Eventually(t, "the connections", func() bool { open, idle := a.frontend.Connections(); return open == 3 && idle == 0 })
+	testutil.Eventually(t, "the connections", func() bool {
+		open, idle := a.frontend.Connections()
+		return open == 3 && idle == 0
+	})
 	a.stop()
 	for name, client := range clients {
 		in := bufio.NewReader(client)
--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -24,12 +24,13 @@
 	}, nil)
 	response, _ := testutil.Do(t, server.Addr(), "POST", "/hold/a%2Fb?x=%20y", "work", "X-Call-Id", id,
 		"X-Budget-Ms", "700", "Idempotency-Key", "k1", "X-Again", "1", "X-Call-Cost", "250.5", "X-Route-Hash", "h")
-	if retryAfter := response.Header.Get("Retry-After"); response.StatusCode != 503 || retryAfter != "1.5" {
+	retryAfter := response.Header.Get("Retry-After")
+	if response.StatusCode != http.StatusServiceUnavailable || retryAfter != "1.5" {
 		t.Errorf("status %d, Retry-After %q", response.StatusCode, retryAfter)
 	}
 	request := testutil.Receive(t, submitted)
-	if request.Method != "POST" || request.Target.Opaque != "/hold/a%2Fb" || request.Target.RawQuery != "x=%20y" ||
-		string(request.Body) != "work" || request.IdempotencyKey != "k1" {
+	if request.Method != http.MethodPost || request.Target.Opaque != "/hold/a%2Fb" ||
+		request.Target.RawQuery != "x=%20y" || string(request.Body) != "work" || request.IdempotencyKey != "k1" {
 		t.Errorf("request %+v", request)
 	}
 	event := request.Event
--- a/internal/frontend/health_test.go
+++ b/internal/frontend/health_test.go
@@ -22,9 +22,8 @@
 // down.
 func TestHealth(t *testing.T) {
 	t.Parallel()
-	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, func(s *Server) {
-		s.handler.loop.(*fakeLoop).ready = make(chan struct{})
-	})
+	loop := newFakeLoop(echo)
+	server := startServerOf(t, testutil.Config(t, "127.0.0.1:1"), loop, nil)
 	if status := healthStatus(t, server); status != http.StatusServiceUnavailable {
 		t.Errorf("before the first step: status %d", status)
 	}
--- a/internal/frontend/incomplete_test.go
+++ b/internal/frontend/incomplete_test.go
@@ -23,25 +23,32 @@
 		for kept, before := range map[string]string{"new connection": "", "kept connection": testutil.Get(otherID)} {
 			t.Run(name+", "+kept, func(t *testing.T) {
 				t.Parallel()
-				server, _ := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, nil)
-				client := testutil.Dial(t, server.Addr(), before)
-				in := bufio.NewReader(client)
-				if before != "" {
-					testutil.ReadResponse(t, in)
-				}
-				testutil.Write(t, client, text)
-				response := testutil.ReadResponse(t, in)
-				if response.StatusCode != http.StatusRequestTimeout || !response.Close {
-					t.Errorf("status %d, close %v", response.StatusCode, response.Close)
-				}
-				if n, err := in.Discard(1); n != 0 || isTimeout(err) {
-					t.Error("the connection was kept")
-				}
+				expectRequestTimeout(t, before, text)
 			})
 		}
 	}
 }
 
+// expectRequestTimeout sends a request, if there is one, and then the beginning of another one, which has to be
+// answered and its connection closed.
+func expectRequestTimeout(t *testing.T, before, incomplete string) {
+	t.Helper()
+	server, _ := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, nil)
+	client := testutil.Dial(t, server.Addr(), before)
+	in := bufio.NewReader(client)
+	if before != "" {
+		testutil.ReadResponse(t, in)
+	}
+	testutil.Write(t, client, incomplete)
+	response := testutil.ReadResponse(t, in)
+	if response.StatusCode != http.StatusRequestTimeout || !response.Close {
+		t.Errorf("status %d, close %v", response.StatusCode, response.Close)
+	}
+	if n, err := in.Discard(1); n != 0 || isTimeout(err) {
+		t.Error("the connection was kept")
+	}
+}
+
 // A request that has begun is not closed as idle, however late its connection's idle time was in it.
 func TestRequestBegunWhileIdle(t *testing.T) {
 	for name, text := range incompleteRequests {
--- a/internal/frontend/parse_test.go
+++ b/internal/frontend/parse_test.go
@@ -17,8 +17,9 @@
 // Malformed requests are answered, and none reaches the event loop.
 func TestMalformedRequests(t *testing.T) {
 	t.Parallel()
-	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo,
-		func(s *Server) { s.Timeouts.Linger = testutil.Timeout }) // the body of a rejected request may take its time here
+	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, func(s *Server) {
+		s.Timeouts.Linger = testutil.Timeout // the body of a rejected request may be slow here
+	})
 	valid := []string{"X-Call-Id", id, "X-Budget-Ms", "700"}
 	withTimeout := func(timeout string) []string { return []string{"X-Call-Id", id, "X-Budget-Ms", timeout} }
 	withID := func(id string) []string { return []string{"X-Call-Id", id, "X-Budget-Ms", "700"} }
@@ -64,7 +65,8 @@
 	chunks := "0\r\n\r\n" + hidden
 	length := fmt.Sprintf("Content-Length: %d\r\n", len(chunks))
 	const chunked = "Transfer-Encoding: chunked\r\n"
-	oldVersion := strings.Replace(testutil.Post(id, "Connection: keep-alive\r\nContent-Length: 5\r\n"+chunked), "/1.1", "/1.0", 1)
+	keepAlive := testutil.Post(id, "Connection: keep-alive\r\nContent-Length: 5\r\n"+chunked)
+	oldVersion := strings.Replace(keepAlive, "/1.1", "/1.0", 1)
 	unknownClass := strings.Replace(testutil.Post(id, "Content-Length: 100\r\n"), "settle", "x", 1)
 	for _, test := range []struct {
 		name, text string
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -55,15 +55,22 @@
 	r.Respond(Response{Status: http.StatusOK, Body: append([]byte("did "), r.Body...)})
 }
 
-// startServer runs a server until the test ends. prepare, if there is one, may change it first.
+// startServer runs a server with an event loop that has taken its first step until the test ends. prepare, if there is
+// one, may change it first.
 func startServer(t *testing.T, c *config.Config, answer func(*Request), prepare func(*Server)) (*Server, *fakeLoop) {
+	t.Helper()
+	loop := newFakeLoop(answer)
+	close(loop.ready)
+	return startServerOf(t, c, loop, prepare), loop
+}
+
+// startServerOf is startServer with a given event loop.
+func startServerOf(t *testing.T, c *config.Config, loop *fakeLoop, prepare func(*Server)) *Server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := newFakeLoop(answer)
-	close(loop.ready)
 	server := NewServer(listener, c, clock.New(), loop, testutil.NewLogger(&testutil.Log{}))
 	if prepare != nil {
 		prepare(server)
@@ -78,5 +85,5 @@
 			t.Error("Serve:", err)
 		}
 	})
-	return server, loop
+	return server
 }
