--- /dev/null
+++ b/internal/agent/openrequest_test.go
@@ -0,0 +1,67 @@
+package agent
+
+import (
+	"net/http"
+	"testing"
+
+	"ashshunt/balancer"
+	"ashshunt/internal/frontend"
+)
+
+// submitTo adds a request with one attempt in flight to a table.
+func submitTo(table *requestTable) *openRequest {
+	client := frontend.NewRequest()
+	client.Event = balancer.Request{ID: id}
+	r := newOpenRequest(client)
+	table.submit(r)
+	r.beginAttempt(func() {})
+	return r
+}
+
+// A request stays in the table until it is over and its last attempt has ended.
+func TestRequestLife(t *testing.T) {
+	answer := func(table *requestTable, r *openRequest) {
+		table.answer(r, frontend.Response{Status: http.StatusOK})
+	}
+	for _, test := range []struct {
+		name string
+		end  func(*requestTable, *openRequest)
+		want requestPhase
+	}{
+		{"answered", answer, phaseAnswered},
+		{"abandoned", (*requestTable).abandon, phaseAbandoned},
+	} {
+		table := newRequestTable()
+		r := submitTo(&table)
+		if r.phase != phaseSubmitted || table.findUnanswered(id) != r {
+			t.Errorf("%s: submitted: phase %d", test.name, r.phase)
+		}
+		test.end(&table, r)
+		if r.phase != test.want || table.find(id) != r || table.findUnanswered(id) != nil || table.unanswered != 0 {
+			t.Errorf("%s, with an attempt in flight: phase %d", test.name, r.phase)
+		}
+		if r.upstream.Done.Err() == nil {
+			t.Errorf("%s: its attempt is not told", test.name)
+		}
+		r.endAttempt(0, false)
+		table.removeIfComplete(r)
+		if r.phase != phaseRemoved || table.find(id) != nil {
+			t.Errorf("%s, its attempt has ended: phase %d", test.name, r.phase)
+		}
+	}
+}
+
+// An attempt may run while it is in flight, and one that may have run counts for good.
+func TestMayRun(t *testing.T) {
+	for _, mayHaveRun := range []bool{false, true} {
+		table := newRequestTable()
+		r := submitTo(&table)
+		if !r.mayRun() {
+			t.Error("an attempt in flight can't run")
+		}
+		r.endAttempt(0, mayHaveRun)
+		if r.mayRun() != mayHaveRun {
+			t.Errorf("may run %v after an attempt that may have run: %v", r.mayRun(), mayHaveRun)
+		}
+	}
+}
