--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -239,7 +239,7 @@
 			recorder := newRequestRecorder()
 			c := newConfig(t, server)
 			a, _ := startPrepared(t, c, func(a *Agent) {
-				options := upstreamOptions(c, a.loop.table, a.log)
+				options := upstreamOptions(c, a.loop.endpoints, a.log)
 				options.DialControl = func(_, _ string, _ syscall.RawConn) error {
 					dialling <- struct{}{}
 					<-gate
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -41,7 +41,7 @@
 	module   decisionModule
 	log      *slog.Logger
 
-	table     *endpoint.Table
+	endpoints *endpoint.Table
 	upstream  *upstream.Client
 	discovery *discovery.Client
 
@@ -65,29 +65,29 @@
 	if err != nil {
 		return nil, err
 	}
-	table := endpoint.NewTable()
+	endpoints := endpoint.NewTable()
 	l := &eventLoop{
-		clock:    clock,
-		settings: c.Settings,
-		tick:     min(c.Settings.Tick, maxTick),
-		module:   module,
-		log:      log,
-		table:    table,
-		upstream: upstream.New(upstreamOptions(c, table, log)),
-		messages: make(chan message, messageBuffer),
-		done:     make(chan struct{}),
-		ready:    make(chan struct{}),
-		lastStep: clock.Now() - maxTick, // the first step is due at once
-		requests: newRequestTable(),
+		clock:     clock,
+		settings:  c.Settings,
+		tick:      min(c.Settings.Tick, maxTick),
+		module:    module,
+		log:       log,
+		endpoints: endpoints,
+		upstream:  upstream.New(upstreamOptions(c, endpoints, log)),
+		messages:  make(chan message, messageBuffer),
+		done:      make(chan struct{}),
+		ready:     make(chan struct{}),
+		lastStep:  clock.Now() - maxTick, // the first step is due at once
+		requests:  newRequestTable(),
 	}
 	l.discovery = discovery.New(l.discoveryOptions(c))
 	l.pending = append(l.pending, l.discovery.Known())
 	return l, nil
 }
 
-func upstreamOptions(c *config.Config, table *endpoint.Table, log *slog.Logger) upstream.Options {
+func upstreamOptions(c *config.Config, endpoints *endpoint.Table, log *slog.Logger) upstream.Options {
 	return upstream.Options{
-		Table:          table,
+		Table:          endpoints,
 		LoadReports:    c.Settings.LoadReports,
 		ConnectTimeout: c.Settings.ConnectTimeout,
 		IdleClose:      c.Settings.IdleClose,
@@ -100,7 +100,7 @@
 	return discovery.Options{
 		Addr:           c.Discovery,
 		Known:          c.Known,
-		Table:          l.table,
+		Table:          l.endpoints,
 		Retire:         l.upstream.Retire,
 		OnList:         func(list balancer.EndpointList) { l.post(moduleEvent{list}) },
 		Zones:          c.Names.Zones,
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// maxShutdownWait bounds the longest deadline of a class, as it counts in a shutdown.
+	// maxShutdownWait bounds how long a shutdown waits for the longest deadline of a class.
 	maxShutdownWait = 3 * time.Second
-	// killDelay is how long after that deadline, counted from the signal to stop, the process may be killed.
+	// killDelay is how long after that wait the process may be killed.
 	killDelay = 700 * time.Millisecond
-	// shutdownMargin is how long before that all requests are answered.
+	// shutdownMargin is how long before the kill all requests are answered.
 	shutdownMargin = 300 * time.Millisecond
 )
 
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -66,13 +66,7 @@
 		h.serveHealth(w)
 		return
 	}
-	request, err := h.readRequest(r)
-	if err != nil {
-		h.answerError(w, r, err)
-		return
-	}
-	h.loop.Submit(request)
-	response, err := h.awaitResponse(r, request)
+	response, err := h.process(r)
 	if err != nil {
 		h.answerError(w, r, err)
 		return
@@ -83,7 +77,18 @@
 	writeResponse(w, response)
 }
 
-// answerError ends a request that gets no response from the event loop.
+// process reads a request and returns the event loop's response to it.
+func (h *handler) process(r *http.Request) (Response, error) {
+	request, err := h.readRequest(r)
+	if err != nil {
+		return Response{}, err
+	}
+	h.loop.Submit(request)
+	return h.awaitResponse(r, request)
+}
+
+// answerError ends a request that gets no response from the event loop. Only a malformed request and the end of the
+// event loop have an answer.
 func (h *handler) answerError(w http.ResponseWriter, r *http.Request, err error) {
 	var invalid *RequestError
 	switch {
