--- a/internal/frontend/connectionstate.go
+++ b/internal/frontend/connectionstate.go
@@ -9,25 +9,24 @@
 	"ashshunt/internal/socket"
 )
 
-// phase is the state of a connection.
+// phase is what a connection is in the middle of. Its transitions:
 //
-//	            first byte                   complete, or answered with an error
-//	phaseIdle --------------> phaseReading --------------------------------------> phaseServing
-//	    ^                      |        ^                                            |     |
-//	    |                      |        +---- response out, next request begun ------+     |
-//	    +----------------------|------------- response out --------------------------------+
-//	                           |  too slow, or shutdown
-//	                           +--------------------------> phaseRejected
+//	idle    -> reading   the first byte of a request has come
+//	reading -> serving   the request is complete, or is answered with an error
+//	reading -> rejected  the request came too slowly, or the time of a shutdown is over
+//	serving -> idle      the response is out
+//	serving -> reading   the response is out, and the next request has begun already
+//	any     -> closing   Close; from idle also by the table, to reclaim the slot or to shut down
 //
-// Each phase leads to phaseClosing, by Close or, if idle, by the table. Only the enter methods change the phase, and
-// their caller holds the table's mutex.
+// Only the enter methods below change the phase, and their caller holds the table's mutex.
 type phase uint8
 
 const (
-	// phaseIdle: no byte of a request has been read. The table may close the connection at any time.
+	// phaseIdle: no byte of a request has been read. The connection is on the table's idle list, unless bytes were
+	// found unread on it, and may be closed at any time while it is on the list.
 	phaseIdle phase = iota
 	// phaseReading: a request has begun and is not complete. The connection is in the table's set of incomplete
-	// requests, and the request's timer runs. Deadlines that net/http sets have no effect.
+	// requests, and the request's timer runs in place of the read deadlines that net/http sets.
 	phaseReading
 	// phaseServing: a request is complete, or is being answered with an error.
 	phaseServing
@@ -244,8 +243,8 @@
 	_ = c.Conn.SetReadDeadline(time.Time{}) // ends the idle timeout; fails on a connection that has ended
 }
 
-// enterServing ends the request's timer. A malformed request that came with the one before is answered from phaseIdle:
-// net/http reports no StateActive for it.
+// enterServing ends the request's timer. It may come from phaseIdle, and leaves the connection on the idle list
+// then: net/http reports no StateActive for a malformed request that it has read along with the one before.
 func (c *connection) enterServing() {
 	c.leaveReading()
 	c.state.phase = phaseServing
