--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -20,13 +20,14 @@
 const (
 	// messageBuffer is how many messages may wait for the event loop before their senders do.
 	messageBuffer = 1024
-	// maxTick bounds the gap between two steps. Longer ones make sense in a simulation only: requests would wait for them.
+	// maxTick bounds the gap between two steps. Longer ones make sense in a simulation only, since requests wait for
+	// them.
 	maxTick = 10 * time.Millisecond
 	// maxSleep is the longest that the event loop sleeps when nothing is due.
 	maxSleep = time.Minute
 )
 
-// decisionModule decides what to do upon events; in service it is a *balancer.Balancer.
+// decisionModule turns events into actions. In service it is a *balancer.Balancer.
 type decisionModule interface {
 	Step(now time.Duration, events []balancer.Event) []balancer.Action
 }
@@ -36,11 +37,11 @@
 type eventLoop struct {
 	clock    clock.Clock
 	settings balancer.Settings
-	tick     time.Duration // between two steps
+	tick     time.Duration // the least time between two steps
 	module   decisionModule
 	log      *slog.Logger
 
-	table     *endpoint.Table
+	endpoints *endpoint.Table
 	upstream  *upstream.Client
 	discovery *discovery.Client
 
@@ -48,12 +49,11 @@
 	done     chan struct{} // closed when run returns
 	ready    chan struct{} // closed after the first step
 
-	lastStep         time.Duration    // when the module was last stepped
+	lastStep         time.Duration    // when the module was last stepped, on the agent's clock
 	pending          []balancer.Event // for the next step
 	timers           timerQueue
-	requests         map[string]*openRequest // by request id
-	unanswered       int                     // requests without a final answer
-	shutdownDeadline time.Duration           // all requests are answered by then; 0: not shutting down
+	requests         requestTable
+	shutdownDeadline time.Duration // all requests are answered by then, on the agent's clock; 0: not shutting down
 }
 
 func newEventLoop(c *config.Config, clock clock.Clock, log *slog.Logger) (*eventLoop, error) {
@@ -65,29 +65,29 @@
 	if err != nil {
 		return nil, err
 	}
-	table := endpoint.NewTable()
+	endpoints := endpoint.NewTable()
 	l := &eventLoop{
-		clock:    clock,
-		settings: c.Settings,
-		tick:     min(c.Settings.Tick, maxTick),
-		module:   module,
-		log:      log,
-		table:    table,
-		upstream: upstream.New(upstreamOptions(c, table, log)),
-		messages: make(chan message, messageBuffer),
-		done:     make(chan struct{}),
-		ready:    make(chan struct{}),
-		lastStep: clock.Now() - maxTick, // the first step is due at once
-		requests: map[string]*openRequest{},
+		clock:     clock,
+		settings:  c.Settings,
+		tick:      min(c.Settings.Tick, maxTick),
+		module:    module,
+		log:       log,
+		endpoints: endpoints,
+		upstream:  upstream.New(upstreamOptions(c, endpoints, log)),
+		messages:  make(chan message, messageBuffer),
+		done:      make(chan struct{}),
+		ready:     make(chan struct{}),
+		lastStep:  clock.Now() - maxTick, // the first step is due at once
+		requests:  newRequestTable(),
 	}
 	l.discovery = discovery.New(l.discoveryOptions(c))
 	l.pending = append(l.pending, l.discovery.CachedList())
 	return l, nil
 }
 
-func upstreamOptions(c *config.Config, table *endpoint.Table, log *slog.Logger) upstream.Options {
+func upstreamOptions(c *config.Config, endpoints *endpoint.Table, log *slog.Logger) upstream.Options {
 	return upstream.Options{
-		Table:          table,
+		Table:          endpoints,
 		LoadReports:    c.Settings.LoadReports,
 		ConnectTimeout: c.Settings.ConnectTimeout,
 		IdleClose:      c.Settings.IdleClose,
@@ -100,7 +100,7 @@
 	return discovery.Options{
 		Addr:           c.Discovery,
 		CachedList:     c.Known,
-		Table:          l.table,
+		Table:          l.endpoints,
 		OnStale:        l.upstream.DrainConnections,
 		OnList:         func(list balancer.EndpointList) { l.post(moduleEvent{list}) },
 		Zones:          c.Names.Zones,
@@ -111,7 +111,10 @@
 		ConnectTimeout: c.Settings.ConnectTimeout,
 		DrainGrace:     c.Settings.DrainGrace,
 		Seed:           c.Seed,
-		SlowStart:      discovery.SlowStart{Duration: c.Settings.SlowStartDuration, MinCapacity: c.Settings.SlowStartMinCapacity},
+		SlowStart: discovery.SlowStart{
+			Duration:    c.Settings.SlowStartDuration,
+			MinCapacity: c.Settings.SlowStartMinCapacity,
+		},
 	}
 }
 
@@ -140,8 +143,7 @@
 	}
 }
 
-// nextStep is when the module may be stepped again: steps come a tick apart, and what happens meanwhile makes one
-// batch.
+// nextStep is when the module may be stepped again. Steps come a tick apart, and one step takes all events between.
 func (l *eventLoop) nextStep() time.Duration { return l.lastStep + l.tick }
 
 // nextWake is when the loop has something to do, unless a message comes first.
@@ -174,7 +176,7 @@
 	l.pending = nil
 	for i, event := range events {
 		if request, ok := event.(balancer.Request); ok {
-			events[i] = l.withTimeLeft(now, request)
+			events[i] = l.setTimeout(now, request)
 		}
 	}
 	l.lastStep = now
@@ -188,7 +190,8 @@
 	}
 }
 
-// stepModule steps the module. A panic there costs one step and no more: the deadline guards answer what it forgets.
+// stepModule steps the module. A panic there loses the actions of one step; the deadline guards answer the requests
+// that it leaves open.
 func (l *eventLoop) stepModule(now time.Duration, events []balancer.Event) (actions []balancer.Action) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -13,15 +13,29 @@
 	"ashshunt/internal/config"
 )
 
+// maxHeaderBytes bounds the head of a request; net/http allows a little more.
 const maxHeaderBytes = 8 << 10
 
+// The timeouts in service, one for each field of Timeouts.
+const (
+	defaultFirstByte       = 2500 * time.Millisecond
+	defaultReadRequest     = 2800 * time.Millisecond
+	defaultReadSlowRequest = 4500 * time.Millisecond
+	defaultReclaimIdle     = 2 * time.Second
+	defaultReclaimUnused   = 250 * time.Millisecond
+	defaultIdle            = defaultReclaimIdle + 100*time.Millisecond
+	defaultLinger          = 100 * time.Millisecond
+	defaultEndpointList    = 5 * time.Second
+)
+
 // Timeouts bound how long clients may take, and how long their connections are kept.
 type Timeouts struct {
 	// FirstByte is how long a new connection may be silent.
 	FirstByte time.Duration
-	// ReadRequest is how long a request may stop coming, from its first byte, or from the connect for the first one.
+	// ReadRequest is how long a client may pause within a request. Until the request's second read it counts from the
+	// first byte, or from the connect for the first request of a connection.
 	ReadRequest time.Duration
-	// ReadSlowRequest is how long a request may take that keeps coming.
+	// ReadSlowRequest is how long a request may take in all if its client goes on sending.
 	ReadSlowRequest time.Duration
 	// Idle ends a connection that has had no request for so long. Clients hold a third of the descriptors at most:
 	// those that stay after one request would keep the others out.
@@ -33,23 +47,22 @@
 	ReclaimUnused time.Duration
 	// Linger is how long the rest of a rejected request is read before its connection is closed.
 	Linger time.Duration
-	// EndpointList is how long an agent that knows no endpoint waits for discovery before it says that it is ready
-	// all the same: while discovery is down, its rejections are a better answer to the application than silence.
+	// EndpointList is how long an agent that knows no endpoint waits for discovery before it reports that it is ready
+	// all the same: while discovery is down, rejections are a better answer to the application than silence.
 	EndpointList time.Duration
 }
 
 // DefaultTimeouts returns the timeouts used in service.
 func DefaultTimeouts() Timeouts {
-	const reclaimIdle = 2 * time.Second
 	return Timeouts{
-		FirstByte:       2500 * time.Millisecond,
-		ReadRequest:     2800 * time.Millisecond,
-		ReadSlowRequest: 4500 * time.Millisecond,
-		Idle:            reclaimIdle + 100*time.Millisecond,
-		ReclaimIdle:     reclaimIdle,
-		ReclaimUnused:   250 * time.Millisecond,
-		Linger:          100 * time.Millisecond,
-		EndpointList:    5 * time.Second,
+		FirstByte:       defaultFirstByte,
+		ReadRequest:     defaultReadRequest,
+		ReadSlowRequest: defaultReadSlowRequest,
+		Idle:            defaultIdle,
+		ReclaimIdle:     defaultReclaimIdle,
+		ReclaimUnused:   defaultReclaimUnused,
+		Linger:          defaultLinger,
+		EndpointList:    defaultEndpointList,
 	}
 }
 
@@ -57,19 +70,21 @@
 type Server struct {
 	Timeouts Timeouts // may be changed until Serve is called
 
-	listener *connectionListener
-	handler  *handler
-	http     *http.Server
+	connections *connectionTable
+	listener    *connectionListener
+	handler     *handler
+	http        *http.Server
 }
 
 // NewServer returns a server for the connections of a listener. It answers once Serve is called.
 func NewServer(listener net.Listener, c *config.Config, clock clock.Clock, loop EventLoop, log *slog.Logger) *Server {
 	s := &Server{Timeouts: DefaultTimeouts()}
-	s.listener = newListener(listener, c.ClientConnections(), &s.Timeouts, log)
-	s.handler = newHandler(c, clock, loop, &s.Timeouts, s.listener.nearLimit)
+	s.connections = newConnectionTable(c.ClientConnections(), &s.Timeouts)
+	s.listener = newListener(listener, s.connections, log)
+	s.handler = newHandler(c, clock, loop, &s.Timeouts, s.connections.nearLimit)
 	s.http = &http.Server{
 		Handler:        s.handler,
-		ConnState:      s.listener.trackState,
+		ConnState:      s.connections.trackState,
 		ConnContext:    withConnection,
 		MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
@@ -93,23 +108,23 @@
 
 // CloseUsedIdle closes the connections that have had a request and are without an open one, and from now on each as
 // its response is out. Those that have not had one yet stay: who connects now is about to send one.
-func (s *Server) CloseUsedIdle() { s.listener.closeUsedIdle() }
+func (s *Server) CloseUsedIdle() { s.connections.closeUsedIdle() }
 
 // CloseAllIdle closes all connections that are without an open request.
-func (s *Server) CloseAllIdle() { s.listener.closeAllIdle() }
+func (s *Server) CloseAllIdle() { s.connections.closeAllIdle() }
 
 // RejectIncomplete rejects the requests that have begun and are not complete, and closes their connections.
-func (s *Server) RejectIncomplete() { s.listener.refuseIncomplete(http.StatusServiceUnavailable) }
+func (s *Server) RejectIncomplete() { s.connections.rejectIncomplete(http.StatusServiceUnavailable) }
 
-// StopAccepting closes the listener. Open connections are not touched. An error changes nothing: the system takes the
-// descriptor back in any case.
+// StopAccepting closes the listener; open connections stay. An error is ignored: the system takes the descriptor back
+// in any case.
 func (s *Server) StopAccepting() { _ = s.listener.Close() }
 
 // WaitUntilEmpty waits until no connection is open, or ctx ends.
-func (s *Server) WaitUntilEmpty(ctx context.Context) { s.listener.waitUntilEmpty(ctx) }
+func (s *Server) WaitUntilEmpty(ctx context.Context) { s.connections.waitUntilEmpty(ctx) }
 
 // Close closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
 
 // Connections returns how many connections are open, and how many of these are without an open request.
-func (s *Server) Connections() (open, idle int) { return s.listener.counts() }
+func (s *Server) Connections() (open, idle int) { return s.connections.counts() }
