--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -185,10 +185,7 @@
 	s := settings()
 	s.Agents = 400
 	h := newHarness(t, s, 1, endpoints(4))
-	for i := range 4 {
-		id := fmt.Sprint("q", i)
-		if h.request(id, idempotent); len(h.sent[id]) != 1 {
-			t.Errorf("request %d waited for another", i)
-		}
+	if n := total(h.burst("q", 4, idempotent)); n != 4 {
+		t.Errorf("%d of 4 requests were sent at once", n)
 	}
 }
--- /dev/null
+++ b/balancer/internal_test.go
@@ -0,0 +1,250 @@
+package balancer
+
+import (
+	"cmp"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+// A timer is taken once, by the open request whose latest timer it is, or as that for the next Subscribe.
+func TestTimerTable(t *testing.T) {
+	timers := newTimerTable()
+	add := func(r *request) int64 {
+		r.timer = timers.nextToken()
+		timers.requests[r.timer] = r
+		return r.timer
+	}
+	open, ended := &request{}, &request{phase: phaseEnded}
+	voided, latest, ofEnded, subscribe := add(open), add(open), add(ended), timers.nextToken()
+	timers.subscribe = subscribe
+	tests := []struct {
+		name        string
+		token       int64
+		isSubscribe bool
+		request     *request
+	}{
+		{"no timer", 0, false, nil},
+		{"voided", voided, false, nil},
+		{"latest", latest, false, open},
+		{"latest, again", latest, false, nil},
+		{"of an ended request", ofEnded, false, nil},
+		{"subscribe", subscribe, true, nil},
+		{"subscribe, again", subscribe, false, nil},
+	}
+	for _, tt := range tests {
+		isSubscribe, r := timers.takeSubscribe(tt.token), timers.takeRequest(tt.token)
+		if isSubscribe != tt.isSubscribe || r != tt.request {
+			t.Errorf("%s: for Subscribe %v, for the request %v", tt.name, isSubscribe, r)
+		}
+	}
+	if len(timers.requests) != 0 {
+		t.Errorf("%d timers are kept", len(timers.requests))
+	}
+}
+
+// A token bucket starts full, pays only what it holds, takes nothing otherwise, and is refilled up to its capacity.
+func TestTokenBucket(t *testing.T) {
+	bucket := newTokenBucket()
+	steps := []struct {
+		name       string
+		refills    int
+		cost, left float64 // tokens
+		paid       bool
+	}{
+		{"new", 0, 5, retryTokenCapacity - 5, true},
+		{"refilled up to the capacity", 50, 0, retryTokenCapacity, true},
+		{"nearly all tokens", 0, retryTokenCapacity - 5, 5, true},
+		{"more than it holds", 0, 10, 5, false},
+		{"all that it holds", 0, 5, 0, true},
+		{"refilled", 7, 5, 7*successTokenRefill - 5, true},
+	}
+	for _, step := range steps {
+		for range step.refills {
+			bucket.refill()
+		}
+		if paid := bucket.take(step.cost); paid != step.paid || bucket.tokens != step.left {
+			t.Errorf("%s: paid %v, %v left; want %v and %v", step.name, paid, bucket.tokens, step.paid, step.left)
+		}
+	}
+}
+
+// Requests of one key are next in the order of their arrival, after the quiet period of the one before. A queue is
+// dropped once it is empty and its quiet period is over.
+func TestKeyQueues(t *testing.T) {
+	const now, quietUntil = time.Hour, time.Hour + time.Second
+	first, second, third := &request{}, &request{}, &request{}
+	queues := newKeyQueues()
+	for _, r := range []*request{first, second, third} {
+		queues.join(r, "k")
+	}
+	if !first.isNextOfKey(now) || second.isNextOfKey(now) {
+		t.Error("of three requests not the first alone is next")
+	}
+	queues.leave(second, now) // before its turn
+	first.keyQuietUntil = quietUntil
+	if wait := queues.leave(first, now); wait < quietUntil-now {
+		t.Errorf("a wait of %v for a quiet period of %v", wait, quietUntil-now)
+	}
+	if queues.expire(quietUntil); third.isNextOfKey(quietUntil-1) || !third.isNextOfKey(quietUntil) {
+		t.Error("the third is not next when the quiet period ends")
+	}
+	third.keyQuietUntil = quietUntil + time.Second
+	queues.leave(third, quietUntil)
+	if queues.expire(third.keyQuietUntil - 1); len(queues.byKey) != 1 {
+		t.Errorf("%d queues in the quiet period, want 1", len(queues.byKey))
+	}
+	if queues.expire(third.keyQuietUntil); len(queues.byKey)+len(queues.quiet) != 0 {
+		t.Errorf("%d queues after it, want none", len(queues.byKey))
+	}
+}
+
+// The limit falls by a factor, at most once in a mean latency and never under the least limit, while latencies are
+// high. It grows while they are low and it binds.
+func TestLimitIsAdjusted(t *testing.T) {
+	const start, meanLatency = 20.0, 100 * time.Millisecond
+	fleet := fleetSummary{serving: 5, capacity: 5}
+	tests := []struct {
+		name      string
+		ratio     float64 // latency over objective
+		inFlight  float64
+		step      time.Duration // between responses
+		low, high float64       // bounds of the limit for an endpoint in the end
+	}{
+		{"high latency for a moment", 1, 0, 0, start * limitDecreaseFactor, start * limitDecreaseFactor},
+		{"high latency for long", 1, 0, 2 * meanLatency, minLimitPerEndpoint, minLimitPerEndpoint},
+		{"low latency, limit binds", 0.05, 150, 0, 1.01 * start, 1.5 * start},
+		{"low latency, limit does not bind", 0.05, 50, 0, start, start},
+	}
+	for _, tt := range tests {
+		limiter := newConcurrencyLimiter(1)
+		for range int(initialRatioSamples) {
+			limiter.observe(0, 0.05, 0, float64(meanLatency), fleet)
+		}
+		limiter.perEndpoint = start
+		for i := range 300 {
+			limiter.observe(time.Hour+time.Duration(i)*tt.step, tt.ratio, tt.inFlight, float64(meanLatency), fleet)
+		}
+		if got := limiter.perEndpoint; got < tt.low || got > tt.high {
+			t.Errorf("%s: limit %v, want %v to %v", tt.name, got, tt.low, tt.high)
+		}
+	}
+}
+
+// The throttle closes where this agent's part of the least limit is under one attempt, and the requests sent exceed a
+// multiple of those served on time by the allowance.
+func TestIsThrottled(t *testing.T) {
+	tests := []struct {
+		name         string
+		agents       int
+		sent, onTime float64
+		want         bool
+	}{
+		{"allowance used up", 40, lateWorkAllowance, 0, true},
+		{"enough served on time", 40, lateWorkAllowance + 9*throttledSentPerOnTime, 10, false},
+		{"too few served on time", 40, lateWorkAllowance + 11*throttledSentPerOnTime, 10, true},
+		{"part of one attempt", 8, 100, 0, false},
+	}
+	for _, tt := range tests {
+		limiter, traffic := newConcurrencyLimiter(tt.agents), trafficStats{sent: tt.sent, servedOnTime: tt.onTime}
+		if got := isThrottled(&limiter, &traffic, fleetSummary{serving: 2}); got != tt.want {
+			t.Errorf("%s: throttled %v, want %v", tt.name, got, tt.want)
+		}
+	}
+}
+
+// The subset holds the candidates of least preference, in whatever order they are inserted. Each of the others is
+// returned once.
+func TestCandidateSet(t *testing.T) {
+	for seed := range uint64(50) {
+		rng := rand.New(rand.NewPCG(seed, 7))
+		all := make([]candidate, rng.IntN(12))
+		set := candidateSet{subsetSize: 1 + rng.IntN(6)}
+		for i := range all {
+			all[i] = candidate{endpoint: &endpoint{}, preference: rng.Float64()}
+			admitted := set.admits(all[i].preference)
+			outside, isOutside := set.insert(all[i])
+			if isOutside {
+				set.connected = append(set.connected, outside)
+			}
+			if isInside := !isOutside || outside != all[i]; isInside != admitted {
+				t.Errorf("seed %d: admits %v, in the subset: %v", seed, admitted, isInside)
+			}
+		}
+		slices.SortFunc(all, comparePreference)
+		subset := slices.SortedFunc(slices.Values(set.members), comparePreference)
+		if !slices.Equal(subset, all[:min(set.subsetSize, len(all))]) {
+			t.Errorf("seed %d: the subset of %d is %v of %v", seed, set.subsetSize, subset, all)
+		}
+		if set.complete(); !slices.Equal(set.members, all) {
+			t.Errorf("seed %d: all candidates are %v, want %v", seed, set.members, all)
+		}
+	}
+}
+
+// The unobserved endpoints are yielded as a plain sort by preference gives them, whatever was added and removed.
+func TestUnobservedEndpoints(t *testing.T) {
+	const ownZone, crossZoneFactor = 1, 3.0
+	zoneFactors := []float64{crossZoneFactor, 1, crossZoneFactor}
+	preferenceOf := func(ep *endpoint) float64 { return ep.rank / ep.size() * zoneFactors[ep.Zone] }
+	for seed := range uint64(30) {
+		rng := rand.New(rand.NewPCG(seed, 8))
+		unobserved := unobservedEndpoints{zone: ownZone}
+		var want, got []*endpoint
+		for range 80 {
+			ep := newEndpoint(Endpoint{Zone: rng.IntN(3), Weight: float64(rng.IntN(3))}, rng.ExpFloat64(), 1)
+			unobserved.add(ep)
+			if want = append(want, ep); rng.IntN(3) == 0 {
+				i := rng.IntN(len(want))
+				unobserved.remove(want[i])
+				want = slices.Delete(want, i, i+1)
+			}
+		}
+		slices.SortFunc(want, func(x, y *endpoint) int { return cmp.Compare(preferenceOf(x), preferenceOf(y)) })
+		for ep, preference := range unobserved.byPreference(crossZoneFactor) {
+			if got = append(got, ep); preference != preferenceOf(ep) {
+				t.Errorf("seed %d: preference %v, want %v", seed, preference, preferenceOf(ep))
+			}
+		}
+		if !slices.Equal(got, want) || unobserved.len() != len(want) {
+			t.Errorf("seed %d: %d endpoints, want %d in order", seed, len(got), len(want))
+		}
+	}
+}
+
+// The wait before a poll has full jitter, up to a bound that grows with the agents and with the failures in a row.
+func TestSubscriberWaits(t *testing.T) {
+	failures := slices.Repeat([]ListKind{ListFailed}, 20)
+	tests := []struct {
+		name    string
+		agents  int
+		spread  time.Duration // Settings.PollSpread; 0: none
+		lists   []ListKind
+		longest time.Duration // after the last list; 0: no poll
+	}{
+		{"changes", 64, 0, []ListKind{ListDelta}, 0},
+		{"cached list, many agents", 900, 0, []ListKind{ListCached}, 16 * time.Second},
+		{"many failures", 1, 0, failures, 8 * time.Second},
+		{"many failures, many agents", 900, 0, failures, 64 * time.Second},
+		{"failure after a list", 16, 0, []ListKind{ListFailed, ListComplete, ListFailed}, 16 * time.Second},
+		{"failure, bounded spread", 900, 3 * time.Second, failures[:1], 3 * time.Second},
+		{"refusal, bounded spread", 900, 3 * time.Second, []ListKind{ListRefused}, 6 * time.Second},
+	}
+	for _, tt := range tests {
+		settings := Settings{Agents: tt.agents, Subscribe: true, PollWithin: 64 * time.Second, PollSpread: tt.spread,
+			RefusedPollSpread: 2 * tt.spread}
+		rng := rand.New(rand.NewPCG(1, 9))
+		waits := make([]time.Duration, 300)
+		for i := range waits {
+			s := subscriber{settings: &settings, rng: rng}
+			for _, kind := range tt.lists {
+				waits[i], _ = s.observe(kind)
+			}
+		}
+		low, high := slices.Min(waits), slices.Max(waits)
+		if low > tt.longest/10 || high < tt.longest*9/10 || high > tt.longest {
+			t.Errorf("%s: waits from %v to %v, want them from 0 to %v", tt.name, low, high, tt.longest)
+		}
+	}
+}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -75,12 +75,8 @@
 		}
 		h.outcomeAfter(id, result, 10*ms)
 	}
-	for i := range 16 { // the limit of four endpoints
-		id := fmt.Sprint("all", i)
-		if h.request(id, notIdempotent); len(h.sent[id]) != 1 {
-			t.Errorf("%d at once, want 16: endpoints are left out", i)
-			break
-		}
+	if n := total(h.burst("all", 16, notIdempotent)); n != 16 { // the limit of four endpoints
+		t.Errorf("%d at once, want 16: endpoints are left out", n)
 	}
 }
 
