--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -10,7 +10,7 @@
 
 // The time-outs of clients with little time left do not eject endpoints, and the fast responses that alone reach such
 // clients do not count as the usual latency, which is 100 ms here.
-func TestLittleTimeTeachesNothing(t *testing.T) {
+func TestAttemptsWithLittleTimeAreIgnored(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.serve(200, idempotent, 100*ms)
 	responseOf := faultAtA(response{balancer.TimedOut, 100 * ms}, response{balancer.Served, 100 * ms})
@@ -30,7 +30,7 @@
 	if h.requestWithin("short", idempotent, 50*ms); len(h.sent["short"]) > 0 {
 		t.Error("50 ms left: sent, as if the fast responses had lowered the mean latency")
 	}
-	// The mean latency does not hold for ever: requests that are not sent teach nothing.
+	// The mean latency does not hold for ever: nothing is learned from requests that are not sent.
 	h.now += time.Minute
 	if h.requestWithin("later", idempotent, 50*ms); len(h.sent["later"]) != 1 {
 		t.Error("a minute after the last response: not sent")
@@ -39,7 +39,7 @@
 
 // Where all deadlines are far below the objectives, the time-outs of usual clients count: they find an unresponsive
 // endpoint.
-func TestShortDeadlinesAreNotLittleTime(t *testing.T) {
+func TestShortDeadlinesAreNotIgnored(t *testing.T) {
 	s := settings()
 	for i := range s.Classes {
 		s.Classes[i].Deadline = 100 * ms
--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -9,8 +9,8 @@
 	"ashshunt/balancer"
 )
 
-// auditor checks all rules from events and actions alone. It models no endpoint: it only remembers what the
-// balancer was notified of and what it did.
+// auditor checks all rules from events and actions alone. It does not model endpoints: it remembers what the balancer
+// was notified of and what it did.
 type auditor struct {
 	settings   balancer.Settings
 	now        time.Duration
@@ -21,21 +21,23 @@
 	violations []string
 }
 
-// expectedWork counts the requests that came with their expected work.
+// expectedWork sums up the requests that came with their expected work.
 type expectedWork struct{ requests, sum float64 }
 
+// auditedRequest is a request and its attempts.
 type auditedRequest struct {
 	class       balancer.Class
 	deadline    time.Duration
 	work        float64 // its expected work over the mean of its class; 1 if unknown
 	attempts    []auditedAttempt
 	ended       bool
-	abandonedAt time.Duration // answers in the same step do no harm
+	abandonedAt time.Duration // actions in the same step are allowed
 	streaming   bool
-	key         string        // where order is kept
-	quietUntil  time.Duration // its key is quiet until then
+	key         string        // of an ordered request
+	quietUntil  time.Duration // the quiet period of its key
 }
 
+// auditedAttempt is one attempt of a request.
 type auditedAttempt struct {
 	endpoint   string
 	at         time.Duration
@@ -43,6 +45,7 @@
 	mayHaveRun bool
 }
 
+// auditedEndpoint is an endpoint by what the lists said of it, and the work that was sent to it since its start.
 type auditedEndpoint struct {
 	balancer.Endpoint
 	notServingSince time.Duration // when the list said that it was draining or removed; 0: serving
@@ -50,22 +53,27 @@
 	sends           []sentWork
 }
 
+// sentWork is the work of one attempt, in mean requests.
 type sentWork struct {
 	at   time.Duration
 	work float64
 }
 
 func newAuditor(s balancer.Settings) *auditor {
-	return &auditor{settings: s, requests: map[string]*auditedRequest{},
-		endpoints: map[string]*auditedEndpoint{}, keys: map[string][]*auditedRequest{},
-		work: map[int]expectedWork{}}
+	return &auditor{
+		settings:  s,
+		requests:  map[string]*auditedRequest{},
+		endpoints: map[string]*auditedEndpoint{},
+		keys:      map[string][]*auditedRequest{},
+		work:      map[int]expectedWork{},
+	}
 }
 
 func (a *auditor) violation(format string, args ...any) {
 	a.violations = append(a.violations, fmt.Sprintf("at %v: ", a.now)+fmt.Sprintf(format, args...))
 }
 
-// firstViolations is a text of the first few.
+// firstViolations is a text of the first three.
 func (a *auditor) firstViolations() string {
 	return strings.Join(a.violations[:min(3, len(a.violations))], "\n")
 }
@@ -231,7 +239,7 @@
 	a.checkSlowStart(ep)
 }
 
-// checkOrder checks that all earlier requests of its key are over before a request is sent.
+// checkOrder checks that all earlier requests of its key have ended before a request is sent.
 func (a *auditor) checkOrder(id string, r *auditedRequest) {
 	for _, earlier := range a.keys[r.key] {
 		if earlier == r {
@@ -251,7 +259,7 @@
 
 // checkRepeat checks that a further attempt has no further effect.
 func (a *auditor) checkRepeat(id string, r *auditedRequest, ep *auditedEndpoint) {
-	var first *auditedAttempt // of those that may have run
+	var first *auditedAttempt // of the attempts that may have run
 	for i := range r.attempts {
 		attempt := &r.attempts[i]
 		if attempt.inFlight && !a.settings.AllowHedging {
@@ -276,11 +284,10 @@
 	}
 }
 
-// checkSlowStart checks this agent's part of the load of an endpoint that warms up. The capacity of
-// endpoints is unknown: the work that the busiest warm one was sent within three windows bounds what a
-// balancer may take for the rate of a warm one, and the allowed multiple of the warm-up fraction of that
-// bounds the other. The slack is one mean request, and one of twice the mean that may go out on the last
-// permit.
+// checkSlowStart checks this agent's part of the load of an endpoint that warms up. The capacity of endpoints is
+// unknown. The work that the busiest warm one was sent within three windows bounds the rate that a balancer may assume
+// of a warm one; the allowed multiple of the warm-up fraction of that bounds the load of the other. The slack is one
+// mean request, and one of twice the mean that may be sent on the last permit.
 func (a *auditor) checkSlowStart(ep *auditedEndpoint) {
 	if a.isWarm(ep) || a.settings.SlowStartDuration == 0 {
 		return
@@ -294,7 +301,7 @@
 		}
 	}
 	if !warm {
-		return // there is no measure: a balancer goes by its part of the least limit
+		return // nothing to compare with: a balancer goes by its part of the least limit
 	}
 	age := max(0, float64(a.now-ep.started)/float64(a.settings.SlowStartDuration))
 	fraction := a.settings.SlowStartMinCapacity + (1-a.settings.SlowStartMinCapacity)*age
@@ -327,7 +334,7 @@
 	}
 }
 
-// audit plays events, actions and durations that pass after a request.
+// audit plays events, actions and durations that pass, after a request of a class.
 func audit(class int, play []any) *auditor {
 	a := newAuditor(settings())
 	a.now = time.Hour
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -77,7 +77,7 @@
 		}
 	}
 	h.advance(50 * ms)
-	// Six for each of four endpoints, and a few for what the outcomes taught.
+	// Six for each of four endpoints, and a few since the limit has grown.
 	if n := total(h.burst("q", 100, idempotent)); n > 28 {
 		t.Errorf("%d in flight on four reachable endpoints", n)
 	}
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -79,8 +79,7 @@
 	}
 }
 
-// Each endpoint is either observed or in its place among the unobserved ones, whatever the lists say and the requests
-// teach.
+// Each endpoint is either observed or in its place among the unobserved ones, whatever the lists and the outcomes are.
 func TestPlacesOfEndpoints(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
--- a/balancer/fleetsim_test.go
+++ b/balancer/fleetsim_test.go
@@ -16,9 +16,9 @@
 // settings allow.
 type fleetSimulation struct {
 	agents, endpoints int
-	started           int           // so many of the endpoints start at the change
-	removed           int           // and so many others are removed then
-	restartAgents     bool          // all agents restart at the change, with no state
+	started           int           // endpoints that start at the change
+	removed           int           // other endpoints that are removed at the change
+	restartAgents     bool          // all agents restart at the change, without state
 	load              float64       // of the capacity of the endpoints before the change
 	work              time.Duration // mean of a request, on one core
 	changeAt, length  time.Duration
@@ -30,8 +30,8 @@
 	list    []balancer.Endpoint
 	servers []*simulatedEndpoint
 	fleet   []*simulatedAgent
-	asked   int // requests that arrived after the change ...
-	served  int // ... and responses since then
+	arrived int // requests since the change
+	served  int // responses since the change
 }
 
 // simulatedEndpoint serves requests in the order of their arrival.
@@ -41,9 +41,10 @@
 	sent       []time.Duration // when requests arrived since its start
 }
 
+// simulatedAgent is a balancer, and what its agent keeps for it.
 type simulatedAgent struct {
 	balancer *balancer.Balancer
-	attempts map[string]int
+	attempts map[string]int // by request
 }
 
 // scheduledEvent is an event of which an agent will be notified.
@@ -94,7 +95,7 @@
 		for _, server := range run.servers[:f.started] {
 			worstOverload = max(worstOverload, run.overload(server))
 		}
-		servedShare += float64(run.served) / float64(run.asked) / runs
+		servedShare += float64(run.served) / float64(run.arrived) / runs
 	}
 	return worstOverload, servedShare
 }
@@ -128,7 +129,7 @@
 			next.event = f.currentList()
 		}
 	case balancer.Outcome:
-		if event.Result == balancer.Served && f.now >= change { // some were asked before
+		if event.Result == balancer.Served && f.now >= change { // some of them arrived before
 			f.served++
 		}
 	}
@@ -143,7 +144,7 @@
 	}
 }
 
-// addAgents returns the share of the requests that each agent gets, not normalized.
+// addAgents adds the agents and returns the share of the requests that each gets, not normalized.
 func (f *fleetSimulation) addAgents(t *testing.T) []float64 {
 	t.Helper()
 	weights := make([]float64, f.agents)
@@ -185,12 +186,12 @@
 		request := balancer.Request{ID: fmt.Sprint("q", at), Class: idempotent, Timeout: 2000 * ms}
 		f.schedule(at, f.fleet[i], request)
 		if at >= change {
-			f.asked++
+			f.arrived++
 		}
 	}
 }
 
-// change starts and removes endpoints, and lets the agents know.
+// change starts and removes endpoints, and notifies the agents.
 func (f *fleetSimulation) change(t *testing.T, at time.Duration) {
 	t.Helper()
 	affected := f.started + f.removed
@@ -260,8 +261,8 @@
 	return min(1, s.SlowStartMinCapacity+(1-s.SlowStartMinCapacity)*float64(age)/float64(s.SlowStartDuration))
 }
 
-// overload is the most that an endpoint got within any overload window of its warm-up, over what the
-// settings allow then with a margin for chance.
+// overload is the most requests that an endpoint got within any overload window of its warm-up, over what the settings
+// allow, with a margin for chance.
 func (f *fleetSimulation) overload(e *simulatedEndpoint) (worst float64) {
 	s := f.settings
 	first := 0
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -20,6 +20,7 @@
 	keyedInCell
 )
 
+// settings has classes of each kind of idempotency, and an objective of 400 ms for all.
 func settings() balancer.Settings {
 	class := func(idempotency balancer.Idempotency, scope balancer.DedupScope) balancer.Class {
 		return balancer.Class{Objective: 400 * ms, Deadline: 2000 * ms, Priority: 1,
@@ -40,7 +41,7 @@
 	}
 }
 
-// endpoints makes n endpoints named a, b, c ...; two per zone and cell.
+// endpoints makes n endpoints with the IDs a, b, c and so on, two in each zone and cell.
 func endpoints(n int) []balancer.Endpoint {
 	var list []balancer.Endpoint
 	for i := range n {
@@ -222,8 +223,8 @@
 	return sum
 }
 
-// serve sends n requests one after the other, each served after the latency. It returns the requests by
-// endpoint.
+// serve sends n requests one after the other, each served after the latency. It returns the requests that each
+// endpoint gets.
 func (h *harness) serve(n, class int, latency time.Duration) map[string]int {
 	h.t.Helper()
 	counts := map[string]int{}
@@ -236,8 +237,8 @@
 	return counts
 }
 
-// waves sends n requests, width at a time, and serves each wave after the latency. Waves as wide as the list
-// open a connection to every endpoint. It returns the requests by endpoint.
+// waves sends n requests, width at a time, and serves each wave after the latency. Waves as wide as the list open a
+// connection to every endpoint. It returns the requests that each endpoint gets.
 func (h *harness) waves(n, width, class int, latency time.Duration) map[string]int {
 	h.t.Helper()
 	counts := map[string]int{}
@@ -258,8 +259,8 @@
 	return counts
 }
 
-// fleetShares is how many of 400 requests, eight from each of fifty balancers, each of a few endpoints gets.
-// One balancer alone keeps to its subset; together they use all endpoints.
+// fleetShares returns how many of 400 requests, eight from each of fifty balancers, each endpoint gets. One balancer
+// keeps to its subset; together they use all endpoints.
 func fleetShares(t *testing.T, s balancer.Settings, list []balancer.Endpoint) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -97,7 +97,7 @@
 }
 
 // A time-out says at least how slow an endpoint is: one that serves only light requests does not count as fast.
-func TestTimeoutsTeachLatency(t *testing.T) {
+func TestTimeoutsCountAsLatency(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
 	h := newHarness(t, s, 3, endpoints(3))
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -140,7 +140,7 @@
 	d.auditor.checkOverdue()
 }
 
-// distorted are the events as the balancer is told them.
+// distorted returns the events as the balancer is notified of them.
 func (d *hostileDriver) distorted(events []balancer.Event) []balancer.Event {
 	for _, distortion := range d.distortions {
 		for i := range events {
