--- /dev/null
+++ b/balancer/ejection_test.go
@@ -0,0 +1,36 @@
+package balancer_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"ashshunt/balancer"
+)
+
+// An ejected endpoint recovers also where no class is idempotent.
+func TestEjectionEndsWithoutIdempotentClass(t *testing.T) {
+	s := settings()
+	s.Classes = s.Classes[notIdempotent : notIdempotent+1]
+	h := newHarness(t, s, 4, endpoints(3))
+	h.exchangeUntil("a", 0, faultAtA(response{balancer.ServerError, 20 * ms}, response{balancer.Served, 20 * ms}))
+	h.advance(5 * time.Second)
+	if counts := h.serve(200, 0, 30*ms); counts["a"] == 0 {
+		t.Error("an ejected endpoint never got traffic again")
+	}
+}
+
+// When all endpoints are ejected, first attempts are still sent.
+func TestAllEjected(t *testing.T) {
+	s := settings()
+	s.MaxAttempts = 1
+	h := newHarness(t, s, 4, endpoints(2))
+	for i := range 10 {
+		id := fmt.Sprint("q", i)
+		h.request(id, idempotent)
+		if len(h.sent[id]) != 1 {
+			t.Fatalf("request %d was not sent", i)
+		}
+		h.outcomeAfter(id, balancer.ServerError, ms)
+	}
+}
--- /dev/null
+++ b/balancer/fleet_test.go
@@ -0,0 +1,59 @@
+package balancer_test
+
+import (
+	"fmt"
+	"testing"
+
+	"ashshunt/balancer"
+)
+
+// Attempts in flight at an unresponsive endpoint do not use up the capacity of the others once it is ejected.
+func TestHangingAttemptsUseNoCapacity(t *testing.T) {
+	s := settings()
+	s.MaxAttempts = 1
+	h := newHarness(t, s, 1, endpoints(3))
+	h.serve(60, idempotent, 20*ms)
+	h.now += ms
+	h.burst("h", 18, idempotent)
+	unresponsive := h.firstEndpoint("h0")
+	var hanging []string
+	for i := range 18 {
+		if id := fmt.Sprint("h", i); len(h.sent[id]) == 1 && h.sent[id][0] == unresponsive {
+			hanging = append(hanging, id)
+		}
+	}
+	if len(hanging) < 3 {
+		t.Fatalf("only %v hang", hanging)
+	}
+	h.now += 20 * ms
+	for i := range 18 { // also those that are sent meanwhile
+		if id := fmt.Sprint("h", i); len(h.sent[id]) == 1 && h.sent[id][0] != unresponsive {
+			h.outcome(id, balancer.Served, 20*ms)
+		}
+	}
+	h.now += 100 * ms
+	h.outcome(hanging[0], balancer.TimedOut, 120*ms)
+	counts := h.burst("q", 40, idempotent)
+	if n := counts[unresponsive]; n > 0 {
+		t.Errorf("%d requests went to the unresponsive endpoint", n)
+	}
+	if n := total(counts); n < 8 {
+		t.Errorf("%d in flight on the two that respond, want all of their capacity of 8", n)
+	}
+}
+
+// An attempt at an unresponsive endpoint does not use up the whole limit of an agent with little traffic until its
+// client leaves.
+func TestUnresponsiveEndpointTakesNoCapacity(t *testing.T) {
+	s := settings()
+	s.Agents = 5 // this agent's limit: one attempt
+	h := newHarness(t, s, 1, endpoints(6))
+	h.serve(60, notIdempotent, 10*ms)
+	h.request("hanging", notIdempotent)
+	h.advance(150 * ms) // 0.35 of the objective, more than six mean latencies
+	h.request("next", idempotent)
+	if sent := h.sent["next"]; len(sent) != 1 || sent[0] == h.firstEndpoint("hanging") {
+		t.Errorf("the next request was sent to %v, want another endpoint than the unresponsive %v", sent,
+			h.sent["hanging"])
+	}
+}
--- /dev/null
+++ b/balancer/unobserved_test.go
@@ -0,0 +1,33 @@
+package balancer_test
+
+import (
+	"fmt"
+	"testing"
+
+	"ashshunt/balancer"
+)
+
+// Where all endpoints that have been observed are busy, an agent draws further ones by their size.
+func TestUnobservedAreDrawnBySize(t *testing.T) {
+	const small, large = 1, 4
+	var list []balancer.Endpoint
+	sizes := map[string]float64{}
+	for i := range 40 {
+		entry := balancer.Endpoint{ID: fmt.Sprint("e", i), Weight: float64(small + (large-small)*(i%2))}
+		list = append(list, entry)
+		sizes[entry.ID] = entry.Weight
+	}
+	counts := map[float64]int{}
+	for seed := range uint64(60) {
+		h := newHarness(t, settings(), seed, list)
+		for i := range 40 { // none is answered
+			id := fmt.Sprint("q", i)
+			if h.request(id, idempotent); len(h.sent[id]) == 1 && i >= 10 && i < 20 {
+				counts[sizes[h.sent[id][0]]]++
+			}
+		}
+	}
+	if counts[large] < 2*counts[small] {
+		t.Errorf("endpoints of four times the size got %d requests, the others %d", counts[large], counts[small])
+	}
+}
