--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -80,8 +80,8 @@
 	return b, nil
 }
 
-// Step takes what has happened by now, in order, and returns what to do, in order. now must not run
-// backwards.
+// Step applies the events that have happened by now, in their order, and returns the actions, in the order in
+// which they must be carried out. now must not run backwards.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now = max(now, b.now)
 	b.actions = nil
@@ -95,7 +95,7 @@
 	return b.actions
 }
 
-// dispatch takes in one event. Health check results and gossip are ignored, since the balancer asks for
+// dispatch applies one event. Health check results and gossip are ignored, since the balancer asks for
 // neither.
 func (b *Balancer) dispatch(event Event) {
 	switch event := event.(type) {
@@ -118,7 +118,7 @@
 // act adds an action to those of the current step.
 func (b *Balancer) act(action Action) { b.actions = append(b.actions, action) }
 
-// onRequest takes in a new request. One with an unknown class, or whose ID is in use, is ignored.
+// onRequest adds a new request. One with an unknown class, or whose ID is in use, is ignored.
 func (b *Balancer) onRequest(event Request) {
 	if event.Class < 0 || event.Class >= len(b.classes) || b.requests[event.ID] != nil {
 		return
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -18,20 +18,20 @@
 	// bindingShare is the share of the limit that must be in flight for the limit to grow.
 	bindingShare = 0.9
 
-	// maxTargetRatio is the latency ratio above which the limit falls in any case.
+	// maxTargetRatio is the objective ratio above which the limit falls in any case.
 	maxTargetRatio = 0.35
-	// minTargetRatio is the latency ratio up to which the limit never falls: the delay does no harm.
+	// minTargetRatio is the objective ratio up to which the limit never falls: it is low enough.
 	minTargetRatio = 0.15
 	// targetOverBaseline is the multiple of the baseline ratio above which the limit falls, where that lies
 	// between minTargetRatio and maxTargetRatio.
 	targetOverBaseline = 3.0
 
-	// rejectedRatio is the least latency ratio of an attempt that was shed by its endpoint, or had no
+	// rejectedRatio is the least objective ratio of an attempt that was shed by its endpoint, or had no
 	// response.
 	rejectedRatio = 1.0
-	// maxRatioSample is the largest latency ratio that one response counts with.
+	// maxRatioSample is the largest objective ratio that one response counts with.
 	maxRatioSample = 2.0
-	// maxSampleOverBaseline bounds the latency ratio of one response to a multiple of the baseline ratio.
+	// maxSampleOverBaseline bounds the objective ratio of one response to a multiple of the baseline ratio.
 	maxSampleOverBaseline = 4.0
 	// minSampleBound is the least bound that follows from maxSampleOverBaseline.
 	minSampleBound = 2 * minTargetRatio
@@ -42,16 +42,17 @@
 )
 
 // concurrencyLimiter is the adaptive limit on attempts in flight: additive increase while it binds and
-// latencies are low, multiplicative decrease when they are high. A latency ratio is latency over objective.
+// latencies are low, multiplicative decrease when they are high. An objective ratio is a latency over the
+// objective.
 //
 // All agents keep a limit for an endpoint, and each agent takes its part of it by head count, since agents
 // share nothing.
 type concurrencyLimiter struct {
 	agents        float64
 	perEndpoint   float64 // attempts in flight, of all agents together
-	meanRatio     float64 // mean latency ratio
-	baselineRatio float64 // mean latency ratio without queueing: follows meanRatio down fast and up slowly
-	samples       float64 // latency ratios observed
+	meanRatio     float64 // mean objective ratio
+	baselineRatio float64 // mean objective ratio without queueing: follows meanRatio down fast and up slowly
+	samples       float64 // objective ratios observed
 	decreasedAt   time.Duration
 }
 
@@ -82,7 +83,7 @@
 	return minLimitPerEndpoint*float64(fleet.serving) < attempts*l.agents
 }
 
-// observe adjusts the limit by the latency ratio of a response, or of an attempt that had none. inFlight is
+// observe adjusts the limit by the objective ratio of a response, or of an attempt that had none. inFlight is
 // the number of attempts in flight that count, meanLatencyNs the shortest time between two decreases.
 func (l *concurrencyLimiter) observe(
 	now time.Duration, ratio, inFlight, meanLatencyNs float64, fleet fleetSummary,
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -2,9 +2,9 @@
 // It performs no I/O: the agent owns the clock, the timers and the connections, reports what happened as events,
 // and carries out the actions that it gets back, in order.
 //
-// A Balancer belongs to one goroutine. All times are durations on the agent's monotonic clock, whose zero does not
-// matter; they must not run backwards. Memory is bounded by the open requests and attempts, the pending timers,
-// and the endpoints that are listed or still have attempts in flight.
+// A Balancer belongs to one goroutine. All times are durations on the agent's monotonic clock, which must not run
+// backwards and has to start far above zero: a time of 0 stands for long ago. Memory is bounded by the open requests
+// and attempts, the pending timers, and the endpoints that are listed or still have attempts in flight.
 //
 // Constants are dimensionless: every scale comes from the settings or from observations, mostly the latency
 // objective of a class and its mean latency. A variable with the suffix Ns holds nanoseconds as a float64.
@@ -34,8 +34,8 @@
 // relative latency, less where crossing zones has a price. If no endpoint is idle, it takes the least loaded one.
 //
 // An agent keeps to a deterministic subset of the endpoints (subset.go): the first few in a random order of its
-// own, in which connected endpoints come earlier. Endpoints of which nothing has been learned are kept in that
-// order (unobserved.go) and are not looked at one by one, so that the cost of a pick does not grow with the fleet.
+// own, in which connected endpoints come earlier. Unobserved endpoints are kept in that order
+// (unobserved.go) and are not looked at one by one, so that the cost of a pick does not grow with the fleet.
 //
 // With cache affinity the draw comes from a hash of the request's key (rendezvous hashing), so that all agents
 // send a key to the same endpoint.
@@ -57,7 +57,7 @@
 // # Outlier ejection
 //
 // An endpoint is ejected (outlier.go, ejection.go) after consecutive failures, for a time that doubles with each
-// ejection; otherwise one that fails fast, and is therefore always idle, would draw all traffic. The number of
+// ejection. One that fails fast is always idle, and without ejection it would attract all traffic. The number of
 // failures depends on how common they are in the fleet, and only part of the fleet is ejected for errors, since
 // the rest must bear the load. An endpoint that leaves one class without response is ejected for that class alone.
 // After an ejection it gets one attempt at a time until it has recovered.
@@ -71,5 +71,5 @@
 // # Endpoint list
 //
 // Entries of the list are taken in by endpointset.go; fleet.go sums them up once a step. Where the list must be
-// subscribed to, subscription.go decides when discovery is asked again.
+// subscribed to, subscription.go decides when to subscribe again.
 package balancer
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -13,8 +13,8 @@
 	ejectionRecovery = 0.25
 	// classEjectionObjectives is the length of the first ejection for one class, in objectives.
 	classEjectionObjectives = 8.0
-	// probationMultiple is the multiple of its ejection for which an endpoint gets no request that is not
-	// idempotent.
+	// probationMultiple is how long after its ejection began an endpoint gets no request that is not
+	// idempotent, in lengths of the ejection.
 	probationMultiple = 2
 )
 
@@ -80,13 +80,14 @@
 	e.level, e.ejectedUntil, e.unreachable = 0, 0, false
 }
 
-// mayProbe reports whether an endpoint that recovers from an ejection may get a request of a class. A request
+// probationAllows reports whether an endpoint that recovers from an ejection may get a request of a class. A request
 // that is not idempotent has to wait for as long again as the ejection took.
-func (e *ejectionState) mayProbe(class *classStats, now time.Duration) bool {
+func (e *ejectionState) probationAllows(class *classStats, now time.Duration) bool {
 	if class.Idempotency != NotIdempotent {
 		return true
 	}
-	return now >= probationMultiple*e.ejectedUntil-e.ejectedAt
+	ejection := e.ejectedUntil - e.ejectedAt
+	return now >= e.ejectedAt+probationMultiple*ejection
 }
 
 // isHealthyFor reports whether an endpoint may get a request of a class as ordinary traffic. After an
@@ -96,5 +97,5 @@
 	if e.isEjected(now) || ep.isUnresponsive(now) || now < e.byClass[class.index].until {
 		return false
 	}
-	return e.level == 0 || e.mayProbe(class, now) && len(ep.inFlight) == 0
+	return e.level == 0 || e.probationAllows(class, now) && len(ep.inFlight) == 0
 }
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -25,7 +25,7 @@
 // newEndpoint returns an endpoint that has just been listed.
 func newEndpoint(entry Endpoint, rank float64, classes int) *endpoint {
 	ep := &endpoint{Endpoint: entry, hash: xxhash.Sum64String(entry.ID), rank: rank}
-	ep.StartedAt = 0 // its start, if the list tells one, is still to be taken in
+	ep.StartedAt = 0 // the start that the list has, if any, is still to be applied
 	ep.ejection.byClass = make([]classEjection, classes)
 	return ep
 }
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -6,7 +6,7 @@
 type endpointSet struct {
 	byID       map[string]*endpoint
 	all        []*endpoint // in the order in which they were first listed
-	observed   []*endpoint // those of which something has been learned, in that order; a step looks at each
+	observed   []*endpoint // in the order in which they became so; a step looks at each
 	unobserved unobservedEndpoints
 }
 
@@ -20,7 +20,7 @@
 	s.unobserved.add(ep)
 }
 
-// markObserved moves an endpoint to those that each step looks at.
+// markObserved moves an endpoint to those that each step looks at, before anything about it changes.
 func (s *endpointSet) markObserved(ep *endpoint) {
 	if ep.isObserved {
 		return
@@ -80,7 +80,7 @@
 	return slices.Delete(endpoints, i, i+1)
 }
 
-// onEndpointList takes in endpoints, or the failure to get them.
+// onEndpointList applies an endpoint list, or the failure to get one.
 func (b *Balancer) onEndpointList(list EndpointList) {
 	if wait, ok := b.subscriber.observe(list.Kind); ok {
 		b.timers.registerSubscribe(b.setTimer(wait))
@@ -96,7 +96,7 @@
 	}
 }
 
-// applyEntry takes in one entry of a list.
+// applyEntry applies one entry of a list.
 func (b *Balancer) applyEntry(entry Endpoint) {
 	ep := b.endpoints.byID[entry.ID]
 	if ep == nil {
--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -5,13 +5,13 @@
 // fleetSummary sums up the endpoints. It is measured at the start of each step and after each endpoint list.
 type fleetSummary struct {
 	serving  int     // endpoints that are listed as serving
-	warm     int     // of these, those that are not warming up
+	warm     int     // of these, those whose warm-up was over before the measurement
 	capacity float64 // usable endpoints, each counted by its warm-up fraction
 	stalled  int     // attempts in flight that are overdue, or at endpoints that are not usable
 }
 
-// summarize measures the fleet. Endpoints of which nothing has been learned are usable and warm; only their
-// number counts, so that the cost does not grow with the fleet.
+// summarize measures the fleet. Unobserved endpoints are usable and warm: only their number counts, so that
+// the cost does not grow with the fleet.
 func (s *endpointSet) summarize(now time.Duration, slowStart *slowStart) fleetSummary {
 	unobserved := s.unobserved.len()
 	fleet := fleetSummary{serving: unobserved, warm: unobserved, capacity: float64(unobserved)}
@@ -24,7 +24,7 @@
 		}
 		usable := ep.isUsable(now)
 		if usable {
-			fleet.capacity += slowStart.fraction(ep, now)
+			fleet.capacity += slowStart.updateFraction(ep, now)
 		}
 		for _, a := range ep.inFlight {
 			if !usable || a.isOverdue(now) {
--- a/balancer/keyqueue.go
+++ b/balancer/keyqueue.go
@@ -27,7 +27,7 @@
 // keyQueues are the queues of all keys that have open requests or a quiet period.
 type keyQueues struct {
 	byKey map[string]*keyQueue
-	quiet []*keyQueue // those with a quiet period, which may be over, in the order of its end
+	quiet []*keyQueue // those with a quiet period, in the order in which their requests ended
 }
 
 func newKeyQueues() keyQueues { return keyQueues{byKey: map[string]*keyQueue{}} }
@@ -60,7 +60,8 @@
 	return queue.quietUntil - now + timerResolution
 }
 
-// expire drops the queues that are unused since their quiet period is over.
+// expire drops the queues that are unused since their quiet period is over. One behind a longer quiet period
+// is dropped after that.
 func (qs *keyQueues) expire(now time.Duration) {
 	for len(qs.quiet) > 0 && qs.quiet[0].quietUntil <= now {
 		queue := qs.quiet[0]
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// onOutcome takes in the end of an attempt and decides how its request goes on.
+// onOutcome applies the end of an attempt and decides how its request goes on.
 func (b *Balancer) onOutcome(event Outcome) {
 	r := b.requests[event.Request]
 	if r == nil || event.Attempt < 0 || event.Attempt >= len(r.attempts) {
@@ -26,12 +26,12 @@
 		return
 	}
 	r.lastFailed = a.endpoint
-	if r.inFlight == 0 && r.phase == phaseInFlight {
+	if r.inFlight == 0 && r.phase == phaseActive {
 		b.retry(r, event.Result)
 	}
 }
 
-// onServed takes in that a request got its response from an endpoint, and withdraws its other attempts.
+// onServed notes that a request got its response, and withdraws its other attempts.
 func (b *Balancer) onServed(r *request) {
 	b.retryTokens.refill()
 	if r.isOnTime(b.now) {
@@ -110,7 +110,7 @@
 	return ep.ejection.unreachable && ep.warmUp.startedAt < a.sentAt && ep.ejection.firstFailureAt < a.sentAt
 }
 
-// observeTimeout takes in an attempt without a response. The endpoint is ejected if it has served nothing
+// observeTimeout learns from an attempt without a response. The endpoint is ejected if it has served nothing
 // since the attempt was sent; otherwise it counts as slow.
 func (b *Balancer) observeTimeout(r *request, a *attempt, latency time.Duration) {
 	ep := a.endpoint
@@ -127,7 +127,7 @@
 // row.
 func (b *Balancer) observeFailure(r *request, a *attempt, outcome *Outcome) {
 	ep, connectFailed := a.endpoint, outcome.Result == ConnectFailed
-	threshold := b.outliers.failureThreshold(outcome.Result)
+	threshold := b.outliers.failureThreshold(outcome.Result) // by the failures before this one
 	b.outliers.observeFailure(ep, b.now)
 	if b.outliers.isAlive(ep, outcome) {
 		threshold = maxRun
@@ -139,7 +139,7 @@
 		return
 	}
 	if connectFailed || mayEjectForErrors(&b.endpoints, b.fleet, b.now) {
-		if outcome.Result != ServerError && outcome.Result != LocalFailure {
+		if connectFailed || outcome.Result == Reset {
 			ep.ejection.markUnreachable()
 		}
 		b.outliers.eject(a, r.class, b.now)
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -54,7 +54,7 @@
 	traffic    *trafficStats
 	slowStart  *slowStart
 	endpoints  *endpointSet
-	candidates candidateSet // collected anew by each pick; kept for its memory alone
+	candidates candidateSet // collected anew by each pick; only its memory is reused
 }
 
 // pickInfo is what one pick goes by, besides the endpoints.
@@ -111,7 +111,7 @@
 	return ejected
 }
 
-// collectObserved adds the endpoints of which something has been learned.
+// collectObserved adds the observed endpoints, and returns the best of those that are ejected.
 func (p *picker) collectObserved(info *pickInfo, candidates *candidateSet) (ejected *endpoint) {
 	leastScore := math.Inf(1)
 	for _, ep := range p.endpoints.observed {
@@ -134,8 +134,7 @@
 	return ejected
 }
 
-// collectUnobserved adds the endpoints of which nothing has been learned, as far as they belong to the
-// subset.
+// collectUnobserved adds the unobserved endpoints that belong to the subset.
 func (p *picker) collectUnobserved(info *pickInfo, candidates *candidateSet) {
 	for ep, preference := range p.endpoints.unobserved.byPreference(info.crossZoneFactor) {
 		if !candidates.admits(preference) {
@@ -180,7 +179,8 @@
 // newCandidate weighs an endpoint: by its size, less while it warms up or is slower than others, and less
 // where crossing zones has a price.
 func (p *picker) newCandidate(info *pickInfo, ep *endpoint, load, latencyRatio float64) candidate {
-	weight := ep.size() * p.slowStart.fraction(ep, info.now) / (latencyRatio * latencyRatio * latencyRatio)
+	penalty := latencyRatio * latencyRatio * latencyRatio
+	weight := ep.size() * p.slowStart.updateFraction(ep, info.now) / penalty
 	if ep.Zone != p.settings.Zone {
 		weight /= info.crossZoneFactor
 	}
@@ -200,7 +200,7 @@
 	for position, c := range candidates {
 		connected := p.isConnected(c.endpoint, info.now)
 		if c.load >= 1 && connected {
-			load := (c.load + 1) * c.latencyRatio / p.slowStart.fraction(c.endpoint, info.now)
+			load := (c.load + 1) * c.latencyRatio / p.slowStart.updateFraction(c.endpoint, info.now)
 			score := load * (1 + loadJitter*p.rng.Float64())
 			if score < leastScore {
 				busy, leastScore = c.endpoint, score
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -30,7 +30,7 @@
 	if r.phase != phaseQueued {
 		return
 	}
-	r.phase = phaseInFlight
+	r.phase = phaseActive
 	q.requests = slices.DeleteFunc(q.requests, func(queued *request) bool { return queued == r })
 }
 
@@ -95,8 +95,8 @@
 
 // expireQueue gives up the requests that have expired, and sets a timer for the others.
 func (b *Balancer) expireQueue() {
-	for _, r := range slices.Backward(b.queue.requests) {
-		r.hasNoEndpoint = false
+	for _, r := range slices.Backward(b.queue.requests) { // backward, since an answer removes its request
+		r.hasNoEndpoint = false // that was for this step
 		expiry := r.expiry(b.now)
 		if expiry <= b.now {
 			b.answerUnlessInFlight(r)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -119,7 +119,7 @@
 
 	// The endpoint list.
 
-	Subscribe         bool          // the list must be subscribed to; else it comes unasked
+	Subscribe         bool          // the list must be subscribed to; false: it is delivered anyway
 	PollWithin        time.Duration // Subscribe: poll at least this often while not subscribed
 	PollSpread        time.Duration // Subscribe: poll within this time of a start or failure; 0: PollWithin
 	RefusedPollSpread time.Duration // Subscribe: poll within this time of a refusal; 0: PollWithin
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -59,9 +59,9 @@
 	s.scheduleNextPermit(ep, now, meanLatencyNs, fleet)
 }
 
-// fraction is the share of its full capacity that an endpoint surely has by now. It ends a warm-up that is
-// over.
-func (s *slowStart) fraction(ep *endpoint, now time.Duration) float64 {
+// updateFraction ends a warm-up that is over, and returns the share of its full capacity that an endpoint
+// certainly has by now.
+func (s *slowStart) updateFraction(ep *endpoint, now time.Duration) float64 {
 	age := now - ep.warmUp.startedAt
 	if !ep.warmUp.active || age >= s.duration {
 		ep.warmUp.active = false
@@ -73,7 +73,7 @@
 // hasPermit reports whether an endpoint may get this request now as far as its warm-up is concerned.
 func (s *slowStart) hasPermit(ep *endpoint, r *request, now time.Duration, fleet fleetSummary) bool {
 	lapse := s.window / lapsesPerWindow
-	if s.fraction(ep, now) == 1 || lapse == 0 {
+	if s.updateFraction(ep, now) == 1 || lapse == 0 {
 		return true
 	}
 	meanLatencyNs := r.class.meanLatencyNs
@@ -91,7 +91,7 @@
 	if fleet.warm == 0 { // no traffic to go by
 		rate = max(rate, minLimitPerEndpoint*firstLimitShare/s.agents)
 	}
-	share := s.fraction(ep, now) * min(math.Sqrt(s.overload), s.overload/permitsPerWindow)
+	share := s.updateFraction(ep, now) * min(math.Sqrt(s.overload), s.overload/permitsPerWindow)
 	delayNs := min(s.rng.ExpFloat64()*workNs/(share*rate), float64(s.duration))
 	ep.warmUp.nextPermitAt = now + time.Duration(delayNs)
 }
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -17,7 +17,7 @@
 	maxPollDoublings = 4
 )
 
-// subscriber decides when discovery is asked again, where the list has to be subscribed to.
+// subscriber decides when to subscribe again, where the endpoint list has to be subscribed to.
 type subscriber struct {
 	settings *Settings
 	rng      *rand.Rand
@@ -43,7 +43,7 @@
 	firstSpread := min(pollSpreadPerAgent*float64(s.settings.Agents), maxFirstPollSpread)
 	spread := firstSpread * math.Exp2(float64(min(s.failures, maxPollDoublings)))
 	longest := s.settings.PollSpread
-	if refused { // discovery could not be reached any sooner
+	if refused { // a refusal proves that discovery could not be reached until now
 		longest = s.settings.RefusedPollSpread
 	}
 	longest = min(cmp.Or(longest, s.settings.PollWithin), s.settings.PollWithin)
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -36,7 +36,7 @@
 // connection tables.
 type candidateSet struct {
 	subsetSize int
-	members    []candidate // the subset, and in the end the connected candidates outside of it
+	members    []candidate // the subset; complete adds the connected candidates outside of it
 	connected  []candidate // outside the subset, but connected or warming up
 	outsiders  []outsider  // observed and outside the subset; one is drawn if the pick comes to that
 }
@@ -91,7 +91,7 @@
 	return sum
 }
 
-// outsiderAt is the outsider at which the sum of the weights reaches target.
+// outsiderAt is the outsider at which the sum of the weights reaches target. There is at least one.
 func (s *candidateSet) outsiderAt(target float64) *endpoint {
 	for _, o := range s.outsiders {
 		target -= o.weight
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -74,7 +74,7 @@
 	switch r.phase {
 	case phaseBackingOff:
 		b.queue.push(r)
-	case phaseInFlight:
+	case phaseActive:
 		if r.inFlight > 0 && !r.isStreaming {
 			b.hedge(r)
 		}
--- a/balancer/traffic.go
+++ b/balancer/traffic.go
@@ -8,7 +8,8 @@
 const (
 	// trafficWindowObjectives is the time constant of decayed traffic counts, in objectives.
 	trafficWindowObjectives = 20.0
-	// lateWorkAllowance is the number of requests that may be late before the share of late ones counts.
+	// lateWorkAllowance is the number of requests that may be sent beyond the allowed multiple before they
+	// count as late work.
 	lateWorkAllowance = 4.0
 )
 
--- a/balancer/validation.go
+++ b/balancer/validation.go
@@ -26,7 +26,7 @@
 
 // check returns a *SettingError for the first setting that makes no sense.
 func (s *Settings) check() error {
-	groups := []func() error{s.checkAgents, s.checkCounts, s.checkPrices, s.checkTenants, s.checkTimes}
+	groups := []func() error{s.checkBounds, s.checkCounts, s.checkPrices, s.checkTenants, s.checkTimes}
 	for _, check := range groups {
 		if err := check(); err != nil {
 			return err
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// checkAgents checks who the agents are and what they may do.
-func (s *Settings) checkAgents() error {
+// checkBounds checks the settings that have bounds of their own.
+func (s *Settings) checkBounds() error {
 	switch {
 	case len(s.Classes) == 0:
 		return &SettingError{"Classes", "none"}
