--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -5,16 +5,25 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"go/types"
 	"io/fs"
 	"maps"
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
+	"unicode/utf8"
 )
 
+// pages are all pages, by their paths from this folder.
+var pages = []string{
+	"../README.md", "../NOTES.md", "ARCHITECTURE.md", "CAPACITY.md", "GLOSSARY.md", "OPERATIONS.md", "QUESTIONS.md",
+	"terms-audit.md",
+}
+
 // logLevels gives the level of each logging method.
 var logLevels = map[string]string{"Debug": "DEBUG", "Info": "INFO", "Warn": "WARN", "Error": "ERROR"}
 
@@ -25,12 +34,9 @@
 
 // Each line that the agent logs is in the table of OPERATIONS.md, with its level, and each row of the table is logged.
 func TestLogLinesAreDocumented(t *testing.T) {
-	page, err := os.ReadFile("OPERATIONS.md")
-	if err != nil {
-		t.Fatal(err)
-	}
+	page := readPage(t, "OPERATIONS.md")
 	documented := map[logLine]bool{}
-	for _, row := range tableRow.FindAllStringSubmatch(string(page), -1) {
+	for _, row := range tableRow.FindAllStringSubmatch(page, -1) {
 		documented[logLine{message: row[1], level: row[2]}] = true
 	}
 	messages := logMessages(t)
@@ -59,12 +65,9 @@
 
 // The table of packages in ARCHITECTURE.md names each package that there is, and no other.
 func TestPackagesAreDocumented(t *testing.T) {
-	page, err := os.ReadFile("ARCHITECTURE.md")
-	if err != nil {
-		t.Fatal(err)
-	}
+	page := readPage(t, "ARCHITECTURE.md")
 	documented := map[string]bool{}
-	for _, row := range packageRow.FindAllStringSubmatch(string(page), -1) {
+	for _, row := range packageRow.FindAllStringSubmatch(page, -1) {
 		documented[row[1]] = true
 	}
 	existing := map[string]bool{}
@@ -89,12 +92,8 @@
 
 // Each file that the pages name exists.
 func TestNamedFilesExist(t *testing.T) {
-	for _, name := range []string{"../README.md", "../NOTES.md", "ARCHITECTURE.md", "OPERATIONS.md", "QUESTIONS.md", "terms-audit.md"} {
-		page, err := os.ReadFile(name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, match := range sourcePath.FindAllStringSubmatch(string(page), -1) {
+	for _, name := range pages {
+		for _, match := range sourcePath.FindAllStringSubmatch(readPage(t, name), -1) {
 			if _, err := os.Stat(filepath.Join("..", match[1])); err != nil {
 				t.Errorf("%s names %s: %v", name, match[1], err)
 			}
@@ -104,23 +103,41 @@
 
 // The README's build command is the one of the deploy file.
 func TestBuildCommandIsDocumented(t *testing.T) {
-	deploy, err := os.ReadFile("../deploy/balancer.toml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	readme, err := os.ReadFile("../README.md")
-	if err != nil {
-		t.Fatal(err)
-	}
-	build := regexp.MustCompile(`(?m)^build = "(.*)"$`).FindSubmatch(deploy)
+	deploy, readme := readPage(t, "../deploy/balancer.toml"), readPage(t, "../README.md")
+	build := regexp.MustCompile(`(?m)^build = "(.*)"$`).FindStringSubmatch(deploy)
 	if build == nil {
 		t.Fatal("deploy/balancer.toml has no build command")
 	}
-	if !strings.Contains(string(readme), "\n    "+string(build[1])+"\n") {
+	if !strings.Contains(readme, "\n    "+build[1]+"\n") {
 		t.Errorf("README.md lacks the build command %q", build[1])
 	}
 }
 
+// maxColumns is the width of a line of the pages, tables and code aside.
+const maxColumns = 118
+
+// Lines of prose fit into maxColumns.
+func TestLinesFit(t *testing.T) {
+	for _, name := range pages {
+		for i, line := range strings.Split(readPage(t, name), "\n") {
+			isTable, isCode := strings.HasPrefix(line, "|"), strings.HasPrefix(line, "    ")
+			if !isTable && !isCode && utf8.RuneCountInString(line) > maxColumns {
+				t.Errorf("%s:%d has over %d columns", name, i+1, maxColumns)
+			}
+		}
+	}
+}
+
+// readPage returns the text of a page or of another file, by its path from this folder.
+func readPage(t *testing.T, path string) string {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
 // sourceFiles returns the Go files under a folder, tests left out.
 func sourceFiles(t *testing.T, dir string) []string {
 	t.Helper()
@@ -137,6 +154,20 @@
 	return paths
 }
 
+// declarations returns the declarations at the top of the Go files under a folder.
+func declarations(t *testing.T, dir string) []ast.Decl {
+	t.Helper()
+	var decls []ast.Decl
+	for _, path := range sourceFiles(t, dir) {
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		decls = append(decls, file.Decls...)
+	}
+	return decls
+}
+
 // logMessages returns the texts of the messages that package telemetry lists, by the names of their constants.
 func logMessages(t *testing.T) map[string]string {
 	t.Helper()
@@ -217,10 +248,7 @@
 
 // Each test that the audit names exists.
 func TestAuditNamesTests(t *testing.T) {
-	page, err := os.ReadFile("terms-audit.md")
-	if err != nil {
-		t.Fatal(err)
-	}
+	page := readPage(t, "terms-audit.md")
 	existing := map[string]bool{}
 	for _, dir := range []string{"../balancer", "../cmd", "../docs", "../internal"} {
 		err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
@@ -237,9 +265,130 @@
 			t.Fatal(err)
 		}
 	}
-	for _, name := range testName.FindAllString(string(page), -1) {
+	for _, name := range testName.FindAllString(page, -1) {
 		if !existing[name] {
 			t.Errorf("terms-audit.md names %s, which does not exist", name)
 		}
 	}
 }
+
+var constantRow = regexp.MustCompile("(?m)^\\| `([a-z]\\w*)` \\| `([^`]+)` \\|")
+
+// The tables of CAPACITY.md have each untyped constant of the decision module, enumerations aside, with its value.
+func TestConstantsAreDocumented(t *testing.T) {
+	documented := map[string]string{}
+	for _, row := range constantRow.FindAllStringSubmatch(readPage(t, "CAPACITY.md"), -1) {
+		documented[row[1]] = row[2]
+	}
+	declared := declaredConstants(t)
+	for name, value := range declared {
+		if documented[name] != value {
+			t.Errorf("%s is %s, in CAPACITY.md %q", name, value, documented[name])
+		}
+	}
+	for name := range documented {
+		if declared[name] == "" {
+			t.Errorf("CAPACITY.md has %s, which does not exist", name)
+		}
+	}
+}
+
+// declaredConstants returns the untyped constants of the decision module with their values as they are written.
+func declaredConstants(t *testing.T) map[string]string {
+	t.Helper()
+	values := map[string]string{}
+	for _, decl := range declarations(t, "../balancer") {
+		general, ok := decl.(*ast.GenDecl)
+		if !ok || general.Tok != token.CONST {
+			continue
+		}
+		for _, spec := range general.Specs {
+			addConstants(values, spec)
+		}
+	}
+	return values
+}
+
+func addConstants(values map[string]string, spec ast.Spec) {
+	constant, ok := spec.(*ast.ValueSpec)
+	if !ok || constant.Type != nil {
+		return
+	}
+	for i, value := range constant.Values {
+		if text := types.ExprString(value); text != "iota" {
+			values[constant.Names[i].Name] = text
+		}
+	}
+}
+
+var quotedCode = regexp.MustCompile("`([^`]+)`")
+
+// Each name in the "code" columns of GLOSSARY.md is declared in the decision module, or is a folder.
+func TestGlossaryNamesCode(t *testing.T) {
+	declared := declaredNames(t)
+	codeColumn := 0
+	for line := range strings.SplitSeq(readPage(t, "GLOSSARY.md"), "\n") {
+		columns := strings.Split(line, " | ")
+		if i := slices.IndexFunc(columns, isCodeHeader); i >= 0 {
+			codeColumn = i
+		}
+		if !strings.HasPrefix(line, "|") || codeColumn >= len(columns) {
+			continue
+		}
+		for _, match := range quotedCode.FindAllStringSubmatch(columns[codeColumn], -1) {
+			if _, err := os.Stat(filepath.Join("..", match[1])); !declared[match[1]] && err != nil {
+				t.Errorf("GLOSSARY.md names %s, which does not exist", match[1])
+			}
+		}
+	}
+	if codeColumn == 0 {
+		t.Error("found no column of code in GLOSSARY.md")
+	}
+}
+
+func isCodeHeader(column string) bool { return strings.Trim(column, " |") == "code" }
+
+// declaredNames returns the names of package balancer, those of fields and methods behind their type's.
+func declaredNames(t *testing.T) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	for _, decl := range declarations(t, "../balancer") {
+		switch decl := decl.(type) {
+		case *ast.FuncDecl:
+			names[methodName(decl)] = true
+		case *ast.GenDecl:
+			for _, spec := range decl.Specs {
+				addSpecNames(names, spec)
+			}
+		}
+	}
+	return names
+}
+
+func methodName(function *ast.FuncDecl) string {
+	if function.Recv == nil {
+		return function.Name.Name
+	}
+	receiver := types.ExprString(function.Recv.List[0].Type)
+	return strings.TrimPrefix(receiver, "*") + "." + function.Name.Name
+}
+
+func addSpecNames(names map[string]bool, spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			names[name.Name] = true
+		}
+	case *ast.TypeSpec:
+		names[spec.Name.Name] = true
+		structure, ok := spec.Type.(*ast.StructType)
+		if !ok {
+			return
+		}
+		for _, field := range structure.Fields.List {
+			for _, name := range field.Names {
+				names[spec.Name.Name+"."+name.Name] = true
+			}
+		}
+	}
+}
