--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -323,30 +323,44 @@
 
 var quotedCode = regexp.MustCompile("`([^`]+)`")
 
-// Each name in the "code" columns of GLOSSARY.md is declared in the decision module, or is a folder.
-func TestGlossaryNamesCode(t *testing.T) {
+// Each name in the "code" columns of GLOSSARY.md, and in the "type" columns of ARCHITECTURE.md, is declared in the
+// decision module, or is a folder.
+func TestTablesNameCode(t *testing.T) {
 	declared := declaredNames(t)
-	codeColumn := 0
-	for line := range strings.SplitSeq(readPage(t, "GLOSSARY.md"), "\n") {
-		columns := strings.Split(line, " | ")
-		if i := slices.IndexFunc(columns, isCodeHeader); i >= 0 {
-			codeColumn = i
+	for page, header := range map[string]string{"GLOSSARY.md": "code", "ARCHITECTURE.md": "type"} {
+		names := quotedCode.FindAllStringSubmatch(tableColumn(t, page, header), -1)
+		if len(names) == 0 {
+			t.Errorf("%s names no code in columns of the header %q", page, header)
 		}
-		if !strings.HasPrefix(line, "|") || codeColumn >= len(columns) {
-			continue
-		}
-		for _, match := range quotedCode.FindAllStringSubmatch(columns[codeColumn], -1) {
-			if _, err := os.Stat(filepath.Join("..", match[1])); !declared[match[1]] && err != nil {
-				t.Errorf("GLOSSARY.md names %s, which does not exist", match[1])
+		for _, name := range names {
+			if _, err := os.Stat(filepath.Join("..", name[1])); !declared[name[1]] && err != nil {
+				t.Errorf("%s names %s, which does not exist", page, name[1])
 			}
 		}
 	}
-	if codeColumn == 0 {
-		t.Error("found no column of code in GLOSSARY.md")
-	}
 }
 
-func isCodeHeader(column string) bool { return strings.Trim(column, " |") == "code" }
+// tableColumn returns what stands under a header in the tables of a page.
+func tableColumn(t *testing.T, page, header string) string {
+	t.Helper()
+	const noColumn = -1
+	column := noColumn
+	var text strings.Builder
+	for line := range strings.SplitSeq(readPage(t, page), "\n") {
+		if !strings.HasPrefix(line, "|") {
+			column = noColumn
+			continue
+		}
+		cells := strings.Split(strings.Trim(line, "| "), " | ")
+		if i := slices.Index(cells, header); i >= 0 {
+			column = i
+		}
+		if column != noColumn && column < len(cells) {
+			text.WriteString(cells[column] + "\n")
+		}
+	}
+	return text.String()
+}
 
 // declaredNames returns the names of package balancer, those of fields and methods behind their type's.
 func declaredNames(t *testing.T) map[string]bool {
