--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,5 +1,4 @@
-// Package telemetry holds the agent's log: its messages and attribute keys, its rate limit, and a writer that never
-// blocks its callers.
+// Package telemetry holds what the agent reports to its operators: at present the rate limit of its log.
 package telemetry
 
 import (
