--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -80,8 +80,8 @@
 	e.level, e.ejectedUntil, e.unreachable = 0, 0, false
 }
 
-// probationAllows reports whether an endpoint that recovers from an ejection may get a request of a class. A request
-// that is not idempotent has to wait for as long again as the ejection took.
+// probationAllows reports whether an endpoint that recovers from an ejection may get a request of a class. A
+// request that is not idempotent has to wait for as long again as the ejection took.
 func (e *ejectionState) probationAllows(class *classStats, now time.Duration) bool {
 	if class.Idempotency != NotIdempotent {
 		return true
