--- a/balancer/request.go
+++ b/balancer/request.go
@@ -7,7 +7,7 @@
 
 // The phases of a request.
 const (
-	phaseActive     requestPhase = iota // the outcome of its attempts, if it has any; also before it is queued
+	phaseActive     requestPhase = iota // the outcome of its attempts, if any; also before it is queued
 	phaseQueued                         // the admission queue lets it go
 	phaseBackingOff                     // the backoff before its retry is over
 	phaseEnded                          // nothing: it has its final answer, or is owed none any longer
