--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -8,6 +8,9 @@
 	overdueObjectiveShare = 0.35
 	// overdueLatencies is the same in expected latencies, which are long where all endpoints are crowded.
 	overdueLatencies = 6.0
+	// minInformativeShare is the least time, as a share of the objective, for which a client must wait for
+	// the result to carry information about the endpoint.
+	minInformativeShare = overdueObjectiveShare
 	// minExpectedLatencyNs keeps divisions by an expected latency finite.
 	minExpectedLatencyNs = 1.0
 )
@@ -45,18 +48,19 @@
 // hadLittleTime reports whether the client of an attempt waited for so short a time that the result carries
 // no information about the endpoint.
 func (a *attempt) hadLittleTime(r *request) bool {
-	leastNs := overdueObjectiveShare * float64(min(r.class.Objective, r.class.Deadline))
+	leastNs := minInformativeShare * float64(min(r.class.Objective, r.class.Deadline))
 	return r.deadline-a.sentAt < time.Duration(leastNs)
 }
 
-// send starts an attempt. It is the only place that does, and checks the rules for attempts once more.
+// send starts an attempt. It is the only place that does. The queue and the picker have checked the rules for
+// attempts; they are checked once more, so that a mistake there cannot break them.
 func (b *Balancer) send(r *request, ep *endpoint) {
 	allowed := b.attemptRules.allow(r, ep, b.now) && r.isNextOfKey(b.now)
 	if ep.State != Serving || !allowed || b.now >= r.deadline {
 		b.answerUnserved(r)
 		return
 	}
-	notAfter := r.repeatWindowEnd()
+	notAfter := r.repeatWindowEnd() // before this attempt counts
 	a := newAttempt(r, ep, b.now, !ep.isConnected(b.now, b.settings.IdleClose))
 	r.addAttempt(a)
 	b.endpoints.markObserved(ep)
@@ -69,16 +73,17 @@
 		b.slowStart.scheduleNextPermit(ep, b.now, a.expectedLatencyNs, b.fleet)
 	}
 	b.act(Send{Request: r.id, Endpoint: ep.ID, NotAfter: notAfter})
+	r.timer = 0 // voids the timer that it was queued with
 	b.scheduleHedge(r)
 }
 
-// endAttempt takes an attempt out of the counts of those in flight.
+// endAttempt takes an attempt out of the counts of those in flight. One that may still be running starts the
+// quiet period of its request's key.
 func (b *Balancer) endAttempt(r *request, a *attempt, result Result) {
-	mayHaveRun := !result.NeverRan() || result == Rejected && b.settings.RejectedMayHaveRun
-	r.endAttempt(a, mayHaveRun)
+	r.endAttempt(a, b.settings.MayHaveRun(result))
 	a.endpoint.removeAttempt(a)
 	b.attemptsInFlight--
-	if result == TimedOut || result == Reset || result == Cancelled {
-		r.keyQuietUntil = b.now + b.settings.KeyQuietPeriod // it may still be running
+	if result.MayStillRun() {
+		r.keyQuietUntil = b.now + b.settings.KeyQuietPeriod
 	}
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -10,8 +10,9 @@
 // Balancer decides for one agent. See the package comment for its use.
 //
 // It holds the parts that decide, one for each concern. A part owns its state, which its own methods change;
-// Balancer dispatches the events to the parts and collects the actions. All random choices come from one
-// generator, in the order of the events, so that the same settings, seed and events give the same actions.
+// Balancer passes the events to the parts, changes the requests, and collects the actions. All random choices
+// come from one generator, in the order of the events, so that the same settings, seed and events give the
+// same actions.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
@@ -41,31 +42,32 @@
 }
 
 // New returns a balancer with no state. All its random choices come from seed. The error is a *SettingError.
-func New(s Settings, seed uint64) (*Balancer, error) {
-	if err := s.check(); err != nil {
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := settings.check(); err != nil {
 		return nil, err
 	}
+	settings = settings.withDefaults()
 	b := &Balancer{
-		settings:  s.withDefaults(),
+		settings:  settings,
 		rng:       rand.New(rand.NewPCG(seed, 0)),
 		requests:  map[string]*request{},
 		timers:    newTimerTable(),
-		endpoints: newEndpointSet(s.Zone),
+		endpoints: newEndpointSet(settings.Zone),
 		keyQueues: newKeyQueues(),
 	}
-	for i, class := range s.Classes {
+	for i, class := range settings.Classes {
 		b.classes = append(b.classes, newClassStats(class, i))
 	}
 	b.traffic = newTrafficStats(b.classes.reference().Objective)
-	b.limiter = newConcurrencyLimiter(s.Agents)
+	b.limiter = newConcurrencyLimiter(settings.Agents)
 	b.retryTokens = newTokenBucket()
 	b.hedger = newHedger()
 	b.attemptRules = attemptRules{
-		maxAttempts:    b.settings.MaxAttempts,
-		allowHedging:   s.AllowHedging,
-		connectTimeout: s.ConnectTimeout,
+		maxAttempts:    settings.MaxAttempts,
+		allowHedging:   settings.AllowHedging,
+		connectTimeout: settings.ConnectTimeout,
 	}
-	b.outliers = outlierDetector{rng: b.rng, connectTimeout: s.ConnectTimeout, classes: b.classes}
+	b.outliers = outlierDetector{rng: b.rng, connectTimeout: settings.ConnectTimeout, classes: b.classes}
 	b.slowStart = newSlowStart(&b.settings, b.rng)
 	b.subscriber = subscriber{settings: &b.settings, rng: b.rng}
 	b.picker = picker{
@@ -89,15 +91,15 @@
 	b.traffic.decay(b.now)
 	b.measureFleet()
 	for _, event := range events {
-		b.dispatch(event)
+		b.apply(event)
 	}
-	b.dispatchQueue()
+	b.processQueue()
 	return b.actions
 }
 
-// dispatch applies one event. Health check results and gossip are ignored, since the balancer asks for
+// apply applies one event. Health check results and gossip are ignored, since the balancer asks for
 // neither.
-func (b *Balancer) dispatch(event Event) {
+func (b *Balancer) apply(event Event) {
 	switch event := event.(type) {
 	case Request:
 		b.onRequest(event)
@@ -135,7 +137,11 @@
 	if event.Key != "" {
 		r.keyHash = xxhash.Sum64String(event.Key)
 	}
-	b.observeArrival(r, event)
+	if b.observeArrival(r, event) {
+		spent := class.Deadline - event.Timeout // by the client's earlier tries
+		r.isClientRetry = true
+		r.objectiveAt -= max(0, spent)
+	}
 	b.requests[r.id] = r
 	b.openRequests++
 	if event.Key != "" && class.Ordered {
@@ -144,31 +150,25 @@
 	b.queue.push(r)
 }
 
-// observeArrival lets the request's class learn from it.
-func (b *Balancer) observeArrival(r *request, event Request) {
-	class := r.class
-	if class.observeTimeout(event.Timeout, b.settings.Tick, event.ClientRetry) {
-		r.isClientRetry = true
-		r.objectiveAt -= max(0, class.Deadline-event.Timeout)
-	}
-	class.observeWork(r.workNs)
-	b.classes.observeArrival(class)
+// observeArrival lets the request's class learn from it, and reports whether the request is a client's retry
+// by its timeout.
+func (b *Balancer) observeArrival(r *request, event Request) (isRetry bool) {
+	isRetry = r.class.observeTimeout(event.Timeout, b.settings.Tick, event.ClientRetry)
+	r.class.observeWork(r.workNs)
+	b.classes.observeArrival(r.class)
+	return isRetry
 }
 
+// onStreamStarted notes that part of a response has reached the client.
 func (b *Balancer) onStreamStarted(event StreamStarted) {
 	if r := b.requests[event.Request]; r != nil && !r.hasEnded() {
 		r.isStreaming = true
 	}
 }
 
+// onAbandoned ends a request whose client has disconnected.
 func (b *Balancer) onAbandoned(event Abandoned) {
 	if r := b.requests[event.Request]; r != nil {
 		b.closeRequest(r)
 	}
 }
-
-// pick chooses the endpoint of a request's next attempt; nil: none may be used now.
-func (b *Balancer) pick(r *request) *endpoint {
-	b.traffic.observeInFlight(b.activeInFlight())
-	return b.picker.pick(r, b.now, b.fleet)
-}
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -17,8 +17,8 @@
 
 	// initialLatencyShare is the mean latency before any response, as a share of the objective.
 	initialLatencyShare = 0.25
-	// medianLatencyShare is the median latency over the mean: that of an exponential distribution.
-	medianLatencyShare = 0.7
+	// medianOverMeanLatency is the median latency over the mean latency, as in an exponential distribution.
+	medianOverMeanLatency = 0.7
 	// maxResponseShare is the most time that is set aside for a response, as a share of the objective.
 	maxResponseShare = 0.75
 	// significantOnTimeGap is the least difference between two on-time shares that does not count as chance.
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -9,7 +9,8 @@
 	// minLimitPerEndpoint is the least, and the first, limit for an endpoint: attempts in flight of all
 	// agents.
 	minLimitPerEndpoint = 4.0
-	// unlimitedBelow is the share of the least limit, in attempts, below which an agent has no limit.
+	// unlimitedBelow is the number of attempts: an agent whose part of the least limit is under it has no
+	// limit.
 	unlimitedBelow = 0.6
 	// limitDecreaseFactor multiplies the limit at each decrease.
 	limitDecreaseFactor = 0.9
@@ -26,9 +27,9 @@
 	// between minTargetRatio and maxTargetRatio.
 	targetOverBaseline = 3.0
 
-	// rejectedRatio is the least objective ratio of an attempt that was shed by its endpoint, or had no
-	// response.
-	rejectedRatio = 1.0
+	// unservedRatio is the objective ratio of an attempt that was shed by its endpoint, and the least one of
+	// an attempt without a response.
+	unservedRatio = 1.0
 	// maxRatioSample is the largest objective ratio that one response counts with.
 	maxRatioSample = 2.0
 	// maxSampleOverBaseline bounds the objective ratio of one response to a multiple of the baseline ratio.
@@ -51,30 +52,32 @@
 	agents        float64
 	perEndpoint   float64 // attempts in flight, of all agents together
 	meanRatio     float64 // mean objective ratio
-	baselineRatio float64 // mean objective ratio without queueing: follows meanRatio down fast and up slowly
+	baselineRatio float64 // meanRatio without queueing: follows it slowly down and far more slowly up
 	samples       float64 // objective ratios observed
 	decreasedAt   time.Duration
 }
 
 func newConcurrencyLimiter(agents int) concurrencyLimiter {
-	return concurrencyLimiter{
-		agents:        float64(agents),
-		perEndpoint:   minLimitPerEndpoint,
-		baselineRatio: maxTargetRatio / targetOverBaseline,
-	}
+	return concurrencyLimiter{agents: float64(agents), perEndpoint: minLimitPerEndpoint}
 }
 
 // limit is this agent's part of the limit, in attempts. It is infinite where the part is so small that
 // requests would queue behind any slow one; the throttle acts instead.
 func (l *concurrencyLimiter) limit(fleet fleetSummary) float64 {
-	if l.leastLimitIsBelow(unlimitedBelow, fleet) {
+	if l.isUnlimited(fleet) {
 		return math.Inf(1)
 	}
 	return max(1, l.perEndpoint*fleet.capacity/l.agents)
 }
 
-// endpointShares is a multiple of this agent's part of the limit for one endpoint, in attempts.
-func (l *concurrencyLimiter) endpointShares(multiple float64) float64 {
+// isUnlimited reports whether this agent's part of the least limit is so small that it has no limit.
+func (l *concurrencyLimiter) isUnlimited(fleet fleetSummary) bool {
+	return l.leastLimitIsBelow(unlimitedBelow, fleet)
+}
+
+// partOfEndpointLimit is a multiple of this agent's part of the limit for one endpoint, in attempts. The
+// multiple is multiplied first, which keeps the rounding.
+func (l *concurrencyLimiter) partOfEndpointLimit(multiple float64) float64 {
 	return multiple * l.perEndpoint / l.agents
 }
 
@@ -83,10 +86,11 @@
 	return minLimitPerEndpoint*float64(fleet.serving) < attempts*l.agents
 }
 
-// observe adjusts the limit by the objective ratio of a response, or of an attempt that had none. inFlight is
-// the number of attempts in flight that count, meanLatencyNs the shortest time between two decreases.
+// observe adjusts the limit by the objective ratio of a response, or of an attempt that had none.
+// activeInFlight does not count the attempt that has just ended. Without a limit the ratios stay, but the
+// limit may still fall.
 func (l *concurrencyLimiter) observe(
-	now time.Duration, ratio, inFlight, meanLatencyNs float64, fleet fleetSummary,
+	now, minDecreaseInterval time.Duration, ratio, activeInFlight float64, fleet fleetSummary,
 ) {
 	l.samples++
 	if l.samples <= initialRatioSamples {
@@ -98,10 +102,10 @@
 	l.updateRatios(ratio, limit)
 	target := min(maxTargetRatio, max(targetOverBaseline*l.baselineRatio, minTargetRatio))
 	switch {
-	case l.meanRatio > target && now-l.decreasedAt > time.Duration(meanLatencyNs):
+	case l.meanRatio > target && now-l.decreasedAt > minDecreaseInterval:
 		l.perEndpoint = max(minLimitPerEndpoint, l.perEndpoint*limitDecreaseFactor)
 		l.decreasedAt = now
-	case l.meanRatio < target && inFlight+1 >= limit*bindingShare:
+	case l.meanRatio < target && activeInFlight+1 >= limit*bindingShare:
 		l.perEndpoint += limitIncrease / limit
 	}
 }
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -3,15 +3,18 @@
 // and carries out the actions that it gets back, in order.
 //
 // A Balancer belongs to one goroutine. All times are durations on the agent's monotonic clock, which must not run
-// backwards and has to start far above zero: a time of 0 stands for long ago. Memory is bounded by the open requests
-// and attempts, the pending timers, and the endpoints that are listed or still have attempts in flight.
+// backwards and has to start far above zero: a time of 0 stands for long ago. Memory is bounded by the open
+// requests and attempts, the pending timers, and the endpoints that are listed or still have attempts in flight.
 //
-// Constants are dimensionless: every scale comes from the settings or from observations, mostly the latency
-// objective of a class and its mean latency. A variable with the suffix Ns holds nanoseconds as a float64.
+// Constants are counts, shares or multiples: every scale comes from the settings or from observations, mostly the
+// latency objective of a class and its mean latency. A variable with the suffix Ns holds nanoseconds as a float64.
+//
+// events.go, actions.go and settings.go are the interface, validation.go checks the settings, timers.go knows what
+// the pending timers are for, and traffic.go counts the agent's recent traffic.
 //
 // # Requests
 //
-// Balancer (balancer.go) dispatches events. A request (request.go) passes the admission queue, has attempts
+// Balancer (balancer.go) applies events. A request (request.go) passes the admission queue, has attempts
 // (attempt.go), and ends with exactly one final answer. Only send starts attempts, and only answerUnserved answers
 // without a response: with a rejection if no attempt may have run, so that any client may retry, and with a
 // failure otherwise. What is learned from outcomes (outcome.go) is kept by class (class.go) and by endpoint
@@ -20,10 +23,11 @@
 // # Admission
 //
 // Requests wait in the admission queue (queue.go) while the adaptive concurrency limit (concurrency.go) binds. The
-// limit is of the AIMD kind (additive increase, multiplicative decrease): it falls when the mean latency nears the
-// objective or is a multiple of its baseline without queueing, and grows otherwise while it binds. Each agent
-// takes its part by head count. Where that part is well under one attempt there is no limit, since requests would
-// queue behind any slow one; a throttle (throttle.go) then bounds the work on responses that come late.
+// limit is of the AIMD kind (additive increase, multiplicative decrease): it falls when the mean latency is over
+// about a third of the objective, or over a multiple of its baseline without queueing, and grows otherwise while
+// it binds. All agents have equal parts of it. Where an agent's part of the least limit is well under one attempt
+// it has no limit, since requests would queue behind any slow one. Where that part is under one attempt a throttle
+// (throttle.go) bounds the work on responses that come late.
 //
 // The queue sends the request first that adds most to the operator's goal (priority.go), of equals the newest.
 // Clients' retries do not wait. Near the limit of open requests the lowest priorities are shed.
@@ -31,10 +35,10 @@
 // # Picking
 //
 // The picker (picker.go) draws an idle endpoint at random, by weight: its listed size, over the cube of its
-// relative latency, less where crossing zones has a price. If no endpoint is idle, it takes the least loaded one.
+// latency ratio, less where crossing zones has a price. If no endpoint is idle, it takes the least loaded one.
 //
 // An agent keeps to a deterministic subset of the endpoints (subset.go): the first few in a random order of its
-// own, in which connected endpoints come earlier. Unobserved endpoints are kept in that order
+// own (by weighted rank), in which connected endpoints come earlier. Unobserved endpoints are kept in that order
 // (unobserved.go) and are not looked at one by one, so that the cost of a pick does not grow with the fleet.
 //
 // With cache affinity the draw comes from a hash of the request's key (rendezvous hashing), so that all agents
@@ -56,11 +60,12 @@
 //
 // # Outlier ejection
 //
-// An endpoint is ejected (outlier.go, ejection.go) after consecutive failures, for a time that doubles with each
-// ejection. One that fails fast is always idle, and without ejection it would attract all traffic. The number of
-// failures depends on how common they are in the fleet, and only part of the fleet is ejected for errors, since
-// the rest must bear the load. An endpoint that leaves one class without response is ejected for that class alone.
-// After an ejection it gets one attempt at a time until it has recovered.
+// An endpoint is ejected (outlier.go, ejection.go) after consecutive failures, or after one time-out if it has
+// served nothing since that attempt was sent, for a time that doubles with each ejection. One that fails fast is
+// always idle, and without ejection it would attract all traffic. The number of failures depends on how common
+// they are in the fleet, and only part of the fleet is ejected for errors, since the rest must bear the load. An
+// endpoint that leaves one class without response is ejected for that class alone. After an ejection it gets one
+// attempt at a time until it has recovered.
 //
 // # Slow start
 //
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -8,8 +8,8 @@
 const (
 	// maxEjectionLevel bounds the length of ejections: the longest is 2^(maxEjectionLevel-1) times the first.
 	maxEjectionLevel = 5.0
-	// ejectionRecovery is the number of levels that a served attempt takes back: one error in five still
-	// raises them.
+	// ejectionRecovery is the number of levels that a served attempt takes back: four make up for one
+	// ejection.
 	ejectionRecovery = 0.25
 	// classEjectionObjectives is the length of the first ejection for one class, in objectives.
 	classEjectionObjectives = 8.0
@@ -32,8 +32,8 @@
 
 // classEjection keeps an endpoint from the requests of one class.
 type classEjection struct {
-	until    time.Duration
-	timeouts float64 // in a row
+	until time.Duration
+	level float64 // as ejectionState.level, by time-outs of this class
 }
 
 // eject keeps the endpoint from all requests for a number of objectives that doubles with each level.
@@ -44,14 +44,16 @@
 	e.ejectedUntil = now + time.Duration(objectives*float64(objective))
 }
 
-// eject keeps the endpoint from the class for a number of objectives that doubles with each time-out in a
-// row.
+// eject keeps the endpoint from the class for a number of objectives that doubles with each level.
 func (e *classEjection) eject(now, objective time.Duration) {
-	e.timeouts = min(e.timeouts+1, maxEjectionLevel)
-	objectives := classEjectionObjectives * math.Exp2(e.timeouts-1)
+	e.level = min(e.level+1, maxEjectionLevel)
+	objectives := classEjectionObjectives * math.Exp2(e.level-1)
 	e.until = now + time.Duration(objectives*float64(objective))
 }
 
+// avoidUntil keeps the endpoint from new attempts for a moment.
+func (e *ejectionState) avoidUntil(until time.Duration) { e.avoidedUntil = until }
+
 // markUnreachable notes that connections to the endpoint fail or break.
 func (e *ejectionState) markUnreachable() { e.unreachable = true }
 
@@ -75,7 +77,7 @@
 	return true
 }
 
-// observeStart ends an ejection, which was that of the process before.
+// observeStart ends the ejection, which was that of the process before, but not those for single classes.
 func (e *ejectionState) observeStart() {
 	e.level, e.ejectedUntil, e.unreachable = 0, 0, false
 }
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -12,7 +12,7 @@
 type endpoint struct {
 	Endpoint
 	hash       uint64     // of its ID
-	rank       float64    // random place in this agent's order if all were alike, the least first
+	rank       float64    // exponential random number of mean 1: its place in this agent's order
 	inFlight   []*attempt // oldest first
 	isObserved bool       // it has had attempts, a start or a change of state since it was listed
 
@@ -33,6 +33,9 @@
 // isGone reports whether it was removed and none of its attempts is in flight.
 func (ep *endpoint) isGone() bool { return ep.State == Removed && len(ep.inFlight) == 0 }
 
+// markRemoved notes that it is no longer listed.
+func (ep *endpoint) markRemoved() { ep.State = Removed }
+
 // addAttempt notes an attempt that is being sent to it.
 func (ep *endpoint) addAttempt(a *attempt) { ep.inFlight = append(ep.inFlight, a) }
 
@@ -41,13 +44,13 @@
 	ep.inFlight = slices.DeleteFunc(ep.inFlight, func(other *attempt) bool { return other == a })
 }
 
-// demote moves it back in this agent's order of preference.
-func (ep *endpoint) demote(ranks float64) { ep.rank += ranks }
+// demote moves it back in this agent's order. increase is in units of the mean rank.
+func (ep *endpoint) demote(increase float64) { ep.rank += increase }
 
 // size is the listed size; without sizes all endpoints are alike.
 func (ep *endpoint) size() float64 { return cmp.Or(max(0, ep.Weight), 1) }
 
-// isConnected reports whether a new attempt probably finds an open connection.
+// isConnected reports whether the agent probably has a connection to it, in use or idle.
 func (ep *endpoint) isConnected(now, idleClose time.Duration) bool {
 	return len(ep.inFlight) > 0 || ep.connection.mayBeOpen(now, idleClose)
 }
@@ -61,6 +64,13 @@
 	return ep.responses.lastServedAt < oldest.sentAt && oldest.isOverdue(now)
 }
 
+// probablyRestartedBefore reports whether an endpoint that serves an attempt was probably restarted before
+// the attempt was sent, though the list has not said so yet: it was unreachable, its failures began before
+// the attempt, and no later start is known.
+func (ep *endpoint) probablyRestartedBefore(a *attempt) bool {
+	return ep.ejection.unreachable && ep.warmUp.startedAt < a.sentAt && ep.ejection.firstFailureAt < a.sentAt
+}
+
 // isUsable reports whether its capacity counts as part of the fleet's.
 func (ep *endpoint) isUsable(now time.Duration) bool {
 	healthy := !ep.ejection.unreachable && !ep.ejection.isEjected(now) && !ep.isUnresponsive(now)
@@ -128,7 +138,7 @@
 	s.latencyRatio, s.samples = max(s.latencyRatio, 1), 0
 }
 
-// observeStart drops the statistics of the process before.
+// observeStart drops the statistics of the process before, but for the time of its last response.
 func (s *responseStats) observeStart() {
 	s.hasServed, s.latencyRatio, s.samples = false, 0, 0
 }
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -1,6 +1,9 @@
 package balancer
 
-import "slices"
+import (
+	"slices"
+	"time"
+)
 
 // endpointSet holds the endpoints that are listed or still have attempts in flight.
 type endpointSet struct {
@@ -14,6 +17,7 @@
 	return endpointSet{byID: map[string]*endpoint{}, unobserved: unobservedEndpoints{zone: ownZone}}
 }
 
+// add adds an endpoint that has just been listed.
 func (s *endpointSet) add(ep *endpoint) {
 	s.byID[ep.ID] = ep
 	s.all = append(s.all, ep)
@@ -42,7 +46,7 @@
 	}
 }
 
-// removeIfGone drops an endpoint that was removed and has no attempt in flight.
+// removeIfGone drops an endpoint that was removed and has no attempt in flight. Such an endpoint is observed.
 func (s *endpointSet) removeIfGone(ep *endpoint) {
 	if !ep.isGone() {
 		return
@@ -63,7 +67,7 @@
 			continue
 		}
 		s.markObserved(ep)
-		ep.State = Removed
+		ep.markRemoved()
 		if ep.isGone() {
 			delete(s.byID, ep.ID)
 		}
@@ -72,6 +76,18 @@
 	s.observed = slices.DeleteFunc(s.observed, (*endpoint).isGone)
 }
 
+// ejectedCount is the number of serving endpoints that are ejected.
+func (s *endpointSet) ejectedCount(now time.Duration) int {
+	count := 0
+	for _, ep := range s.observed {
+		if ep.State == Serving && ep.ejection.isEjected(now) {
+			count++
+		}
+	}
+	return count
+}
+
+// deleteEndpoint removes an endpoint, if it is there.
 func deleteEndpoint(endpoints []*endpoint, ep *endpoint) []*endpoint {
 	i := slices.Index(endpoints, ep)
 	if i < 0 {
@@ -82,7 +98,7 @@
 
 // onEndpointList applies an endpoint list, or the failure to get one.
 func (b *Balancer) onEndpointList(list EndpointList) {
-	if wait, ok := b.subscriber.observe(list.Kind); ok {
+	if wait, ok := b.subscriber.next(list.Kind); ok {
 		b.timers.registerSubscribe(b.setTimer(wait))
 	}
 	if list.Kind.hasFailed() {
@@ -110,7 +126,7 @@
 		b.endpoints.markObserved(ep)
 	}
 	if entry.StartedAt > ep.StartedAt {
-		b.startWarmUp(ep, min(max(entry.StartedAt, ep.warmUp.startedAt), b.now))
+		b.onEndpointStarted(ep, min(max(entry.StartedAt, ep.warmUp.startedAt), b.now))
 		ep.ejection.observeStart()
 	}
 	b.endpoints.update(ep, entry)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -47,6 +47,9 @@
 	ListRefused                  // the poll was refused; the old list holds
 )
 
+// hasFailed reports whether a list of this kind carries no endpoints: the one before holds.
+func (k ListKind) hasFailed() bool { return k == ListFailed || k == ListRefused }
+
 // EndpointList carries endpoints, or the failure to get them.
 type EndpointList struct {
 	Kind      ListKind
@@ -60,20 +63,20 @@
 	Timeout     time.Duration // until this client stops waiting
 	Work        time.Duration // expected service time; 0: unknown
 	ClientRetry bool          // the client says that this is a retry
-	Key         string        // what the request is about; "": unknown
-	Tenant      int           // position in Settings.Tenants
-	Write       bool          // the request changes data
+	Key         string        // what the request is about, for order and cache affinity; "": unknown
+	Tenant      int           // position in Settings.Tenants; Balancer does not use it
+	Write       bool          // the request changes data; Balancer does not use it
 }
 
 // Outcome ends one attempt. The agent passes on exactly one for each Send.
 type Outcome struct {
 	Request    string
-	Attempt    int // attempts of a request count from 0 in the order of their Send
-	Endpoint   string
+	Attempt    int    // attempts of a request count from 0 in the order of their Send
+	Endpoint   string // Balancer knows it by the attempt
 	Result     Result
 	Latency    time.Duration // since the attempt was sent
 	Done       bool          // the request has its final answer, by this outcome or before
-	LoadReport LoadReport
+	LoadReport LoadReport    // Balancer does not use it
 }
 
 // Result says how an attempt or a health check ended.
@@ -92,12 +95,15 @@
 	LocalFailure                // no connection, by a cause that may be this machine's own; never ran
 )
 
-// NeverRan reports whether the result proves that the attempt had no effect. For Rejected it does so only
-// while Settings.RejectedMayHaveRun is off.
+// NeverRan reports whether the result proves that the attempt had no effect, if Settings.RejectedMayHaveRun is off.
+// See Settings.MayHaveRun.
 func (r Result) NeverRan() bool {
 	return r == Rejected || r == ConnectFailed || r == NotSent || r == LocalFailure
 }
 
+// MayStillRun reports whether the attempt may be running on after its result.
+func (r Result) MayStillRun() bool { return r == TimedOut || r == Reset || r == Cancelled }
+
 // LoadReport is what an endpoint reported of itself, late and with noise. Negative values were not reported.
 type LoadReport struct {
 	Valid        bool          // the endpoint sent a report
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -28,7 +28,7 @@
 		return fmt.Errorf("%d endpoints, %d by ID, %d observed, %d unobserved", len(set.all),
 			len(set.byID), len(set.observed), set.unobserved.len())
 	}
-	for _, order := range []preferenceOrder{set.unobserved.ownZone, set.unobserved.otherZones} {
+	for _, order := range []rankOrder{set.unobserved.ownZone, set.unobserved.otherZones} {
 		if !slices.IsSortedFunc(order, compareUnobserved) {
 			return errors.New("the unobserved endpoints are not in order")
 		}
--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -24,7 +24,7 @@
 		}
 		usable := ep.isUsable(now)
 		if usable {
-			fleet.capacity += slowStart.updateFraction(ep, now)
+			fleet.capacity += slowStart.advanceWarmUp(ep, now)
 		}
 		for _, a := range ep.inFlight {
 			if !usable || a.isOverdue(now) {
@@ -38,5 +38,6 @@
 func (b *Balancer) measureFleet() { b.fleet = b.endpoints.summarize(b.now, &b.slowStart) }
 
 // activeInFlight is the number of attempts in flight that may still be served: those that the concurrency
-// limit bounds.
+// limit bounds. It is too low, even under zero, once stalled attempts have ended since the fleet was
+// measured.
 func (b *Balancer) activeInFlight() float64 { return float64(b.attemptsInFlight - b.fleet.stalled) }
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -30,10 +30,7 @@
 // scheduleHedge sets the time of a second attempt, if that can still be served within the objective. There is
 // no hedging under a concurrency limit, since a second attempt would take the capacity of another request.
 func (b *Balancer) scheduleHedge(r *request) {
-	r.timer = 0 // voids the timer that it was queued with
-	allowed := b.settings.AllowHedging && r.inFlight == 1 && len(r.attempts) < b.settings.MaxAttempts
-	unlimited := b.limiter.leastLimitIsBelow(unlimitedBelow, b.fleet)
-	if !allowed || !unlimited || r.class.Idempotency == NotIdempotent {
+	if !b.attemptRules.allowHedge(r) || !b.limiter.isUnlimited(b.fleet) {
 		return
 	}
 	latencyNs := r.expectedLatencyNs()
@@ -43,11 +40,18 @@
 	}
 }
 
-// hedge retries a request whose attempt, which stays in flight, had no response in time.
+// hedge makes a second attempt for a request whose first one, which stays in flight, had no response in time.
+// The second one costs tokens and has a backoff like a retry after a time-out.
 func (b *Balancer) hedge(r *request) {
+	b.suspectLatestEndpoint(r)
+	b.retry(r, TimedOut)
+}
+
+// suspectLatestEndpoint keeps the next attempt from the endpoint of the latest one, which has not responded,
+// and lets that count as a time-out of the class there.
+func (b *Balancer) suspectLatestEndpoint(r *request) {
 	ep := r.attempts[len(r.attempts)-1].endpoint
 	r.lastFailed = ep
 	ep.connection.markDisconnected()
-	b.outliers.ejectForClass(ep, r.class, b.now)
-	b.retry(r, TimedOut)
+	b.outliers.ejectForClassIfWorse(ep, r.class, b.now)
 }
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -18,7 +18,16 @@
 	if r.inFlight > 0 && !rules.allowHedging {
 		return false
 	}
-	return r.mayHaveRun == 0 || rules.allowRepeat(r, ep, now)
+	return r.mayHaveRunCount == 0 || rules.allowRepeat(r, ep, now)
+}
+
+// allowHedge reports whether a request with an attempt in flight may get a second one beside it, as far as
+// the request itself is concerned.
+func (rules *attemptRules) allowHedge(r *request) bool {
+	if !rules.allowHedging || r.class.Idempotency == NotIdempotent {
+		return false
+	}
+	return r.inFlight == 1 && len(r.attempts) < rules.maxAttempts
 }
 
 // allowRepeat reports whether a request that may have run has no further effect at an endpoint.
@@ -57,7 +66,7 @@
 // repeatWindowEnd is when endpoints no longer drop the next attempt of r as a repeat; 0: it repeats nothing,
 // or may be repeated at any time.
 func (r *request) repeatWindowEnd() time.Duration {
-	if r.class.Idempotency != IdempotentWithKey || r.mayHaveRun == 0 {
+	if r.class.Idempotency != IdempotentWithKey || r.mayHaveRunCount == 0 {
 		return 0
 	}
 	return r.firstMayHaveRun.sentAt + r.class.DedupWindow
--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -13,12 +13,12 @@
 	timers := newTimerTable()
 	add := func(r *request) int64 {
 		r.timer = timers.nextToken()
-		timers.requests[r.timer] = r
+		timers.register(r)
 		return r.timer
 	}
 	open, ended := &request{}, &request{phase: phaseEnded}
 	voided, latest, ofEnded, subscribe := add(open), add(open), add(ended), timers.nextToken()
-	timers.subscribe = subscribe
+	timers.registerSubscribe(subscribe)
 	tests := []struct {
 		name        string
 		token       int64
@@ -120,11 +120,11 @@
 	for _, tt := range tests {
 		limiter := newConcurrencyLimiter(1)
 		for range int(initialRatioSamples) {
-			limiter.observe(0, 0.05, 0, float64(meanLatency), fleet)
+			limiter.observe(0, meanLatency, 0.05, 0, fleet)
 		}
 		limiter.perEndpoint = start
 		for i := range 300 {
-			limiter.observe(time.Hour+time.Duration(i)*tt.step, tt.ratio, tt.inFlight, float64(meanLatency), fleet)
+			limiter.observe(time.Hour+time.Duration(i)*tt.step, meanLatency, tt.ratio, tt.inFlight, fleet)
 		}
 		if got := limiter.perEndpoint; got < tt.low || got > tt.high {
 			t.Errorf("%s: limit %v, want %v to %v", tt.name, got, tt.low, tt.high)
@@ -141,9 +141,9 @@
 		sent, onTime float64
 		want         bool
 	}{
-		{"allowance used up", 40, lateWorkAllowance, 0, true},
-		{"enough served on time", 40, lateWorkAllowance + 9*throttledSentPerOnTime, 10, false},
-		{"too few served on time", 40, lateWorkAllowance + 11*throttledSentPerOnTime, 10, true},
+		{"allowance used up", 40, excessAllowance, 0, true},
+		{"enough served on time", 40, excessAllowance + 9*throttledSentPerOnTime, 10, false},
+		{"too few served on time", 40, excessAllowance + 11*throttledSentPerOnTime, 10, true},
 		{"part of one attempt", 8, 100, 0, false},
 	}
 	for _, tt := range tests {
@@ -154,7 +154,7 @@
 	}
 }
 
-// The subset holds the candidates of least preference, in whatever order they are inserted. Each of the others is
+// The subset holds the candidates of least weighted rank, in whatever order they are inserted. Each of the others is
 // returned once.
 func TestCandidateSet(t *testing.T) {
 	for seed := range uint64(50) {
@@ -162,8 +162,8 @@
 		all := make([]candidate, rng.IntN(12))
 		set := candidateSet{subsetSize: 1 + rng.IntN(6)}
 		for i := range all {
-			all[i] = candidate{endpoint: &endpoint{}, preference: rng.Float64()}
-			admitted := set.admits(all[i].preference)
+			all[i] = candidate{endpoint: &endpoint{}, weightedRank: rng.Float64()}
+			admitted := set.admits(all[i].weightedRank)
 			outside, isOutside := set.insert(all[i])
 			if isOutside {
 				set.connected = append(set.connected, outside)
@@ -172,8 +172,8 @@
 				t.Errorf("seed %d: admits %v, in the subset: %v", seed, admitted, isInside)
 			}
 		}
-		slices.SortFunc(all, comparePreference)
-		subset := slices.SortedFunc(slices.Values(set.members), comparePreference)
+		slices.SortFunc(all, compareWeightedRank)
+		subset := slices.SortedFunc(slices.Values(set.members), compareWeightedRank)
 		if !slices.Equal(subset, all[:min(set.subsetSize, len(all))]) {
 			t.Errorf("seed %d: the subset of %d is %v of %v", seed, set.subsetSize, subset, all)
 		}
@@ -183,31 +183,32 @@
 	}
 }
 
-// The unobserved endpoints are yielded as a plain sort by preference gives them, whatever was added and removed.
+// The unobserved endpoints are yielded as a plain sort by weighted rank gives them, whatever was added and removed.
 func TestUnobservedEndpoints(t *testing.T) {
-	const ownZone, crossZoneFactor = 1, 3.0
-	zoneFactors := []float64{crossZoneFactor, 1, crossZoneFactor}
+	const ownZone, crossZoneDivisor = 1, 3.0
+	zoneFactors := []float64{crossZoneDivisor, 1, crossZoneDivisor}
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 8))
 		unobserved := unobservedEndpoints{zone: ownZone}
-		preferences := map[*endpoint]float64{}
+		weightedRanks := map[*endpoint]float64{}
 		var previous *endpoint
 		for i := range 80 {
 			ep := newEndpoint(Endpoint{Zone: rng.IntN(3), Weight: float64(rng.IntN(3))}, float64(rng.IntN(5)), 1)
 			unobserved.add(ep)
-			if preferences[ep] = ep.rank / ep.size() * zoneFactors[ep.Zone]; i%3 == 2 {
+			if weightedRanks[ep] = ep.rank / ep.size() * zoneFactors[ep.Zone]; i%3 == 2 {
 				unobserved.remove(previous)
-				delete(preferences, previous)
+				delete(weightedRanks, previous)
 			}
 			previous = ep
 		}
-		want, got := slices.Sorted(maps.Values(preferences)), []float64(nil)
-		for ep, preference := range unobserved.byPreference(crossZoneFactor) {
-			got = append(got, preference)
-			delete(preferences, ep)
+		want, got := slices.Sorted(maps.Values(weightedRanks)), []float64(nil)
+		for ep, weightedRank := range unobserved.byWeightedRank(crossZoneDivisor) {
+			got = append(got, weightedRank)
+			delete(weightedRanks, ep)
 		}
-		if !slices.Equal(got, want) || len(preferences) > 0 || unobserved.len() != len(want) {
-			t.Errorf("seed %d: preferences %v, want %v; %d endpoints are missing", seed, got, want, len(preferences))
+		if !slices.Equal(got, want) || len(weightedRanks) > 0 || unobserved.len() != len(want) {
+			t.Errorf("seed %d: weighted ranks %v, want %v; %d endpoints are missing",
+				seed, got, want, len(weightedRanks))
 		}
 	}
 }
@@ -238,7 +239,7 @@
 		for i := range waits {
 			s := subscriber{settings: &settings, rng: rng}
 			for _, kind := range tt.lists {
-				waits[i], _ = s.observe(kind)
+				waits[i], _ = s.next(kind)
 			}
 		}
 		low, high := slices.Min(waits), slices.Max(waits)
--- a/balancer/keyqueue.go
+++ b/balancer/keyqueue.go
@@ -15,6 +15,7 @@
 	quietUntil time.Duration // no attempt of this key before
 }
 
+// isUnused reports whether the queue is empty and rests no more.
 func (q *keyQueue) isUnused(now time.Duration) bool {
 	return len(q.requests) == 0 && q.quietUntil <= now
 }
@@ -70,6 +71,7 @@
 	}
 }
 
+// dropIfUnused drops a queue that is empty and rests no more, unless another one has taken its place.
 func (qs *keyQueues) dropIfUnused(queue *keyQueue, now time.Duration) {
 	if queue.isUnused(now) && qs.byKey[queue.key] == queue {
 		delete(qs.byKey, queue.key)
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -16,7 +16,7 @@
 		return
 	}
 	b.endAttempt(r, a, event.Result)
-	b.observeOutcome(r, a, &event)
+	b.learnFromOutcome(r, a, &event)
 	if event.Result == Served && !r.hasEnded() {
 		b.onServed(r)
 	}
@@ -26,6 +26,7 @@
 		return
 	}
 	r.lastFailed = a.endpoint
+	// A second attempt that is backing off or queued goes on by itself.
 	if r.inFlight == 0 && r.phase == phaseActive {
 		b.retry(r, event.Result)
 	}
@@ -48,33 +49,34 @@
 	}
 }
 
-// observeOutcome lets each part learn from the end of an attempt.
-func (b *Balancer) observeOutcome(r *request, a *attempt, outcome *Outcome) {
+// learnFromOutcome lets each part learn from the end of an attempt.
+func (b *Balancer) learnFromOutcome(r *request, a *attempt, outcome *Outcome) {
 	if outcome.Result == TimedOut && a.hadLittleTime(r) {
 		return
 	}
 	if outcome.Result == LocalFailure {
-		b.observeLocalFailure(r, a, outcome)
+		b.onLocalFailure(r, a, outcome)
 		return
 	}
 	r.class.observeAttempt(outcome.Result == Served && r.isOnTime(b.now), a.newConnection)
 	b.observeConnection(a, outcome.Result)
 	switch outcome.Result {
 	case Served:
-		b.observeServed(r, a, outcome.Latency)
+		b.onAttemptServed(r, a, outcome.Latency)
 	case Rejected:
 		b.outliers.avoid(a.endpoint, r.class, b.now)
-		b.adjustLimit(rejectedRatio)
+		b.adjustLimit(unservedRatio)
 	case TimedOut:
-		b.observeTimeout(r, a, outcome.Latency)
+		b.onAttemptTimedOut(r, a, outcome.Latency)
 	case ServerError, Reset, ConnectFailed:
-		b.observeFailure(r, a, outcome)
+		b.onAttemptFailed(r, a, outcome)
 	case Cancelled, NotSent, LocalFailure:
 	}
 }
 
-// observeConnection learns whether the endpoint of an attempt is connected. One that did not respond, or shed
-// the request, moves back in the order of preference, so that it leaves the subset.
+// observeConnection learns whether the endpoint of an attempt is connected. After any other end of an
+// attempt, also one that was cancelled or not sent, the endpoint moves back in the order of weighted rank, so
+// that it leaves the subset.
 func (b *Balancer) observeConnection(a *attempt, result Result) {
 	answered := result == Served || result == ServerError
 	a.endpoint.connection.observe(b.now, a, answered)
@@ -84,10 +86,11 @@
 	}
 }
 
-func (b *Balancer) observeServed(r *request, a *attempt, latency time.Duration) {
+// onAttemptServed learns from a response.
+func (b *Balancer) onAttemptServed(r *request, a *attempt, latency time.Duration) {
 	ep := a.endpoint
-	if ep.wasRestartedBefore(a) {
-		b.startWarmUp(ep, b.now)
+	if ep.probablyRestartedBefore(a) {
+		b.onEndpointStarted(ep, b.now) // its ejection level stays, since the restart is only inferred
 	}
 	ep.ejection.observeServed(r.class)
 	ep.responses.observeServed(b.now)
@@ -104,32 +107,26 @@
 	b.adjustLimit(r.class.objectiveRatio(latency))
 }
 
-// wasRestartedBefore reports whether an endpoint that serves an attempt was restarted before the attempt was
-// sent, though the list has not said so yet.
-func (ep *endpoint) wasRestartedBefore(a *attempt) bool {
-	return ep.ejection.unreachable && ep.warmUp.startedAt < a.sentAt && ep.ejection.firstFailureAt < a.sentAt
-}
-
-// observeTimeout learns from an attempt without a response. The endpoint is ejected if it has served nothing
-// since the attempt was sent; otherwise it counts as slow.
-func (b *Balancer) observeTimeout(r *request, a *attempt, latency time.Duration) {
+// onAttemptTimedOut learns from an attempt without a response. The endpoint is ejected if it has served
+// nothing since the attempt was sent; otherwise it counts as slow.
+func (b *Balancer) onAttemptTimedOut(r *request, a *attempt, latency time.Duration) {
 	ep := a.endpoint
-	b.outliers.ejectForClass(ep, r.class, b.now)
+	b.outliers.ejectForClassIfWorse(ep, r.class, b.now)
 	if ep.responses.lastServedAt < a.sentAt {
 		b.outliers.eject(a, r.class, b.now)
 		return
 	}
-	b.adjustLimit(max(rejectedRatio, r.class.objectiveRatio(latency)))
+	b.adjustLimit(max(unservedRatio, r.class.objectiveRatio(latency)))
 	ep.responses.observeRatio(a.latencyRatio(latency)) // a lower bound of its latency
 }
 
-// observeFailure learns from an error or a broken connection, and ejects the endpoint after too many in a
-// row.
-func (b *Balancer) observeFailure(r *request, a *attempt, outcome *Outcome) {
+// onAttemptFailed learns from an error, or from a connection that failed or broke, and ejects the endpoint
+// after too many in a row.
+func (b *Balancer) onAttemptFailed(r *request, a *attempt, outcome *Outcome) {
 	ep, connectFailed := a.endpoint, outcome.Result == ConnectFailed
 	threshold := b.outliers.failureThreshold(outcome.Result) // by the failures before this one
 	b.outliers.observeFailure(ep, b.now)
-	if b.outliers.isAlive(ep, outcome) {
+	if b.outliers.survivedFailedConnection(ep, outcome) {
 		threshold = maxRun
 		if connectFailed {
 			b.outliers.avoid(ep, r.class, b.now)
@@ -146,18 +143,19 @@
 	}
 }
 
-// observeLocalFailure keeps an endpoint that cannot be reached from here from attracting the traffic, as one
+// onLocalFailure keeps an endpoint that cannot be reached from here from attracting the traffic, as one
 // that fails fast is always idle. The cause may be this machine: the failure does not tell that the endpoint
 // was restarted, and the bound on ejected endpoints holds.
-func (b *Balancer) observeLocalFailure(r *request, a *attempt, outcome *Outcome) {
+func (b *Balancer) onLocalFailure(r *request, a *attempt, outcome *Outcome) {
 	b.outliers.avoid(a.endpoint, r.class, b.now)
 	if len(r.attempts) == 1 {
-		b.traffic.undoSend() // nothing was sent that may have been wasted
+		b.traffic.undoSend() // nothing was sent that may have been wasted; nor does a retry count as sent
 	}
-	b.observeFailure(r, a, outcome)
+	b.onAttemptFailed(r, a, outcome)
 }
 
 // adjustLimit lets the concurrency limit learn from a latency over its objective.
 func (b *Balancer) adjustLimit(ratio float64) {
-	b.limiter.observe(b.now, ratio, b.activeInFlight(), b.classes.reference().meanLatencyNs, b.fleet)
+	minDecreaseInterval := time.Duration(b.classes.reference().meanLatencyNs)
+	b.limiter.observe(b.now, minDecreaseInterval, ratio, b.activeInFlight(), b.fleet)
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -21,9 +21,11 @@
 	minFailureRate = 1e-6
 	maxFailureRate = 0.3
 
-	// maxEjectedShare is the share of the serving endpoints that may be ejected for errors at a time: those
-	// that are left must bear the load.
+	// maxEjectedShare is the share of the serving endpoints, ejected for whatever cause, up to which one more
+	// may be ejected for errors: the rest must bear the load.
 	maxEjectedShare = 0.2
+	// unansweredDialDivisor divides the connect timeout: a dial that took longer had no answer.
+	unansweredDialDivisor = 2
 	// minEjectionJitter and ejectionJitter spread the length of an ejection: times 0.75 to 1.25.
 	minEjectionJitter = 0.75
 	ejectionJitter    = 0.5
@@ -35,7 +37,7 @@
 	rng            *rand.Rand
 	connectTimeout time.Duration
 	classes        classList
-	failureRate    float64 // share of recent attempts that ended by an error or a broken connection
+	failureRate    float64 // moving share of failures among served attempts and first failures of a run
 }
 
 // observeServed lowers the failure rate.
@@ -56,31 +58,26 @@
 		shortest, chance = minConnectRun, maxConnectRunChance
 	}
 	rate := min(max(d.failureRate, minFailureRate), maxFailureRate)
-	run := math.Ceil(math.Log(chance) / math.Log(rate))
+	run := math.Ceil(math.Log(chance) / math.Log(rate)) // the least n with rate^n <= chance
 	return int(min(max(shortest, run), maxRun))
 }
 
-// isAlive reports whether an endpoint's process lives although a connection to it failed: a process that dies
-// takes all its connections along, but older attempts are still in flight. A dial without an answer does not
-// count as a sign of life.
-func (d *outlierDetector) isAlive(ep *endpoint, outcome *Outcome) bool {
+// survivedFailedConnection reports whether an endpoint's process lives although a connection to it failed: a
+// process that dies takes all its connections along, but older attempts are still in flight. A dial without
+// an answer proves no life.
+func (d *outlierDetector) survivedFailedConnection(ep *endpoint, outcome *Outcome) bool {
 	if outcome.Result == ServerError {
 		return false
 	}
-	unanswered := outcome.Result == ConnectFailed && outcome.Latency > d.connectTimeout/2
+	unanswered := outcome.Result == ConnectFailed && outcome.Latency > d.connectTimeout/unansweredDialDivisor
 	hasOlder := len(ep.inFlight) > 0 && ep.inFlight[0].sentAt < ep.ejection.firstFailureAt
 	return hasOlder && !unanswered
 }
 
 // mayEjectForErrors reports whether one more endpoint may be ejected.
 func mayEjectForErrors(endpoints *endpointSet, fleet fleetSummary, now time.Duration) bool {
-	ejected := 0.0
-	for _, ep := range endpoints.observed {
-		if ep.State == Serving && ep.ejection.isEjected(now) {
-			ejected++
-		}
-	}
-	return ejected+1 <= max(1, maxEjectedShare*float64(fleet.serving))
+	most := max(1, maxEjectedShare*float64(fleet.serving))
+	return float64(endpoints.ejectedCount(now)+1) <= most
 }
 
 // eject ejects the endpoint of a failed attempt, for longer with each level. An attempt that was sent before
@@ -94,16 +91,17 @@
 	e.eject(now, class.Objective, jitter)
 }
 
-// ejectForClass ejects an endpoint for one class, if that class is served on time less often than others.
-func (d *outlierDetector) ejectForClass(ep *endpoint, class *classStats, now time.Duration) {
+// ejectForClassIfWorse ejects an endpoint for one class, if that class is served on time less often than the
+// best one. Otherwise the whole fleet is slow, and not this endpoint.
+func (d *outlierDetector) ejectForClassIfWorse(ep *endpoint, class *classStats, now time.Duration) {
 	if class.onTimeShare() > d.classes.best().onTimeShare()-significantOnTimeGap {
 		return
 	}
 	ep.ejection.byClass[class.index].eject(now, class.Objective)
 }
 
-// avoid keeps an endpoint that shed a request or refused a connection from new ones, for a random part of the
-// mean latency.
+// avoid keeps an endpoint that shed a request, or to which a connection failed, from new attempts for a
+// random part of the mean latency.
 func (d *outlierDetector) avoid(ep *endpoint, class *classStats, now time.Duration) {
-	ep.ejection.avoidedUntil = now + time.Duration(d.rng.Float64()*class.meanLatencyNs)
+	ep.ejection.avoidUntil(now + time.Duration(d.rng.Float64()*class.meanLatencyNs))
 }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -11,16 +11,21 @@
 )
 
 const (
-	// crossZoneWeight is how much less an endpoint of another zone weighs, as a multiple of the price of
-	// crossing zones.
-	crossZoneWeight = 200.0
+	// crossZonePriceMultiple is by how much the weights of endpoints in other zones are divided, beyond 1, as
+	// a multiple of the price of crossing zones.
+	crossZonePriceMultiple = 200.0
 	// crowdedSentPerOnTime is the number of requests sent for each one served on time above which zones are
 	// crossed freely.
 	crowdedSentPerOnTime = 1.15
 	// maxEndpointShares is the most that one endpoint may hold, in mean shares of the concurrency limit.
 	maxEndpointShares = 3.0
-	// fullLoad is the number of attempts at each connected endpoint from which on a new connection is opened.
+	// fullLoad is the number of attempts at the least loaded endpoint, from which on a new connection is
+	// opened.
 	fullLoad = 2
+	// minMaxLoad is the least number of attempts up to which an endpoint gets more.
+	minMaxLoad = fullLoad
+	// largeFleetSubsets is the number of subsets that a fleet must exceed to count as large for its agents.
+	largeFleetSubsets = 2
 	// inFlightRatioShare is how much of the time that an attempt is in flight counts as its endpoint's
 	// latency.
 	inFlightRatioShare = 0.5
@@ -40,12 +45,12 @@
 const (
 	tierSubset    = iota // in the subset, or treated as such
 	tierConnected        // outside the subset, with a connection
-	tierOther            // outside the subset, without one
+	tierOther            // outside the subset, without one: with cache affinity alone
 	tierCount
 )
 
-// picker chooses the endpoint of an attempt: an idle one at random, by weight, else the least loaded one. It
-// keeps nothing between picks but memory.
+// picker chooses the endpoint of an attempt: an idle one at random, by weight; otherwise the least loaded
+// one. Only the memory of its candidates is kept between picks.
 type picker struct {
 	settings   *Settings
 	rng        *rand.Rand
@@ -54,65 +59,67 @@
 	traffic    *trafficStats
 	slowStart  *slowStart
 	endpoints  *endpointSet
-	candidates candidateSet // collected anew by each pick; only its memory is reused
+	candidates candidateSet // collected anew by each pick
 }
 
 // pickInfo is what one pick goes by, besides the endpoints.
 type pickInfo struct {
-	request         *request
-	now             time.Duration
-	fleet           fleetSummary
-	subset          float64 // wanted size of the subset, in endpoints
-	crossZoneFactor float64 // how much less an endpoint of another zone weighs
-	newEndpointLoad float64 // load, in attempts, of an endpoint without a response yet
-	maxLoad         float64 // load, in attempts, at which an endpoint gets nothing more
+	request          *request
+	now              time.Duration
+	fleet            fleetSummary
+	wantedSubset     float64 // wanted size of the subset, in endpoints
+	crossZoneDivisor float64 // divides the weights, and so multiplies the ranks, of endpoints in other zones
+	newEndpointLoad  float64 // load, in attempts, of an endpoint without a response yet
+	maxLoad          float64 // load, in attempts, at which an endpoint gets nothing more
 }
 
-// pick chooses an endpoint for a request: an idle one; otherwise the least loaded one; otherwise, where all
-// are ejected, one of the lowest ejection level. It returns nil if none may be used now.
+// pick chooses an endpoint for a request: an idle one; otherwise the least loaded one; otherwise, if none is
+// healthy, an unhealthy one of low ejection level and load. It returns nil if none may be used now.
 func (p *picker) pick(r *request, now time.Duration, fleet fleetSummary) *endpoint {
 	info := p.pickInfo(r, now, fleet, minSubset+subsetPerAttempt*p.traffic.peakInFlight)
 	candidates := &p.candidates
-	ejected := p.collect(&info, candidates)
+	unhealthy := p.collect(&info, candidates)
 	idle, busy := p.chooseIdleAndBusy(&info, candidates.members)
 	if preferred := cmp.Or(idle[tierSubset], idle[tierConnected]); preferred != nil {
 		return preferred
 	}
-	if busy == nil || p.load(busy, now) >= fullLoad {
-		if other := cmp.Or(idle[tierOther], p.drawOutsider(&info, candidates)); other != nil {
+	// By its own attempts, not by the mean load that stands for a new endpoint.
+	if busy == nil || loadOf(busy, now) >= fullLoad {
+		outsider := p.drawOutsider(&info, candidates) // in any case, which keeps the sequence of random draws
+		if other := cmp.Or(idle[tierOther], outsider); other != nil {
 			return other
 		}
 	}
-	return cmp.Or(busy, ejected)
+	return cmp.Or(busy, unhealthy)
 }
 
-func (p *picker) pickInfo(r *request, now time.Duration, fleet fleetSummary, subset float64) pickInfo {
+func (p *picker) pickInfo(r *request, now time.Duration, fleet fleetSummary, wantedSubset float64) pickInfo {
 	return pickInfo{
-		request:         r,
-		now:             now,
-		fleet:           fleet,
-		subset:          subset,
-		crossZoneFactor: p.crossZoneFactor(now, fleet),
-		newEndpointLoad: p.meanLoad(now),
-		maxLoad:         max(fullLoad, p.limiter.endpointShares(maxEndpointShares)),
+		request:          r,
+		now:              now,
+		fleet:            fleet,
+		wantedSubset:     wantedSubset,
+		crossZoneDivisor: p.crossZoneDivisor(now, fleet),
+		newEndpointLoad:  p.meanLoad(now),
+		maxLoad:          max(minMaxLoad, p.limiter.partOfEndpointLimit(maxEndpointShares)),
 	}
 }
 
-// collect lists the candidates, and returns the best of those that are ejected.
-func (p *picker) collect(info *pickInfo, candidates *candidateSet) (ejected *endpoint) {
-	subsetSize := int(math.Ceil(info.subset))
+// collect lists the candidates, and returns the best of the unhealthy endpoints.
+func (p *picker) collect(info *pickInfo, candidates *candidateSet) (unhealthy *endpoint) {
+	subsetSize := int(math.Ceil(info.wantedSubset))
 	if p.settings.CacheAffinity { // a key draws from all endpoints
 		subsetSize = len(p.endpoints.all)
 	}
 	candidates.reset(subsetSize)
-	ejected = p.collectObserved(info, candidates)
+	unhealthy = p.collectObserved(info, candidates)
 	p.collectUnobserved(info, candidates)
 	candidates.complete()
-	return ejected
+	return unhealthy
 }
 
-// collectObserved adds the observed endpoints, and returns the best of those that are ejected.
-func (p *picker) collectObserved(info *pickInfo, candidates *candidateSet) (ejected *endpoint) {
+// collectObserved adds the observed endpoints, and returns the best of those that are unhealthy.
+func (p *picker) collectObserved(info *pickInfo, candidates *candidateSet) (unhealthy *endpoint) {
 	leastScore := math.Inf(1)
 	for _, ep := range p.endpoints.observed {
 		load, latencyRatio := loadAndLatencyRatio(ep, info.now)
@@ -120,9 +127,9 @@
 			continue
 		}
 		if !ep.isHealthyFor(info.request.class, info.now) {
-			score := ep.ejection.level + p.rng.Float64() + load
+			score := ep.ejection.level + p.rng.Float64() + load // the draw chooses among equals
 			if score < leastScore {
-				ejected, leastScore = ep, score
+				unhealthy, leastScore = ep, score
 			}
 			continue
 		}
@@ -131,14 +138,14 @@
 		}
 		p.addCandidate(info, candidates, p.newCandidate(info, ep, load, latencyRatio))
 	}
-	return ejected
+	return unhealthy
 }
 
 // collectUnobserved adds the unobserved endpoints that belong to the subset.
 func (p *picker) collectUnobserved(info *pickInfo, candidates *candidateSet) {
-	for ep, preference := range p.endpoints.unobserved.byPreference(info.crossZoneFactor) {
-		if !candidates.admits(preference) {
-			return // nor is any that follows
+	for ep, weightedRank := range p.endpoints.unobserved.byWeightedRank(info.crossZoneDivisor) {
+		if !candidates.admits(weightedRank) {
+			return // nor does it admit any that follows
 		}
 		if p.rules.allow(info.request, ep, info.now) {
 			p.addCandidate(info, candidates, p.newCandidate(info, ep, info.newEndpointLoad, 1))
@@ -153,7 +160,7 @@
 	if !isOutside || !outside.endpoint.isObserved {
 		return
 	}
-	if p.isConnected(outside.endpoint, info.now) || info.warmingJoinsSubset(outside.endpoint) {
+	if outside.connected || info.warmingJoinsSubset(outside.endpoint) {
 		candidates.connected = append(candidates.connected, outside)
 		return
 	}
@@ -163,68 +170,84 @@
 // warmingJoinsSubset reports whether an endpoint belongs to the subset without a connection since it warms
 // up: in a fleet that is large for its agents' subsets most agents would otherwise never send to it.
 func (info *pickInfo) warmingJoinsSubset(ep *endpoint) bool {
-	return ep.warmUp.active && 2*info.subset < float64(info.fleet.serving)
+	return ep.warmUp.active && largeFleetSubsets*info.wantedSubset < float64(info.fleet.serving)
 }
 
-// isEligible reports whether an observed endpoint may get the request, ejections aside.
+// isEligible reports whether an observed endpoint may get the request, ejections aside. It renews a slow
+// start permit that has lapsed.
 func (p *picker) isEligible(info *pickInfo, ep *endpoint) bool {
 	r := info.request
 	failedLast := ep == r.lastFailed && info.fleet.serving > 1
 	if ep.State != Serving || failedLast || info.now < ep.ejection.avoidedUntil {
 		return false
 	}
-	return p.rules.allow(r, ep, info.now) && p.slowStart.hasPermit(ep, r, info.now, info.fleet)
+	if !p.rules.allow(r, ep, info.now) {
+		return false
+	}
+	p.slowStart.renewLapsedPermit(ep, info.now, r.class.meanLatencyNs, info.fleet)
+	return p.slowStart.hasPermit(ep, r, info.now)
 }
 
 // newCandidate weighs an endpoint: by its size, less while it warms up or is slower than others, and less
 // where crossing zones has a price.
 func (p *picker) newCandidate(info *pickInfo, ep *endpoint, load, latencyRatio float64) candidate {
+	c := candidate{
+		endpoint:       ep,
+		load:           load,
+		latencyRatio:   latencyRatio,
+		warmUpFraction: p.slowStart.advanceWarmUp(ep, info.now),
+		connected:      ep.isConnected(info.now, p.settings.IdleClose),
+	}
+	// Cubed: an even choice would load slow endpoints as much as others.
 	penalty := latencyRatio * latencyRatio * latencyRatio
-	weight := ep.size() * p.slowStart.updateFraction(ep, info.now) / penalty
+	c.weight = ep.size() * c.warmUpFraction / penalty
 	if ep.Zone != p.settings.Zone {
-		weight /= info.crossZoneFactor
+		c.weight /= info.crossZoneDivisor
 	}
-	preference := ep.rank / weight
-	if p.isConnected(ep, info.now) {
-		preference *= connectedPreference
+	c.weightedRank = ep.rank / c.weight
+	if c.connected {
+		c.weightedRank *= connectedRankFactor
 	}
-	return candidate{ep, load, latencyRatio, weight, preference}
+	return c
 }
 
 // chooseIdleAndBusy draws an idle candidate of each tier by weight, and takes the least loaded busy one.
 func (p *picker) chooseIdleAndBusy(
 	info *pickInfo, candidates []candidate,
 ) (idle [tierCount]*endpoint, busy *endpoint) {
-	leastScore := math.Inf(1)
+	leastLoad := math.Inf(1)
 	leastWait := [tierCount]float64{math.Inf(1), math.Inf(1), math.Inf(1)}
-	for position, c := range candidates {
-		connected := p.isConnected(c.endpoint, info.now)
-		if c.load >= 1 && connected {
-			load := (c.load + 1) * c.latencyRatio / p.slowStart.updateFraction(c.endpoint, info.now)
-			score := load * (1 + loadJitter*p.rng.Float64())
-			if score < leastScore {
-				busy, leastScore = c.endpoint, score
+	for position := range candidates {
+		c := &candidates[position]
+		if !c.isIdle() {
+			if load := p.jitteredLoad(c); load < leastLoad {
+				busy, leastLoad = c.endpoint, load
 			}
 			continue
 		}
-		tier := p.tier(info, c, position, connected)
-		wait := p.drawWait(info.request, c)
-		if wait < leastWait[tier] {
+		tier := p.tier(info, c, position)
+		if wait := p.drawWait(info.request, c); wait < leastWait[tier] {
 			idle[tier], leastWait[tier] = c.endpoint, wait
 		}
 	}
 	return idle, busy
 }
 
-// tier is the tier of an idle candidate at a position in the order of preference. With cache affinity the
+// jitteredLoad is the load that a busy candidate would have with this attempt, over its speed.
+func (p *picker) jitteredLoad(c *candidate) float64 {
+	load := (c.load + 1) * c.latencyRatio / c.warmUpFraction
+	return load * (1 + loadJitter*p.rng.Float64())
+}
+
+// tier is the tier of an idle candidate at a position in the order of weighted rank. With cache affinity the
 // subset does not matter while requests over new connections are served on time as often as others.
-func (p *picker) tier(info *pickInfo, c candidate, position int, connected bool) int {
-	trustsNew := p.settings.CacheAffinity && info.request.class.newConnectionsAreOnTime()
-	warmingJoins := c.endpoint.warmUp.active && connected || info.warmingJoinsSubset(c.endpoint)
+func (p *picker) tier(info *pickInfo, c *candidate, position int) int {
+	ignoresSubset := p.settings.CacheAffinity && info.request.class.newConnectionsAreOnTime()
+	warmingJoins := (c.endpoint.warmUp.active && c.connected) || info.warmingJoinsSubset(c.endpoint)
 	switch {
-	case float64(position) < info.subset || trustsNew || warmingJoins:
+	case float64(position) < info.wantedSubset || ignoresSubset || warmingJoins:
 		return tierSubset
-	case connected:
+	case c.connected:
 		return tierConnected
 	default:
 		return tierOther
@@ -232,10 +255,10 @@
 }
 
 // drawWait draws an exponential time at the rate of the candidate's weight: the candidate with the least time
-// is a random choice by weight. With cache affinity all agents draw alike for a key, so that it goes to the
-// endpoint that has cached it.
-func (p *picker) drawWait(r *request, c candidate) float64 {
-	uniform := p.rng.Float64()
+// is a random choice by weight. With cache affinity all agents draw alike for a key (rendezvous hashing), so
+// that it goes to the endpoint that has cached it.
+func (p *picker) drawWait(r *request, c *candidate) float64 {
+	uniform := p.rng.Float64() // in any case, which keeps the sequence of random draws
 	if p.settings.CacheAffinity && r.keyHash != 0 {
 		uniform = keyedUniform(c.endpoint.hash, r.keyHash)
 	}
@@ -251,12 +274,13 @@
 }
 
 // drawOutsider draws an endpoint that is neither in the subset nor connected, by weight; nil if none was
-// found.
+// found. An unobserved endpoint of the subset may be drawn as well, but it is idle and would have been chosen
+// before. All draws are made even if there is nothing to draw from.
 func (p *picker) drawOutsider(info *pickInfo, candidates *candidateSet) *endpoint {
 	unobserved := &p.endpoints.unobserved
 	observedWeight := candidates.outsiderWeight()
 	ownZoneWeight := float64(len(unobserved.ownZone)) * unobserved.largestSize
-	otherZonesWeight := float64(len(unobserved.otherZones)) * unobserved.largestSize / info.crossZoneFactor
+	otherZonesWeight := float64(len(unobserved.otherZones)) * unobserved.largestSize / info.crossZoneDivisor
 	for range maxDraws {
 		target := p.rng.Float64() * (observedWeight + ownZoneWeight + otherZonesWeight)
 		if target < observedWeight {
@@ -273,30 +297,36 @@
 	return nil
 }
 
-// drawUnobserved draws an unobserved endpoint by size; nil if it has to be drawn again.
-func (p *picker) drawUnobserved(info *pickInfo, order preferenceOrder) *endpoint {
+// drawUnobserved draws an unobserved endpoint by size; nil if it has to be drawn again. It samples by
+// rejection: an endpoint is drawn evenly, and accepted with the probability of its size over the largest one.
+func (p *picker) drawUnobserved(info *pickInfo, order rankOrder) *endpoint {
 	if len(order) == 0 {
 		return nil
 	}
 	ep := order[p.rng.IntN(len(order))]
-	isTaken := p.rng.Float64()*p.endpoints.unobserved.largestSize < ep.size()
-	if !isTaken || !p.rules.allow(info.request, ep, info.now) {
+	accepted := p.rng.Float64()*p.endpoints.unobserved.largestSize < ep.size()
+	if !accepted || !p.rules.allow(info.request, ep, info.now) {
 		return nil
 	}
 	return ep
 }
 
-// crossZoneFactor is how much less an endpoint of another zone weighs. It is 1 where the fleet is so crowded
+// crossZoneDivisor divides the weights of endpoints in other zones. It is 1 where the fleet is so crowded
 // that crossing zones is worth its price.
-func (p *picker) crossZoneFactor(now time.Duration, fleet fleetSummary) float64 {
-	crowded := now-p.limiter.decreasedAt <= p.settings.SlowStartDuration
-	if p.limiter.leastLimitIsBelow(1, fleet) {
-		crowded = p.traffic.lateWork(crowdedSentPerOnTime) > 0
-	}
-	if crowded {
+func (p *picker) crossZoneDivisor(now time.Duration, fleet fleetSummary) float64 {
+	if p.isCrowded(now, fleet) {
 		return 1
 	}
-	return 1 + crossZoneWeight*p.settings.CrossZonePrice
+	return 1 + crossZonePriceMultiple*p.settings.CrossZonePrice
+}
+
+// isCrowded reports whether the fleet is short of capacity: the concurrency limit has fallen within the time
+// of a slow start or, where the throttle stands in for the limit, too few requests are served on time.
+func (p *picker) isCrowded(now time.Duration, fleet fleetSummary) bool {
+	if p.limiter.leastLimitIsBelow(1, fleet) {
+		return p.traffic.excessSent(crowdedSentPerOnTime) > 0
+	}
+	return now-p.limiter.decreasedAt <= p.settings.SlowStartDuration
 }
 
 // meanLoad is the mean load, in attempts, of the endpoints that have served something.
@@ -304,22 +334,19 @@
 	sum, count := 0.0, 0
 	for _, ep := range p.endpoints.observed {
 		if ep.State == Serving && ep.responses.hasServed {
-			sum += p.load(ep, now)
+			sum += loadOf(ep, now)
 			count++
 		}
 	}
 	return sum / float64(max(count, 1))
 }
 
-func (p *picker) load(ep *endpoint, now time.Duration) float64 {
+// loadOf is the number of attempts in flight at an endpoint, as loadAndLatencyRatio counts them.
+func loadOf(ep *endpoint, now time.Duration) float64 {
 	load, _ := loadAndLatencyRatio(ep, now)
 	return load
 }
 
-func (p *picker) isConnected(ep *endpoint, now time.Duration) bool {
-	return ep.isConnected(now, p.settings.IdleClose)
-}
-
 // loadAndLatencyRatio are the attempts in flight at an endpoint, less those that are overdue although a later
 // one was answered, and its latency over the expected one, by its responses or its oldest attempt in flight.
 func loadAndLatencyRatio(ep *endpoint, now time.Duration) (load, latencyRatio float64) {
--- a/balancer/priority.go
+++ b/balancer/priority.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// clientRetryPriority is the priority of a client's retry against a first try: most of its objective has
+	// clientRetryFactor is the priority of a client's retry against a first try: most of its objective has
 	// passed.
-	clientRetryPriority = 0.1
+	clientRetryFactor = 0.1
 	// lateLatencyShare is the share of the expected latency that must be left for a response to count as on
 	// time.
 	lateLatencyShare = 0.5
@@ -13,25 +13,27 @@
 	minDemand = 1e-9
 )
 
-// updatePriorities sets what a unit of work that is spent on each class adds to the operator's goal.
+// updatePriorities sets what a unit of work that is spent on each class adds to the operator's goal. The goal
+// is a weighted sum of the share of the priority that is served, and of the on-time share of the worst class;
+// a unit of work is a nanosecond of an endpoint's time.
 func updatePriorities(classes classList, settings *Settings) {
-	demand := 0.0
+	demand := 0.0 // priority that arrived recently
 	for _, class := range classes {
-		demand += class.arrived * class.Priority * workUnit(class, settings)
+		demand += class.arrived * class.Priority * priorityUnit(class, settings)
 	}
 	worst := classes.worst()
 	for _, class := range classes {
 		goalWeight := settings.WeightOverall + settings.WeightWorstWindow
-		gain := goalWeight * class.Priority * workUnit(class, settings)
+		gain := goalWeight * class.Priority * priorityUnit(class, settings)
 		class.priorityPerWork = gain / class.meanLatencyNs / max(demand, minDemand)
-		if class == worst {
+		if class == worst { // one more request on time raises its share by one over those that arrived
 			class.priorityPerWork += settings.WeightWorstClass / (max(class.arrived, 1) * class.meanLatencyNs)
 		}
 	}
 }
 
-// workUnit is the amount, in nanoseconds or requests, that a class's priority counts for.
-func workUnit(class *classStats, settings *Settings) float64 {
+// priorityUnit is what a request counts for in its class's priority: its work in nanoseconds, or 1.
+func priorityUnit(class *classStats, settings *Settings) float64 {
 	if settings.PriorityByWork {
 		return class.meanLatencyNs
 	}
@@ -42,7 +44,7 @@
 func (r *request) priority(now time.Duration) float64 {
 	priority := r.class.priorityPerWork
 	if r.isClientRetry {
-		priority *= clientRetryPriority
+		priority *= clientRetryFactor
 	}
 	if r.objectiveAt-now < time.Duration(lateLatencyShare*r.expectedLatencyNs()) {
 		priority *= r.class.LatePriority
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -13,19 +13,21 @@
 	openReserve = 0.125
 )
 
-// admissionQueue holds the requests that wait for an attempt, oldest first.
+// admissionQueue holds the requests that wait for an attempt, in the order in which they were queued, which
+// is anew after a backoff.
 type admissionQueue struct {
 	requests []*request
 }
 
 func (q *admissionQueue) len() int { return len(q.requests) }
 
+// push adds a request and moves it to phaseQueued.
 func (q *admissionQueue) push(r *request) {
 	r.phase = phaseQueued
 	q.requests = append(q.requests, r)
 }
 
-// remove takes a request out, if it is queued.
+// remove takes a request out and moves it to phaseActive, if it is queued.
 func (q *admissionQueue) remove(r *request) {
 	if r.phase != phaseQueued {
 		return
@@ -34,8 +36,8 @@
 	q.requests = slices.DeleteFunc(q.requests, func(queued *request) bool { return queued == r })
 }
 
-// next is the request of the highest priority that can be sent, of equals the newest, which has the most time
-// left; nil if there is none.
+// next is the request of the highest priority that can be sent, of equals the one queued last, which usually
+// has the most time left; nil if there is none.
 func (q *admissionQueue) next(now time.Duration) *request {
 	var next *request
 	highest := 0.0
@@ -50,7 +52,7 @@
 	return next
 }
 
-// lowest is the request of the lowest priority, of equals the oldest. The queue is not empty.
+// lowest is the request of the lowest priority, of equals the one queued first. The queue is not empty.
 func (q *admissionQueue) lowest(now time.Duration) *request {
 	return slices.MinFunc(q.requests, func(x, y *request) int {
 		return cmp.Compare(x.priority(now), y.priority(now))
@@ -63,33 +65,36 @@
 	if r.isClientRetry {
 		return now
 	}
-	return min(r.objectiveAt, r.deadline) - r.responseTime(expiryLatencies)
+	return r.objectiveAt - r.responseTime(expiryLatencies)
 }
 
-// dispatchQueue sends what the limits allow, and gives up what can wait no longer.
-func (b *Balancer) dispatchQueue() {
+// processQueue sends what the limits allow, gives up what can wait no longer, and sheds load near the limit
+// of open requests.
+func (b *Balancer) processQueue() {
 	if b.queue.len() == 0 {
 		return
 	}
 	updatePriorities(b.classes, &b.settings)
-	for b.mayDispatch() {
+	for b.mayStartAttempt() {
 		r := b.queue.next(b.now)
 		if r == nil {
 			break
 		}
-		if ep := b.pick(r); ep != nil {
-			b.queue.remove(r)
-			b.send(r, ep)
-		} else {
+		b.traffic.observeInFlight(b.activeInFlight())
+		ep := b.picker.pick(r, b.now, b.fleet)
+		if ep == nil {
 			r.hasNoEndpoint = true
+			continue
 		}
+		b.queue.remove(r)
+		b.send(r, ep)
 	}
 	b.expireQueue()
 	b.shedQueue()
 }
 
-// mayDispatch reports whether the concurrency limit and the throttle allow one more attempt.
-func (b *Balancer) mayDispatch() bool {
+// mayStartAttempt reports whether the concurrency limit and the throttle allow one more attempt.
+func (b *Balancer) mayStartAttempt() bool {
 	return b.activeInFlight() < b.limiter.limit(b.fleet) && !isThrottled(&b.limiter, &b.traffic, b.fleet)
 }
 
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -23,16 +23,18 @@
 	keyHash     uint64  // 0: no key
 
 	phase         requestPhase
-	isClientRetry bool // the client has tried before: part of the objective has passed
+	isClientRetry bool // the client has tried before
 	isStreaming   bool // part of a response has reached the client: no further attempt
 	hasNoEndpoint bool // no endpoint may take it in this step
 
 	attempts        []*attempt
-	inFlight        int      // attempts without an outcome
-	mayHaveRun      int      // attempts that may have run, those in flight included
-	firstMayHaveRun *attempt // the first of these: it sets the scope and window of deduplication
+	inFlight        int // attempts without an outcome
+	mayHaveRunCount int // attempts that may have run, those in flight included
+	// firstMayHaveRun sets the scope and window of deduplication: the first attempt since none may have run.
+	// It stays if it turns out not to have run while another one may have, which only shortens the window.
+	firstMayHaveRun *attempt
 	retries         int
-	lastFailed      *endpoint // the endpoint of the latest failed attempt
+	lastFailed      *endpoint // the endpoint of the latest attempt that failed, or was hedged
 
 	keyQueue      *keyQueue
 	keyQuietUntil time.Duration // end of its key's quiet period, after an attempt whose end is unknown
@@ -56,7 +58,7 @@
 	if sendAt >= r.deadline {
 		return true
 	}
-	return r.class.latencyIsRecent(now) && sendAt+r.responseTime(medianLatencyShare) >= r.deadline
+	return r.class.latencyIsRecent(now) && sendAt+r.responseTime(medianOverMeanLatency) >= r.deadline
 }
 
 // isOnTime reports whether a response that is served now is within the objective.
@@ -66,7 +68,7 @@
 func (r *request) addAttempt(a *attempt) {
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	r.mayHaveRun++
+	r.mayHaveRunCount++
 	if r.firstMayHaveRun == nil {
 		r.firstMayHaveRun = a
 	}
@@ -79,8 +81,8 @@
 	if mayHaveRun {
 		return
 	}
-	r.mayHaveRun--
-	if r.mayHaveRun == 0 {
+	r.mayHaveRunCount--
+	if r.mayHaveRunCount == 0 {
 		r.firstMayHaveRun = nil
 	}
 }
@@ -91,7 +93,7 @@
 	if r.hasEnded() {
 		return
 	}
-	if r.mayHaveRun == 0 {
+	if r.mayHaveRunCount == 0 {
 		b.act(Reject{Request: r.id, RetryAfter: b.drawRetryAfter(r)})
 	} else {
 		b.act(Fail{Request: r.id})
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -19,7 +19,7 @@
 
 	// backoffUnitShare is the longest first backoff, as a share of the objective.
 	backoffUnitShare = 1.0 / 32
-	// maxBackoffUnits is the longest backoff of all, in such units.
+	// maxBackoffUnits is the longest backoff of all, in longest first backoffs.
 	maxBackoffUnits = 8.0
 )
 
@@ -61,6 +61,8 @@
 // endpoint may take the attempt, if the token bucket does not pay for it, or if it would be too late.
 func (b *Balancer) retry(r *request, result Result) {
 	at := b.now + drawBackoff(b.rng, r.retries, r.class.Objective)
+	// An attempt was not sent since the time of its request was over, or nothing could be sent for it any
+	// more.
 	possible := result != NotSent && b.someEndpointMayTake(r) && !r.isTooLate(b.now, at)
 	if !possible || !b.retryTokens.take(retryCost(result)) {
 		b.answerUnlessInFlight(r)
@@ -71,6 +73,7 @@
 	b.setRequestTimer(r, at)
 }
 
+// someEndpointMayTake reports whether the rules allow a further attempt of a request anywhere.
 func (b *Balancer) someEndpointMayTake(r *request) bool {
 	return slices.ContainsFunc(b.endpoints.all, func(ep *endpoint) bool {
 		return ep.State == Serving && b.attemptRules.allow(r, ep, b.now)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -7,7 +7,7 @@
 
 // The kinds of idempotency.
 const (
-	Idempotent        Idempotency = iota // may be repeated and rejected at will
+	Idempotent        Idempotency = iota // may be repeated in any case
 	IdempotentWithKey                    // endpoints of one scope drop a repeat within a window
 	NotIdempotent                        // may be repeated only when no attempt can have run
 )
@@ -18,8 +18,8 @@
 // The scopes of deduplication.
 const (
 	DedupEverywhere DedupScope = iota // every endpoint
-	DedupInZone                       // the endpoints of the first attempt's zone
-	DedupInCell                       // the endpoints of the first attempt's cell
+	DedupInZone                       // the endpoints of the zone of the first attempt that may have run
+	DedupInCell                       // the endpoints of its cell
 )
 
 // Class describes one class of requests.
@@ -30,7 +30,7 @@
 	LatePriority float64       // share of that weight that a response between objective and deadline earns
 	Idempotency  Idempotency
 	DedupScope   DedupScope    // for IdempotentWithKey
-	DedupWindow  time.Duration // for IdempotentWithKey: how long after the first send a repeat is dropped
+	DedupWindow  time.Duration // for IdempotentWithKey: how long after the first attempt that may have run
 	// Ordered requests with the same key run one at a time, in the order of their arrival. All ordered
 	// classes share one key space.
 	Ordered          bool
@@ -82,7 +82,7 @@
 // comment says; the zero value of a price, a goal or a span switches off what rests on it.
 //
 // Settings carries every setting that agents are given, so that all of them are checked when they are read.
-// Balancer does not act on the last group.
+// Balancer does not act on the last two groups, nor on Class.ObjectiveStretch and Class.Streamed.
 type Settings struct {
 	// Who the agents are.
 
@@ -92,11 +92,11 @@
 
 	// The requests and how they are valued.
 
-	Classes           []Class // at least one
+	Classes           []Class // at least one; the first sets the time scale of what concerns all
 	PriorityByWork    bool    // priorities count per unit of work, not per request
 	WeightOverall     float64 // weight of the priority served in all, in the operator's goal
-	WeightWorstWindow float64 // ... of the priority served in the worst window of time
-	WeightWorstClass  float64 // ... of the priority served of the worst class
+	WeightWorstWindow float64 // weight of the priority served in the worst window of time
+	WeightWorstClass  float64 // weight of the priority served of the worst class
 	CrossZonePrice    float64 // cost of a request that crosses zones, as a share of the result
 
 	// What an agent may do.
@@ -107,7 +107,7 @@
 	SendRetryAfter bool          // clients are shown Reject.RetryAfter
 	MaxRetryAfter  time.Duration // the longest Retry-After that a client heeds
 	MaxOpen        int           // requests that an agent may hold open; 0: no limit
-	Tick           time.Duration // shortest time between two steps; 0: none
+	Tick           time.Duration // shortest time between two steps, and resolution of timeouts; 0: none
 
 	// How endpoints and their connections behave.
 
@@ -168,3 +168,8 @@
 	OriginPrice      float64 // a fetch from the origin for each request
 	FleetPrice       float64 // as many endpoints running as at the start
 }
+
+// MayHaveRun reports whether an attempt with a result may have had an effect.
+func (s *Settings) MayHaveRun(result Result) bool {
+	return !result.NeverRan() || result == Rejected && s.RejectedMayHaveRun
+}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -11,7 +11,7 @@
 	maxWarmingLatencies = 2.0
 	// lapsesPerWindow divides an overload window into the times for which a permit may be used.
 	lapsesPerWindow = 2
-	// permitsPerWindow is how many windows' permits may be used within one window, since permits lapse late.
+	// permitsPerWindow is how many windows' permits can be used within one window, since permits lapse late.
 	permitsPerWindow = 1 + 1.0/lapsesPerWindow
 	// firstLimitShare is the share of the least concurrency limit that endpoints get while none is warm.
 	firstLimitShare = 0.5
@@ -21,7 +21,7 @@
 
 // warmUp is the state of an endpoint that may have started a short while ago. Only slowStart changes it.
 type warmUp struct {
-	active       bool
+	active       bool          // until advanceWarmUp finds it over
 	startedAt    time.Duration // when its latest start became known
 	nextPermitAt time.Duration // when it may get its next request
 }
@@ -35,7 +35,7 @@
 	minCapacity float64
 	duration    time.Duration
 	overload    float64       // multiple of its capacity that overloads an endpoint; at least 1
-	window      time.Duration // the span over which it does
+	window      time.Duration // the span over which it does; 0: endpoints cannot be overloaded
 	agents      float64
 
 	warmWorkNs float64 // decayed sum of the expected latencies that a warm endpoint served for this agent
@@ -59,41 +59,60 @@
 	s.scheduleNextPermit(ep, now, meanLatencyNs, fleet)
 }
 
-// updateFraction ends a warm-up that is over, and returns the share of its full capacity that an endpoint
-// certainly has by now.
-func (s *slowStart) updateFraction(ep *endpoint, now time.Duration) float64 {
+// advanceWarmUp ends a warm-up that is over. It returns the warm-up fraction: the share of its full capacity
+// that an endpoint certainly has by now.
+func (s *slowStart) advanceWarmUp(ep *endpoint, now time.Duration) (fraction float64) {
 	age := now - ep.warmUp.startedAt
 	if !ep.warmUp.active || age >= s.duration {
 		ep.warmUp.active = false
 		return 1
 	}
-	return s.minCapacity + (1-s.minCapacity)*max(0, float64(age)/float64(s.duration))
+	elapsed := float64(age) / float64(s.duration)
+	return s.minCapacity + (1-s.minCapacity)*elapsed
+}
+
+// permitLapse is how long a permit may be used.
+func (s *slowStart) permitLapse() time.Duration { return s.window / lapsesPerWindow }
+
+// needsPermit reports whether an endpoint warms up, and can be overloaded.
+func (s *slowStart) needsPermit(ep *endpoint, now time.Duration) bool {
+	return s.advanceWarmUp(ep, now) < 1 && s.permitLapse() > 0
+}
+
+// renewLapsedPermit draws a new permit in place of one that was not used in time. It may be usable at once:
+// its time is drawn from the begin of the span in which a permit can still be used.
+func (s *slowStart) renewLapsedPermit(
+	ep *endpoint, now time.Duration, meanLatencyNs float64, fleet fleetSummary,
+) {
+	if !s.needsPermit(ep, now) || ep.warmUp.nextPermitAt+s.permitLapse() > now {
+		return
+	}
+	s.scheduleNextPermit(ep, now, meanLatencyNs, fleet)
+	ep.warmUp.nextPermitAt -= s.permitLapse()
 }
 
 // hasPermit reports whether an endpoint may get this request now as far as its warm-up is concerned.
-func (s *slowStart) hasPermit(ep *endpoint, r *request, now time.Duration, fleet fleetSummary) bool {
-	lapse := s.window / lapsesPerWindow
-	if s.updateFraction(ep, now) == 1 || lapse == 0 {
+func (s *slowStart) hasPermit(ep *endpoint, r *request, now time.Duration) bool {
+	if !s.needsPermit(ep, now) {
 		return true
 	}
-	meanLatencyNs := r.class.meanLatencyNs
-	if ep.warmUp.nextPermitAt+lapse <= now { // the permit has lapsed
-		s.scheduleNextPermit(ep, now, meanLatencyNs, fleet)
-		ep.warmUp.nextPermitAt -= lapse
-	}
-	return ep.warmUp.nextPermitAt <= now && r.expectedLatencyNs() <= maxWarmingLatencies*meanLatencyNs
+	isLight := r.expectedLatencyNs() <= maxWarmingLatencies*r.class.meanLatencyNs
+	return ep.warmUp.nextPermitAt <= now && isLight
 }
 
 // scheduleNextPermit draws when an endpoint that gets some work now may get the next. Permits come at random
-// times, at the rate of a warm endpoint, times the warm-up fraction, times the root of the overload multiple.
+// times, at the rate of a warm endpoint, times the warm-up fraction, times the root of the overload multiple
+// (or the multiple over permitsPerWindow, if that is less).
 func (s *slowStart) scheduleNextPermit(ep *endpoint, now time.Duration, workNs float64, fleet fleetSummary) {
-	rate := max(s.decayWarmWork(now, fleet)/s.windowNs(), minPermitRate)
+	// Work per time that this agent gives a warm endpoint: its mean number of attempts in flight there.
+	utilization := max(s.decayWarmWork(now, fleet)/s.windowNs(), minPermitRate)
 	if fleet.warm == 0 { // no traffic to go by
-		rate = max(rate, minLimitPerEndpoint*firstLimitShare/s.agents)
+		utilization = max(utilization, minLimitPerEndpoint*firstLimitShare/s.agents)
 	}
-	share := s.updateFraction(ep, now) * min(math.Sqrt(s.overload), s.overload/permitsPerWindow)
-	delayNs := min(s.rng.ExpFloat64()*workNs/(share*rate), float64(s.duration))
-	ep.warmUp.nextPermitAt = now + time.Duration(delayNs)
+	share := s.advanceWarmUp(ep, now) * min(math.Sqrt(s.overload), s.overload/permitsPerWindow)
+	delayNs := s.rng.ExpFloat64() * workNs / (share * utilization)
+	// By the end of the slow start the endpoint is warm.
+	ep.warmUp.nextPermitAt = now + time.Duration(min(delayNs, float64(s.duration)))
 }
 
 // observeServed learns how much work a warm endpoint does for this agent.
@@ -113,8 +132,9 @@
 // windowNs is the window as a divisor, which is not 0.
 func (s *slowStart) windowNs() float64 { return float64(s.window + 1) }
 
-// startWarmUp begins the slow start of an endpoint whose process started at the time at.
-func (b *Balancer) startWarmUp(ep *endpoint, at time.Duration) {
+// onEndpointStarted applies that an endpoint's process started at the time at: it has no connections and no
+// statistics yet, and its slow start begins.
+func (b *Balancer) onEndpointStarted(ep *endpoint, at time.Duration) {
 	b.endpoints.markObserved(ep)
 	ep.connection.markDisconnected()
 	ep.responses.observeStart()
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -10,20 +10,25 @@
 	minSubset = 2.0
 	// subsetPerAttempt is by how much the subset grows with each attempt of the recent peak in flight.
 	subsetPerAttempt = 0.5
-	// connectedPreference multiplies the preference of a connected endpoint: the least comes first.
-	connectedPreference = 0.5
+	// connectedRankFactor multiplies the weighted rank of a connected endpoint: the least comes first.
+	connectedRankFactor = 0.5
 )
 
 // candidate is an endpoint that may get the request.
 type candidate struct {
-	endpoint     *endpoint
-	load         float64 // attempts in flight
-	latencyRatio float64 // its latency over the expected one
-	weight       float64 // in a random choice
-	preference   float64 // place in this agent's own order, the least first
+	endpoint       *endpoint
+	load           float64 // attempts in flight
+	latencyRatio   float64 // its latency over the expected one
+	warmUpFraction float64 // share of its full capacity
+	connected      bool
+	weight         float64 // in a random choice
+	weightedRank   float64 // rank over weight: its place in this agent's own order, the least first
 }
 
-func comparePreference(x, y candidate) int { return cmp.Compare(x.preference, y.preference) }
+// isIdle reports whether a new attempt would not wait behind another one.
+func (c *candidate) isIdle() bool { return c.load < 1 || !c.connected }
+
+func compareWeightedRank(x, y candidate) int { return cmp.Compare(x.weightedRank, y.weightedRank) }
 
 // outsider is a candidate that is neither in the subset nor connected.
 type outsider struct {
@@ -47,12 +52,12 @@
 	s.members, s.connected, s.outsiders = s.members[:0], s.connected[:0], s.outsiders[:0]
 }
 
-// admits reports whether a candidate of a preference would belong to the subset.
-func (s *candidateSet) admits(preference float64) bool {
+// admits reports whether a candidate with a weighted rank would belong to the subset.
+func (s *candidateSet) admits(weightedRank float64) bool {
 	if len(s.members) < s.subsetSize {
 		return true
 	}
-	return preference < s.members[len(s.members)-1].preference
+	return weightedRank < s.members[len(s.members)-1].weightedRank
 }
 
 // insert puts a candidate into the subset, if it belongs there. Once the subset is full, it returns the
@@ -61,16 +66,16 @@
 	if len(s.members) < s.subsetSize {
 		s.members = append(s.members, c)
 		if len(s.members) == s.subsetSize {
-			slices.SortFunc(s.members, comparePreference)
+			slices.SortFunc(s.members, compareWeightedRank)
 		}
 		return candidate{}, false
 	}
-	if !s.admits(c.preference) {
+	if !s.admits(c.weightedRank) {
 		return c, true
 	}
 	last := len(s.members) - 1
 	displaced := s.members[last]
-	position, _ := slices.BinarySearchFunc(s.members, c, comparePreference)
+	position, _ := slices.BinarySearchFunc(s.members, c, compareWeightedRank)
 	copy(s.members[position+1:], s.members[position:last])
 	s.members[position] = c
 	return displaced, true
@@ -79,7 +84,7 @@
 // complete adds the connected candidates to the members and sorts all of them.
 func (s *candidateSet) complete() {
 	s.members = append(s.members, s.connected...)
-	slices.SortFunc(s.members, comparePreference)
+	slices.SortFunc(s.members, compareWeightedRank)
 }
 
 // outsiderWeight is the sum of the weights of the outsiders.
--- a/balancer/throttle.go
+++ b/balancer/throttle.go
@@ -5,7 +5,8 @@
 const throttledSentPerOnTime = 1.3
 
 // isThrottled reports whether requests have to wait since too few of those sent recently were served on time.
-// It stands in for the concurrency limit where an agent's part of that is under one attempt.
+// It acts where this agent's part of the least concurrency limit is under one attempt, and alone where the
+// agent has no limit.
 func isThrottled(limiter *concurrencyLimiter, traffic *trafficStats, fleet fleetSummary) bool {
-	return limiter.leastLimitIsBelow(1, fleet) && traffic.lateWork(throttledSentPerOnTime) >= 0
+	return limiter.leastLimitIsBelow(1, fleet) && traffic.excessSent(throttledSentPerOnTime) >= 0
 }
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -6,7 +6,7 @@
 type timerTable struct {
 	lastToken int64
 	requests  map[int64]*request // by token
-	subscribe int64              // token of the timer for the next Subscribe
+	subscribe int64              // token of the latest timer for a Subscribe, which voids earlier ones
 }
 
 func newTimerTable() timerTable { return timerTable{requests: map[int64]*request{}} }
@@ -17,7 +17,7 @@
 	return t.lastToken
 }
 
-// register notes the latest timer of a request.
+// register notes the latest timer of a request. One that is voided by it stays in the table until it fires.
 func (t *timerTable) register(r *request) { t.requests[r.timer] = r }
 
 // registerSubscribe notes the timer for the next Subscribe.
--- a/balancer/traffic.go
+++ b/balancer/traffic.go
@@ -8,9 +8,9 @@
 const (
 	// trafficWindowObjectives is the time constant of decayed traffic counts, in objectives.
 	trafficWindowObjectives = 20.0
-	// lateWorkAllowance is the number of requests that may be sent beyond the allowed multiple before they
-	// count as late work.
-	lateWorkAllowance = 4.0
+	// excessAllowance is the number of requests that may be sent beyond the allowed multiple before they
+	// count as excess.
+	excessAllowance = 4.0
 )
 
 // trafficStats are counts of this agent's recent traffic, which decay exponentially.
@@ -19,7 +19,7 @@
 	decayedAt    time.Duration
 	sent         float64 // requests with a first attempt
 	servedOnTime float64 // requests served within their objective
-	peakInFlight float64 // the most attempts in flight
+	peakInFlight float64 // decayed peak of the active attempts in flight, before each pick
 }
 
 func newTrafficStats(objective time.Duration) trafficStats {
@@ -49,7 +49,8 @@
 // undoSend takes back a request whose first attempt never left this machine.
 func (t *trafficStats) undoSend() { t.sent = max(0, t.sent-1) }
 
-// lateWork is the number of requests sent beyond the allowance and a multiple of those served on time.
-func (t *trafficStats) lateWork(sentPerOnTime float64) float64 {
-	return t.sent - (sentPerOnTime*t.servedOnTime + lateWorkAllowance)
+// excessSent is the number of requests sent beyond a multiple of those served on time, and beyond the
+// allowance; negative: so many less.
+func (t *trafficStats) excessSent(sentPerOnTime float64) float64 {
+	return t.sent - (sentPerOnTime*t.servedOnTime + excessAllowance)
 }
--- a/balancer/unobserved.go
+++ b/balancer/unobserved.go
@@ -7,35 +7,36 @@
 	"slices"
 )
 
-// unobservedEndpoints are the serving endpoints that are as they were first listed. In a large fleet these
-// are nearly all, and the cost of a pick must not grow with their number: they are kept in the order of their
-// preference. Those of the agent's own zone are kept apart from the others, since the price of crossing zones
-// changes.
+// unobservedEndpoints are the serving endpoints of which nothing is known but their entries in the list. In a
+// large fleet these are nearly all, and the cost of a pick must not grow with their number: they are kept in
+// the order of their weighted rank. Those of the agent's own zone are kept apart from the others, since the
+// price of crossing zones changes.
 type unobservedEndpoints struct {
 	zone        int // the agent's own
-	ownZone     preferenceOrder
-	otherZones  preferenceOrder
+	ownZone     rankOrder
+	otherZones  rankOrder
 	largestSize float64 // that any of them has had
 }
 
-// preferenceOrder holds endpoints in the order of their preference, the least first.
-type preferenceOrder []*endpoint
+// rankOrder holds endpoints in the order of their weighted rank, the least first.
+type rankOrder []*endpoint
 
-// unobservedPreference is the preference of an unobserved endpoint, without the price of crossing zones.
-func (ep *endpoint) unobservedPreference() float64 { return ep.rank / ep.size() }
+// unobservedRank is the weighted rank of an unobserved endpoint, without the price of crossing zones.
+func (ep *endpoint) unobservedRank() float64 { return ep.rank / ep.size() }
 
+// compareUnobserved orders unobserved endpoints by their rank.
 func compareUnobserved(x, y *endpoint) int {
-	return cmp.Compare(x.unobservedPreference(), y.unobservedPreference())
+	return cmp.Compare(x.unobservedRank(), y.unobservedRank())
 }
 
-func (o *preferenceOrder) add(ep *endpoint) {
+func (o *rankOrder) add(ep *endpoint) {
 	position, _ := slices.BinarySearchFunc(*o, ep, compareUnobserved)
 	*o = slices.Insert(*o, position, ep)
 }
 
-func (o *preferenceOrder) remove(ep *endpoint) {
+func (o *rankOrder) remove(ep *endpoint) {
 	position, _ := slices.BinarySearchFunc(*o, ep, compareUnobserved)
-	for ; position < len(*o); position++ { // endpoints of equal preference are next to each other
+	for ; position < len(*o); position++ { // endpoints of equal weighted rank are next to each other
 		if (*o)[position] == ep {
 			*o = slices.Delete(*o, position, position+1)
 			return
@@ -43,18 +44,18 @@
 	}
 }
 
-// leastPreference is the preference of the first endpoint; infinite if there is none.
-func (o preferenceOrder) leastPreference() float64 {
+// leastWeightedRank is the weighted rank of the first endpoint; infinite if there is none.
+func (o rankOrder) leastWeightedRank() float64 {
 	if len(o) == 0 {
 		return math.Inf(1)
 	}
-	return o[0].unobservedPreference()
+	return o[0].unobservedRank()
 }
 
 func (u *unobservedEndpoints) len() int { return len(u.ownZone) + len(u.otherZones) }
 
 // orderOf is the order that an endpoint belongs to while it is unobserved.
-func (u *unobservedEndpoints) orderOf(ep *endpoint) *preferenceOrder {
+func (u *unobservedEndpoints) orderOf(ep *endpoint) *rankOrder {
 	if ep.Zone == u.zone {
 		return &u.ownZone
 	}
@@ -68,19 +69,19 @@
 
 func (u *unobservedEndpoints) remove(ep *endpoint) { u.orderOf(ep).remove(ep) }
 
-// byPreference yields the endpoints with their preferences, the least first. crossZoneFactor multiplies the
-// preferences of endpoints in other zones.
-func (u *unobservedEndpoints) byPreference(crossZoneFactor float64) iter.Seq2[*endpoint, float64] {
+// byWeightedRank yields the endpoints with their weighted ranks, the least first. crossZoneDivisor multiplies
+// the weighted ranks of endpoints in other zones.
+func (u *unobservedEndpoints) byWeightedRank(crossZoneDivisor float64) iter.Seq2[*endpoint, float64] {
 	return func(yield func(*endpoint, float64) bool) {
 		own, other := u.ownZone, u.otherZones
 		for len(own)+len(other) > 0 {
-			next, preference := &own, own.leastPreference()
-			if least := other.leastPreference() * crossZoneFactor; len(own) == 0 || least < preference {
-				next, preference = &other, least
+			next, weightedRank := &own, own.leastWeightedRank()
+			if least := other.leastWeightedRank() * crossZoneDivisor; len(own) == 0 || least < weightedRank {
+				next, weightedRank = &other, least
 			}
 			ep := (*next)[0]
 			*next = (*next)[1:]
-			if !yield(ep, preference) {
+			if !yield(ep, weightedRank) {
 				return
 			}
 		}
