--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -184,8 +184,11 @@
 	if !p.rules.allow(r, ep, info.now) {
 		return false
 	}
+	if !p.slowStart.needsPermit(ep, info.now) {
+		return true
+	}
 	p.slowStart.renewLapsedPermit(ep, info.now, r.class.meanLatencyNs, info.fleet)
-	return p.slowStart.hasPermit(ep, r, info.now)
+	return ep.warmUp.permits(r, info.now)
 }
 
 // newCandidate weighs an endpoint: by its size, less while it warms up or is slower than others, and less
--- a/balancer/priority.go
+++ b/balancer/priority.go
@@ -22,8 +22,8 @@
 		demand += class.arrived * class.Priority * priorityUnit(class, settings)
 	}
 	worst := classes.worst()
+	goalWeight := settings.WeightOverall + settings.WeightWorstWindow
 	for _, class := range classes {
-		goalWeight := settings.WeightOverall + settings.WeightWorstWindow
 		gain := goalWeight * class.Priority * priorityUnit(class, settings)
 		class.priorityPerWork = gain / class.meanLatencyNs / max(demand, minDemand)
 		if class == worst { // one more request on time raises its share by one over those that arrived
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -26,6 +26,12 @@
 	nextPermitAt time.Duration // when it may get its next request
 }
 
+// permits reports whether there is a permit now, and the request is light enough for it.
+func (w *warmUp) permits(r *request, now time.Duration) bool {
+	isLight := r.expectedLatencyNs() <= maxWarmingLatencies*r.class.meanLatencyNs
+	return w.nextPermitAt <= now && isLight
+}
+
 // slowStart bounds what the fleet of agents as a whole sends to an endpoint that warms up. Agents share
 // nothing: each sends at random times, at the rate of its own traffic to warm endpoints times the warm-up
 // fraction. An attempt needs a permit, and permits that are not used lapse, so that agents which each send
@@ -74,32 +80,25 @@
 // permitLapse is how long a permit may be used.
 func (s *slowStart) permitLapse() time.Duration { return s.window / lapsesPerWindow }
 
-// needsPermit reports whether an endpoint warms up, and can be overloaded.
+// needsPermit reports whether an endpoint warms up and can be overloaded, so that each attempt needs a
+// permit.
 func (s *slowStart) needsPermit(ep *endpoint, now time.Duration) bool {
 	return s.advanceWarmUp(ep, now) < 1 && s.permitLapse() > 0
 }
 
-// renewLapsedPermit draws a new permit in place of one that was not used in time. It may be usable at once:
-// its time is drawn from the begin of the span in which a permit can still be used.
+// renewLapsedPermit draws a new permit for an endpoint that needs one, if the last one was not used in time.
+// The new one may be usable at once: its time is drawn from the begin of the span in which a permit can still
+// be used.
 func (s *slowStart) renewLapsedPermit(
 	ep *endpoint, now time.Duration, meanLatencyNs float64, fleet fleetSummary,
 ) {
-	if !s.needsPermit(ep, now) || ep.warmUp.nextPermitAt+s.permitLapse() > now {
+	if ep.warmUp.nextPermitAt+s.permitLapse() > now {
 		return
 	}
 	s.scheduleNextPermit(ep, now, meanLatencyNs, fleet)
 	ep.warmUp.nextPermitAt -= s.permitLapse()
 }
 
-// hasPermit reports whether an endpoint may get this request now as far as its warm-up is concerned.
-func (s *slowStart) hasPermit(ep *endpoint, r *request, now time.Duration) bool {
-	if !s.needsPermit(ep, now) {
-		return true
-	}
-	isLight := r.expectedLatencyNs() <= maxWarmingLatencies*r.class.meanLatencyNs
-	return ep.warmUp.nextPermitAt <= now && isLight
-}
-
 // scheduleNextPermit draws when an endpoint that gets some work now may get the next. Permits come at random
 // times, at the rate of a warm endpoint, times the warm-up fraction, times the root of the overload multiple
 // (or the multiple over permitsPerWindow, if that is less).
