--- a/cmd/ashshunt-sim/host.go
+++ b/cmd/ashshunt-sim/host.go
@@ -9,19 +9,19 @@
 	"ashshunt/internal/simwire"
 )
 
-// stepper is an instance. It is a *balancer.Balancer, except in tests.
-type stepper interface {
+// decisionModule is an instance of the decision module: a *balancer.Balancer, except in tests.
+type decisionModule interface {
 	Step(now time.Duration, events []balancer.Event) []balancer.Action
 }
 
 // host owns the instances of the simulated agents.
 type host struct {
-	instances map[int]stepper // by the agent's number
+	instances map[int]decisionModule // by the agent's number
 	out       *simwire.Writer
 }
 
 func newHost(out *simwire.Writer) *host {
-	return &host{instances: map[int]stepper{}, out: out}
+	return &host{instances: map[int]decisionModule{}, out: out}
 }
 
 // notOpenError reports an event for an agent that has no instance.
@@ -29,11 +29,6 @@
 
 func (e *notOpenError) Error() string { return fmt.Sprintf("instance %d is not open", e.agent) }
 
-// panicError reports a panic of the decision module.
-type panicError struct{ value any }
-
-func (e *panicError) Error() string { return fmt.Sprint("panic: ", e.value) }
-
 // reply gives each instance its events of the batch and writes the actions of all of them.
 func (h *host) reply(batch *simwire.Batch) error {
 	queue := newEventQueue()
@@ -94,11 +89,12 @@
 	return h.out.Actions(agent, actions)
 }
 
-// stepSafely returns a *panicError if the decision module panics.
-func stepSafely(instance stepper, now time.Duration, events []balancer.Event) (actions []balancer.Action, err error) {
+// stepSafely steps an instance. A panic of the decision module becomes an error.
+func stepSafely(instance decisionModule, now time.Duration, events []balancer.Event) (actions []balancer.Action,
+	err error) {
 	defer func() {
 		if value := recover(); value != nil {
-			err = &panicError{value: value}
+			err = fmt.Errorf("panic: %v", value)
 		}
 	}()
 	return instance.Step(now, events), nil
--- a/cmd/ashshunt/reload.go
+++ b/cmd/ashshunt/reload.go
@@ -10,11 +10,12 @@
 	"ashshunt/internal/telemetry"
 )
 
-// A reload that fails is retried after a backoff, which grows by backoffMultiple from firstBackoff to maxBackoff.
+// A reload that fails is retried after a backoff, which grows by reloadBackoffFactor from initialReloadBackoff to
+// maxReloadBackoff.
 const (
-	firstBackoff    = 10 * time.Millisecond
-	backoffMultiple = 2
-	maxBackoff      = 250 * time.Millisecond
+	initialReloadBackoff = 10 * time.Millisecond
+	reloadBackoffFactor  = 2
+	maxReloadBackoff     = 250 * time.Millisecond
 )
 
 // reloadRetryPeriod is how long after its signal a reload is retried. A file that has been invalid for so long was not
@@ -38,7 +39,7 @@
 	for {
 		select {
 		case <-signals:
-			r.backoff = firstBackoff
+			r.backoff = initialReloadBackoff
 			r.retryUntil = time.Now().Add(reloadRetryPeriod)
 			if err := r.reload(); err != nil {
 				r.log.Warn(telemetry.MsgConfigurationInvalid, telemetry.Err(err))
@@ -68,5 +69,5 @@
 		return
 	}
 	r.retry = time.After(r.backoff)
-	r.backoff = min(backoffMultiple*r.backoff, maxBackoff)
+	r.backoff = min(reloadBackoffFactor*r.backoff, maxReloadBackoff)
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// initialBackoff is the wait after the first failure. Each wait is backoffFactor times the last, up to maxBackoff.
-	initialBackoff = 5 * time.Millisecond
-	backoffFactor  = 2
-	maxBackoff     = 200 * time.Millisecond
+	// initialRetryBackoff is the wait after the first failure. Each wait is retryBackoffFactor times the one before, up
+	// to maxRetryBackoff.
+	initialRetryBackoff = 5 * time.Millisecond
+	retryBackoffFactor  = 2
+	maxRetryBackoff     = 200 * time.Millisecond
 )
 
 // permanent are the errors of system calls that do not pass by themselves: a name or a permission is wrong.
@@ -32,12 +33,12 @@
 	OnRetry        func(error)      // is called with each error that is retried
 }
 
-// Do calls a function until it succeeds or the policy allows no retry. It returns the last result as it is.
-func Do[T any](policy Policy, function func() (T, error)) (T, error) {
-	end := time.Now().Add(policy.MaxElapsedTime)
-	for backoff := initialBackoff; ; backoff = min(backoffFactor*backoff, maxBackoff) {
-		value, err := function()
-		if err == nil || !policy.IsTransient(err) || time.Now().Add(backoff).After(end) {
+// Do calls operation until it succeeds or the policy allows no retry. It returns the last result as it is.
+func Do[T any](policy Policy, operation func() (T, error)) (T, error) {
+	giveUpAt := time.Now().Add(policy.MaxElapsedTime)
+	for backoff := initialRetryBackoff; ; backoff = min(retryBackoffFactor*backoff, maxRetryBackoff) {
+		value, err := operation()
+		if err == nil || !policy.IsTransient(err) || time.Now().Add(backoff).After(giveUpAt) {
 			return value, err
 		}
 		policy.OnRetry(err)
