--- a/cmd/ashshunt/main.go
+++ b/cmd/ashshunt/main.go
@@ -26,18 +26,23 @@
 // exitFailure is the exit status of an agent that did not start, or that failed.
 const exitFailure = 1
 
-// startRetryPeriod is for how long a file that can't be read holds up the start.
-const startRetryPeriod = 5 * time.Second
+// configRetryPeriod is how long a start retries to read a configuration file that can't be read.
+const configRetryPeriod = 5 * time.Second
 
-// logFlushTimeout is for how long a slow reader of the log holds up the exit.
+// logFlushTimeout is how long the exit waits for a slow reader of the log.
 const logFlushTimeout = 100 * time.Millisecond
 
-// gcPercent lets the heap more than double between collections: it is small, and stays far below its limit.
+// gcPercent lets the heap grow to two and a half times what is live between collections: it is small, and stays far
+// below its limit.
 const gcPercent = 150
 
-// The heap may take five eighths of the memory of the process: the program itself counts too.
+// maxProcs is the number of cores that an agent uses at a time. It has one, which it may share.
+const maxProcs = 1
+
+// The heap may take five eighths of the memory of the process: the program itself counts too. A MB of memory_mb is a
+// MiB.
 const (
-	bytesPerMB  = 1 << 20
+	bytesPerMiB = 1 << 20
 	memoryParts = 8
 	heapParts   = 5
 )
@@ -57,9 +62,10 @@
 // run runs an agent until a signal ends it.
 func run(logWriter io.Writer) error {
 	// Signals come first: one that is not handled yet would end the process.
+	signal.Ignore(syscall.SIGPIPE) // a write to a log that its reader has closed raises it
 	stop, release, reloads := handleSignals()
 	defer release()
-	runtime.GOMAXPROCS(1) // an agent has one core, which it may share
+	runtime.GOMAXPROCS(maxProcs)
 
 	path := os.Getenv(configVariable)
 	if path == "" {
@@ -84,11 +90,10 @@
 }
 
 // handleSignals returns a context that SIGTERM and SIGINT end, until release is called, and a channel with a value
-// for SIGHUP. A log that its reader has closed must not end the process by SIGPIPE.
+// for SIGHUP.
 func handleSignals() (stop context.Context, release context.CancelFunc, reloads <-chan os.Signal) {
-	signal.Ignore(syscall.SIGPIPE)
 	stop, release = signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	hangups := make(chan os.Signal, 1) // signals that come during a reload make one more
+	hangups := make(chan os.Signal, 1) // all signals that come during a reload are followed by one more reload
 	signal.Notify(hangups, syscall.SIGHUP)
 	return stop, release, hangups
 }
@@ -97,7 +102,7 @@
 func setMemoryLimits(memoryMB int) {
 	debug.SetGCPercent(gcPercent)
 	if memoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryMB) * bytesPerMB * heapParts / memoryParts)
+		debug.SetMemoryLimit(int64(memoryMB) * bytesPerMiB * heapParts / memoryParts)
 	}
 }
 
@@ -108,9 +113,9 @@
 // loadConfig reads the configuration. A file that can't be read, or is just being written, is read again for a while.
 func loadConfig(path string, log *slog.Logger) (*config.Config, error) {
 	policy := retry.Policy{
-		MaxElapsedTime: startRetryPeriod,
+		MaxElapsedTime: configRetryPeriod,
 		IsTransient:    func(err error) bool { return retry.IsTransient(err) || errors.Is(err, config.ErrIncomplete) },
-		OnRetry:        func(err error) { log.Warn(telemetry.MsgConfigurationUnread, telemetry.Err(err)) },
+		OnRetry:        func(err error) { log.Warn(telemetry.MsgConfigurationUnreadable, telemetry.Err(err)) },
 	}
 	return retry.Do(policy, func() (*config.Config, error) { return config.Load(path) })
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -22,8 +22,8 @@
 	acceptPeriod = 500 * time.Millisecond
 	// finalWriteTime is the time for the last responses of a shutdown to be written and read.
 	finalWriteTime = 150 * time.Millisecond
-	// maxListenTime is how long a start retries to listen on its address.
-	maxListenTime = 5 * time.Second
+	// listenRetryPeriod is how long a start retries to listen on its address.
+	listenRetryPeriod = 5 * time.Second
 )
 
 // Agent is one agent: the frontend, and the event loop that answers its requests.
@@ -53,7 +53,7 @@
 // listen opens the listener. It retries after failures that may be temporary.
 func listen(addr string, log *slog.Logger) (net.Listener, error) {
 	policy := retry.Policy{
-		MaxElapsedTime: maxListenTime,
+		MaxElapsedTime: listenRetryPeriod,
 		IsTransient:    retry.IsTransient,
 		OnRetry:        func(err error) { log.Warn(telemetry.MsgListenFailed, telemetry.Err(err)) },
 	}
@@ -66,8 +66,8 @@
 // Reload applies the part of a new configuration that may change while the agent runs: the address of discovery. All
 // else takes effect at the next start.
 func (a *Agent) Reload(c *config.Config) {
-	a.log.Info(telemetry.MsgConfigurationLoaded, telemetry.Discovery(c.Discovery))
-	a.loop.post(discoveryMoved{addr: c.Discovery})
+	a.log.Info(telemetry.MsgConfigurationReloaded, telemetry.Discovery(c.Discovery))
+	a.loop.post(discoveryAddressChanged{addr: c.Discovery})
 }
 
 // Run serves until stop ends, then shuts down gracefully: it answers what was accepted before it returns.
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -16,7 +16,7 @@
 func (l *eventLoop) startAttempt(ctx context.Context, now time.Duration, action balancer.Send) {
 	r := l.requests.find(action.Request)
 	if r == nil {
-		l.log.Error(telemetry.MsgAttemptNotOpen, telemetry.Request(action.Request))
+		l.log.Error(telemetry.MsgAttemptForUnknownRequest, telemetry.Request(action.Request))
 		return
 	}
 	attemptCtx, cancel := context.WithCancel(ctx)
@@ -37,10 +37,10 @@
 // maxAttempts is the number of attempts that a request may have.
 func (l *eventLoop) maxAttempts() int { return max(1, l.settings.MaxAttempts) }
 
-// attemptDeadline is when an attempt that starts now has to end, on the agent's clock. timeout is the decision
-// module's own bound; 0: it sets none.
+// attemptDeadline is when an attempt that starts now has to end, on the agent's clock: the end of the request's
+// attempts, unless a shutdown or timeout, the decision module's own bound, ends it earlier. A timeout of 0 sets none.
 func (l *eventLoop) attemptDeadline(now time.Duration, r *openRequest, timeout time.Duration) time.Duration {
-	deadline := r.attemptDeadline
+	deadline := r.attemptsEnd
 	if l.isShuttingDown() {
 		deadline = min(deadline, l.shutdownDeadline-attemptMargin)
 	}
@@ -52,9 +52,9 @@
 
 // attemptBounds translates times on the agent's clock for the upstream client. A notAfter of 0 means none.
 func (l *eventLoop) attemptBounds(deadline, notAfter time.Duration) upstream.Bounds {
-	bounds := upstream.Bounds{Deadline: l.clock.Time(deadline)}
+	bounds := upstream.Bounds{Deadline: l.clock.ToTime(deadline)}
 	if notAfter > 0 {
-		bounds.NotAfter = l.clock.Time(notAfter)
+		bounds.NotAfter = l.clock.ToTime(notAfter)
 	}
 	return bounds
 }
@@ -65,7 +65,7 @@
 	bounds upstream.Bounds) {
 	result, response := l.upstream.Attempt(ctx, r.upstream, outcome.Endpoint, bounds)
 	outcome.Result = result
-	outcome.Latency = l.clock.At(response.EndedAt) - start
+	outcome.Latency = l.clock.FromTime(response.EndedAt) - start
 	outcome.LoadReport = response.LoadReport()
 	l.post(attemptFinished{request: r, outcome: outcome, response: response})
 }
@@ -102,7 +102,7 @@
 		l.post(moduleEvent{balancer.HealthCheckResult{
 			Endpoint:   endpointID,
 			Result:     result,
-			Latency:    l.clock.At(response.EndedAt) - start,
+			Latency:    l.clock.FromTime(response.EndedAt) - start,
 			LoadReport: response.LoadReport(),
 		}})
 	}()
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// messageBuffer is how many messages may wait for the event loop before their senders do.
+	// messageBuffer is how many messages may wait for the event loop. Beyond it, senders block until the loop has taken
+	// one.
 	messageBuffer = 1024
 	// maxTick bounds the gap between two steps. Longer ones make sense in a simulation only, since requests wait for
 	// them.
@@ -35,20 +36,20 @@
 // eventLoop is the one goroutine that owns the decision module, the request table and the timers. What happens
 // elsewhere reaches it as messages. It never waits for I/O.
 type eventLoop struct {
-	clock    clock.Clock
-	settings balancer.Settings
-	tick     time.Duration // the least time between two steps
-	module   decisionModule
-	log      *slog.Logger
-
+	// Not changed once run is called, and safe for concurrent use.
+	clock     clock.Clock
+	settings  balancer.Settings // MaxOpen is the limit of the settings alone
+	tick      time.Duration     // the least time between two steps
+	log       *slog.Logger
 	endpoints *endpoint.Table
 	upstream  *upstream.Client
 	discovery *discovery.Client
+	messages  chan message
+	done      chan struct{} // closed when run returns
+	ready     chan struct{} // closed after the first step
 
-	messages chan message
-	done     chan struct{} // closed when run returns
-	ready    chan struct{} // closed after the first step
-
+	// Used by run's goroutine alone.
+	module           decisionModule
 	lastStep         time.Duration    // when the module was last stepped, on the agent's clock
 	pending          []balancer.Event // for the next step
 	timers           timerQueue
@@ -56,18 +57,20 @@
 	shutdownDeadline time.Duration // all requests are answered by then, on the agent's clock; 0: not shutting down
 }
 
-func newEventLoop(c *config.Config, clock clock.Clock, log *slog.Logger) (*eventLoop, error) {
-	settings := c.Settings
-	settings.MaxOpen = c.OpenRequests()
-	settings.PollSpread = discovery.PollSpread
-	settings.RefusedPollSpread = discovery.RefusedPollSpread
-	module, err := balancer.New(settings, c.Seed)
+func newEventLoop(c *config.Config, agentClock clock.Clock, log *slog.Logger) (*eventLoop, error) {
+	// The module sheds queued requests before either limit is reached, that of the settings or what the descriptors
+	// allow. The loop itself rejects by the limit of the settings alone.
+	moduleSettings := c.Settings
+	moduleSettings.MaxOpen = c.OpenRequests()
+	moduleSettings.PollSpread = discovery.PollSpread
+	moduleSettings.RefusedPollSpread = discovery.RefusedPollSpread
+	module, err := balancer.New(moduleSettings, c.Seed)
 	if err != nil {
 		return nil, err
 	}
 	endpoints := endpoint.NewTable()
 	l := &eventLoop{
-		clock:     clock,
+		clock:     agentClock,
 		settings:  c.Settings,
 		tick:      min(c.Settings.Tick, maxTick),
 		module:    module,
@@ -77,7 +80,7 @@
 		messages:  make(chan message, messageBuffer),
 		done:      make(chan struct{}),
 		ready:     make(chan struct{}),
-		lastStep:  clock.Now() - maxTick, // the first step is due at once
+		lastStep:  agentClock.Now() - maxTick, // the first step is due at once
 		requests:  newRequestTable(),
 	}
 	l.discovery = discovery.New(l.discoveryOptions(c))
@@ -174,15 +177,25 @@
 func (l *eventLoop) step(ctx context.Context, now time.Duration) {
 	events := l.pending
 	l.pending = nil
-	for i, event := range events {
-		if request, ok := event.(balancer.Request); ok {
-			events[i] = l.setTimeout(now, request)
-		}
-	}
+	l.prepareRequests(now, events)
 	l.lastStep = now
 	for _, action := range l.stepModule(now, events) {
 		l.perform(ctx, now, action)
 	}
+	l.markReady()
+}
+
+// prepareRequests prepares the requests among the events of a step, in place.
+func (l *eventLoop) prepareRequests(now time.Duration, events []balancer.Event) {
+	for i, event := range events {
+		if request, ok := event.(balancer.Request); ok {
+			events[i] = l.prepareRequest(now, request)
+		}
+	}
+}
+
+// markReady closes ready, once.
+func (l *eventLoop) markReady() {
 	select {
 	case <-l.ready:
 	default:
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -28,8 +28,8 @@
 	moduleEvent struct{ event balancer.Event }
 	// shutdownStarted: the agent is to end, and what is open is to be answered soon.
 	shutdownStarted struct{}
-	// discoveryMoved: a new configuration names another address of discovery.
-	discoveryMoved struct{ addr string }
+	// discoveryAddressChanged: a new configuration names another address of discovery.
+	discoveryAddressChanged struct{ addr string }
 )
 
 func (m requestSubmitted) apply(_ context.Context, l *eventLoop) { l.submit(m.request) }
@@ -44,7 +44,9 @@
 
 func (shutdownStarted) apply(_ context.Context, l *eventLoop) { l.startShutdown() }
 
-func (m discoveryMoved) apply(ctx context.Context, l *eventLoop) { l.discovery.SetAddress(ctx, m.addr) }
+func (m discoveryAddressChanged) apply(ctx context.Context, l *eventLoop) {
+	l.discovery.SetAddress(ctx, m.addr)
+}
 
 // post sends a message to the event loop, which drops it if it has ended.
 func (l *eventLoop) post(m message) {
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -13,8 +13,8 @@
 type requestPhase uint8
 
 const (
-	// phaseSubmitted: the request waits for its answer. Its deadline guard is set.
-	phaseSubmitted requestPhase = iota
+	// phaseOpen: the request still waits for its answer. Its deadline guard is set.
+	phaseOpen requestPhase = iota
 	// phaseAnswered: the request has got its only response. Nothing more goes out for it, but attempts that were sent
 	// run on, so that their outcome is known.
 	phaseAnswered
@@ -26,40 +26,42 @@
 
 // openRequest is a request that was submitted, with its attempts.
 type openRequest struct {
-	client        *frontend.Request
-	upstream      *upstream.Request
-	phase         requestPhase
-	markDone      context.CancelFunc // ends upstream.Done, which tells attempts that the request is over
-	deadlineGuard *timer             // nil once the request is over
-
-	attemptDeadline time.Duration        // on the agent's clock: attempts end then; 0 until the module gets the request
-	attemptCancels  []context.CancelFunc // by attempt number; nil once the attempt has ended
-	inFlight        int                  // attempts that have not ended
-	mayHaveRun      bool                 // by the outcomes of the attempts that have ended
+	// Set once; the goroutines of attempts read upstream too.
+	inbound  *frontend.Request  // as the client sent it
+	upstream *upstream.Request  // as the attempts send it
+	markDone context.CancelFunc // ends upstream.Done, which tells attempts that the request is over
+
+	// Used by the event loop's goroutine alone.
+	phase          requestPhase
+	deadlineGuard  *timer               // nil once the request is over
+	attemptsEnd    time.Duration        // on the agent's clock: attempts end then; 0 until the module gets the request
+	attemptCancels []context.CancelFunc // by attempt number; nil once the attempt has ended
+	inFlight       int                  // attempts that have not ended
+	mayHaveRun     bool                 // by the outcomes of the attempts that have ended
 }
 
-func newOpenRequest(client *frontend.Request) *openRequest {
+func newOpenRequest(inbound *frontend.Request) *openRequest {
 	done, markDone := context.WithCancel(context.Background())
 	return &openRequest{
-		client: client,
+		inbound: inbound,
 		upstream: &upstream.Request{
-			ID:             client.Event.ID,
-			IdempotencyKey: client.IdempotencyKey,
-			Method:         client.Method,
-			Host:           client.Host,
-			Target:         client.Target,
-			Body:           client.Body,
+			ID:             inbound.Event.ID,
+			IdempotencyKey: inbound.IdempotencyKey,
+			Method:         inbound.Method,
+			Host:           inbound.Host,
+			Target:         inbound.Target,
+			Body:           inbound.Body,
 			Done:           done,
-			ClientGone:     client.ClientGone,
+			ClientGone:     inbound.ClientGone,
 		},
 		markDone: markDone,
 	}
 }
 
-func (r *openRequest) id() string { return r.client.Event.ID }
+func (r *openRequest) id() string { return r.inbound.Event.ID }
 
 // isOver reports whether the request was answered or abandoned.
-func (r *openRequest) isOver() bool { return r.phase != phaseSubmitted }
+func (r *openRequest) isOver() bool { return r.phase != phaseOpen }
 
 // attempts is how many attempts the request has had, including those that were never sent.
 func (r *openRequest) attempts() int { return len(r.attemptCancels) }
@@ -82,7 +84,8 @@
 	r.mayHaveRun = r.mayHaveRun || mayHaveRun
 }
 
-// cancelAttempt cancels an attempt if it is in flight.
+// cancelAttempt cancels an attempt if it is in flight. It ignores a number that no attempt has, which can only come
+// from the decision module.
 func (r *openRequest) cancelAttempt(number int) {
 	if number < 0 || number >= len(r.attemptCancels) {
 		return
@@ -101,8 +104,8 @@
 
 // requestTable holds each request from its submission until it is over and no attempt for it is in flight.
 type requestTable struct {
-	byID       map[string]*openRequest
-	unanswered int // requests in phaseSubmitted
+	byID map[string]*openRequest
+	open int // the number of requests in phaseOpen
 }
 
 func newRequestTable() requestTable { return requestTable{byID: map[string]*openRequest{}} }
@@ -110,23 +113,23 @@
 // find returns the request with an ID; nil if there is none.
 func (t *requestTable) find(id string) *openRequest { return t.byID[id] }
 
-// findUnanswered returns the request with an ID if it is in phaseSubmitted; nil otherwise.
-func (t *requestTable) findUnanswered(id string) *openRequest {
+// findOpen returns the request with an ID if it is in phaseOpen; nil otherwise.
+func (t *requestTable) findOpen(id string) *openRequest {
 	if r := t.byID[id]; r != nil && !r.isOver() {
 		return r
 	}
 	return nil
 }
 
-// submit adds a request, in phaseSubmitted. No request in the table has its ID.
+// submit adds a request, in phaseOpen. No request in the table has its ID.
 func (t *requestTable) submit(r *openRequest) {
 	t.byID[r.id()] = r
-	t.unanswered++
+	t.open++
 }
 
 // answer moves a request to phaseAnswered and responds to its client.
 func (t *requestTable) answer(r *openRequest, response frontend.Response) {
-	r.client.Respond(response)
+	r.inbound.Respond(response)
 	t.end(r, phaseAnswered)
 }
 
@@ -136,7 +139,7 @@
 func (t *requestTable) end(r *openRequest, phase requestPhase) {
 	r.phase = phase
 	r.markDone()
-	t.unanswered--
+	t.open--
 	t.removeIfComplete(r)
 }
 
--- a/internal/agent/openrequest_test.go
+++ b/internal/agent/openrequest_test.go
@@ -10,9 +10,9 @@
 
 // submitTo adds a request with one attempt in flight to a table.
 func submitTo(table *requestTable) *openRequest {
-	client := frontend.NewRequest()
-	client.Event = balancer.Request{ID: id}
-	r := newOpenRequest(client)
+	inbound := frontend.NewRequest()
+	inbound.Event = balancer.Request{ID: id}
+	r := newOpenRequest(inbound)
 	table.submit(r)
 	r.beginAttempt(func() {})
 	return r
@@ -33,11 +33,11 @@
 	} {
 		table := newRequestTable()
 		r := submitTo(&table)
-		if r.phase != phaseSubmitted || table.findUnanswered(id) != r {
-			t.Errorf("%s: submitted: phase %d", test.name, r.phase)
+		if r.phase != phaseOpen || table.findOpen(id) != r {
+			t.Errorf("%s: open: phase %d", test.name, r.phase)
 		}
 		test.end(&table, r)
-		if r.phase != test.want || table.find(id) != r || table.findUnanswered(id) != nil || table.unanswered != 0 {
+		if r.phase != test.want || table.find(id) != r || table.findOpen(id) != nil || table.open != 0 {
 			t.Errorf("%s, with an attempt in flight: phase %d", test.name, r.phase)
 		}
 		if r.upstream.Done.Err() == nil {
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -10,30 +10,31 @@
 
 // submit opens a client's request, or rejects it at once. A request that is rejected here is never in the table, so
 // that its client's disconnect is not treated as that of the open request with the same ID.
-func (l *eventLoop) submit(client *frontend.Request) {
-	if l.requests.find(client.Event.ID) != nil {
-		client.Respond(frontend.Response{Status: http.StatusBadRequest, Body: []byte("this id is open already\n")})
+func (l *eventLoop) submit(inbound *frontend.Request) {
+	if l.requests.find(inbound.Event.ID) != nil {
+		inbound.Respond(frontend.Response{Status: http.StatusBadRequest, Body: []byte("this id is open already\n")})
 		return
 	}
-	if l.hasTooManyRequests() || l.isShutdownOver() {
-		client.Respond(frontend.Response{Status: http.StatusServiceUnavailable})
+	if l.hasTooManyRequests() || l.isPastShutdownDeadline() {
+		inbound.Respond(frontend.Response{Status: http.StatusServiceUnavailable})
 		return
 	}
-	r := newOpenRequest(client)
+	r := newOpenRequest(inbound)
 	l.requests.submit(r)
 	l.setDeadlineGuard(r)
-	l.addEvent(client.Event)
+	l.addEvent(inbound.Event)
 }
 
-// hasTooManyRequests reports whether the settings allow no further request.
+// hasTooManyRequests reports whether the settings allow no further request. The limit that the descriptors set binds
+// the decision module alone (see newEventLoop).
 func (l *eventLoop) hasTooManyRequests() bool {
-	return l.settings.MaxOpen > 0 && l.requests.unanswered >= l.settings.MaxOpen
+	return l.settings.MaxOpen > 0 && l.requests.open >= l.settings.MaxOpen
 }
 
 // abandon ends a request whose client has disconnected, unless it was rejected or is over already.
-func (l *eventLoop) abandon(client *frontend.Request) {
-	r := l.requests.findUnanswered(client.Event.ID)
-	if r == nil || r.client != client {
+func (l *eventLoop) abandon(inbound *frontend.Request) {
+	r := l.requests.findOpen(inbound.Event.ID)
+	if r == nil || r.inbound != inbound {
 		return
 	}
 	l.removeDeadlineGuard(r)
@@ -50,11 +51,11 @@
 // reject rejects a request for the decision module, unless the request is over. A rejection invites the client to
 // repeat the request, so that one that may run and must not be repeated is failed.
 func (l *eventLoop) reject(action balancer.Reject) {
-	r := l.requests.findUnanswered(action.Request)
+	r := l.requests.findOpen(action.Request)
 	if r == nil {
 		return
 	}
-	if r.mayRun() && !isRepeatableAnywhere(l.settings.Classes[r.client.Event.Class]) {
+	if r.mayRun() && !isRepeatableAnywhere(l.settings.Classes[r.inbound.Event.Class]) {
 		l.log.Error(telemetry.MsgUnsafeRejection, telemetry.Request(action.Request))
 		l.answer(r, frontend.Response{Status: http.StatusBadGateway})
 		return
@@ -77,7 +78,7 @@
 
 // fail fails a request for the decision module, unless the request is over.
 func (l *eventLoop) fail(action balancer.Fail) {
-	if r := l.requests.findUnanswered(action.Request); r != nil {
+	if r := l.requests.findOpen(action.Request); r != nil {
 		l.answer(r, frontend.Response{Status: http.StatusBadGateway})
 	}
 }
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -124,15 +124,15 @@
 		}
 		requestAbandoned{rejected}.apply(context.Background(), l)
 	}
-	if first.isOver() || l.requests.unanswered != 1 || len(l.requests.byID) != 1 || len(l.pending) != events {
-		t.Errorf("open request: phase %d, %d unanswered, %d in the table, %d events more",
-			first.phase, l.requests.unanswered, len(l.requests.byID), len(l.pending)-events)
+	if first.isOver() || l.requests.open != 1 || len(l.requests.byID) != 1 || len(l.pending) != events {
+		t.Errorf("open request: phase %d, %d open, %d in the table, %d events more",
+			first.phase, l.requests.open, len(l.requests.byID), len(l.pending)-events)
 	}
 	requestAbandoned{client}.apply(context.Background(), l)
-	if !first.isOver() || l.requests.unanswered != 0 || len(l.requests.byID) != 0 || l.timers.len() != 0 ||
+	if !first.isOver() || l.requests.open != 0 || len(l.requests.byID) != 0 || l.timers.len() != 0 ||
 		len(l.pending) != events+1 {
-		t.Errorf("after its own disconnect: phase %d, %d unanswered, %d in the table, %d timers",
-			first.phase, l.requests.unanswered, len(l.requests.byID), l.timers.len())
+		t.Errorf("after its own disconnect: phase %d, %d open, %d in the table, %d timers",
+			first.phase, l.requests.open, len(l.requests.byID), l.timers.len())
 	}
 }
 
@@ -149,7 +149,7 @@
 	})
 	submit(l, id, 6*time.Second)
 	r = l.requests.find(id)
-	now = r.client.Arrived + delay
+	now = r.inbound.Arrived + delay
 	l.step(context.Background(), now)
 	return r, now, timeout
 }
@@ -167,11 +167,11 @@
 func TestAttemptsEndAtTheDeadline(t *testing.T) {
 	for _, delay := range []time.Duration{0, time.Millisecond, 80 * time.Millisecond} {
 		r, now, timeout := stepLate(t, delay)
-		if delay <= time.Millisecond && r.attemptDeadline != now+timeout {
+		if delay <= time.Millisecond && r.attemptsEnd != now+timeout {
 			t.Errorf("a step %v late: attempts end %v before the deadline that the module knows", delay,
-				now+timeout-r.attemptDeadline)
+				now+timeout-r.attemptsEnd)
 		}
-		if r.attemptDeadline >= r.client.Deadline-guardMargin {
+		if r.attemptsEnd >= r.inbound.Deadline-guardMargin {
 			t.Errorf("a step %v late: attempts end after the deadline guard", delay)
 		}
 	}
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -34,7 +34,7 @@
 
 func (l *eventLoop) isShuttingDown() bool { return l.shutdownDeadline > 0 }
 
-// isShutdownOver reports whether a shutdown's deadline has passed: a request that comes now is rejected.
-func (l *eventLoop) isShutdownOver() bool {
+// isPastShutdownDeadline reports whether all requests have to be answered by now: one that comes now is rejected.
+func (l *eventLoop) isPastShutdownDeadline() bool {
 	return l.isShuttingDown() && l.clock.Now() >= l.shutdownDeadline
 }
--- a/internal/agent/timers.go
+++ b/internal/agent/timers.go
@@ -35,11 +35,9 @@
 // comes first.
 type timerQueue struct {
 	heap     timerHeap
-	sequence int // of the timer last added
+	sequence int // that the last timer added has got
 }
 
-func (q *timerQueue) len() int { return len(q.heap) }
-
 func (q *timerQueue) add(t *timer) {
 	q.sequence++
 	t.sequence = q.sequence
--- a/internal/agent/timers_test.go
+++ b/internal/agent/timers_test.go
@@ -38,3 +38,5 @@
 		t.Error("a next timer in an empty queue")
 	}
 }
+
+func (q *timerQueue) len() int { return len(q.heap) }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -15,11 +15,11 @@
 // New returns a clock that is made now.
 func New() Clock { return Clock{base: time.Now()} }
 
-// At is the clock's value at t.
-func (c Clock) At(t time.Time) time.Duration { return offset + t.Sub(c.base) }
+// FromTime is the clock's value at t.
+func (c Clock) FromTime(t time.Time) time.Duration { return offset + t.Sub(c.base) }
 
 // Now is the clock's value now.
-func (c Clock) Now() time.Duration { return c.At(time.Now()) }
+func (c Clock) Now() time.Duration { return c.FromTime(time.Now()) }
 
-// Time is the time at a value of the clock. Its monotonic reading keeps deadlines independent of the wall clock.
-func (c Clock) Time(at time.Duration) time.Time { return c.base.Add(at - offset) }
+// ToTime is the time at a value of the clock. Its monotonic reading keeps deadlines independent of the wall clock.
+func (c Clock) ToTime(at time.Duration) time.Time { return c.base.Add(at - offset) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,13 +12,13 @@
 func TestTimes(t *testing.T) {
 	now := clock.New()
 	at := now.Now() + time.Minute
-	if got := now.At(now.Time(at)); got != at {
+	if got := now.FromTime(now.ToTime(at)); got != at {
 		t.Errorf("%v became %v", at, got)
 	}
 	if now.Now() < 24*time.Hour {
 		t.Error("the clock starts near zero, which reads as long ago")
 	}
-	if text := now.Time(at).String(); !strings.Contains(text, "m=") {
+	if text := now.ToTime(at).String(); !strings.Contains(text, "m=") {
 		t.Errorf("%s has no monotonic reading", text)
 	}
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -86,7 +86,7 @@
 	if !changed {
 		return
 	}
-	c.log.Info(telemetry.MsgDiscoveryMoved, telemetry.Discovery(addr))
+	c.log.Info(telemetry.MsgDiscoveryAddressChanged, telemetry.Discovery(addr))
 	if watched || c.keepWatch {
 		c.Subscribe(ctx)
 	}
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	request.ClientGone = func() bool { return socket.Peer(client.Conn).Gone() }
-	request.Arrived = h.clock.At(arrived)
+	request.Arrived = h.clock.FromTime(arrived)
 	request.Deadline = request.Arrived + request.Event.Timeout
 	return request, nil
 }
--- a/internal/telemetry/messages.go
+++ b/internal/telemetry/messages.go
@@ -4,25 +4,25 @@
 
 // The messages of the agent's log lines. docs/OPERATIONS.md says what each means and what to do about it.
 const (
-	MsgServing              = "serving"
-	MsgListenFailed         = "listen failed"
-	MsgShuttingDown         = "shutting down"
-	MsgStopped              = "stopped"
-	MsgConfigurationUnread  = "configuration can't be read"
-	MsgConfigurationInvalid = "invalid configuration, keeping the old one"
-	MsgConfigurationLoaded  = "configuration reloaded"
-	MsgDiscoveryMoved       = "discovery address changed"
-	MsgWatchEstablished     = "watch established"
-	MsgWatchEnded           = "watch ended"
-	MsgPollFailed           = "poll failed"
-	MsgAcceptFailed         = "accept failed"
-	MsgMalformedResponse    = "malformed response"
-	MsgUnexpectedStatus     = "unexpected response status"
-	MsgModulePanicked       = "internal error: the decision module panicked"
-	MsgUnknownAction        = "internal error: unknown action"
-	MsgAttemptNotOpen       = "internal error: attempt for a request that is not open"
-	MsgUnsafeRejection      = "internal error: rejection of a request that may have run"
-	MsgNoFinalAnswer        = "internal error: no final answer by the deadline"
+	MsgServing                  = "serving"
+	MsgListenFailed             = "listen failed"
+	MsgShuttingDown             = "shutting down"
+	MsgStopped                  = "stopped"
+	MsgConfigurationUnreadable  = "configuration can't be read"
+	MsgConfigurationInvalid     = "invalid configuration, keeping the old one"
+	MsgConfigurationReloaded    = "configuration reloaded"
+	MsgDiscoveryAddressChanged  = "discovery address changed"
+	MsgWatchEstablished         = "watch established"
+	MsgWatchEnded               = "watch ended"
+	MsgPollFailed               = "poll failed"
+	MsgAcceptFailed             = "accept failed"
+	MsgMalformedResponse        = "malformed response"
+	MsgUnexpectedStatus         = "unexpected response status"
+	MsgModulePanicked           = "internal error: the decision module panicked"
+	MsgUnknownAction            = "internal error: unknown action"
+	MsgAttemptForUnknownRequest = "internal error: attempt for a request that is not open"
+	MsgUnsafeRejection          = "internal error: rejection of a request that may have run"
+	MsgNoFinalAnswer            = "internal error: no final answer by the deadline"
 )
 
 // The keys of attributes that several log lines have. The same thing has the same key in every line.
@@ -31,7 +31,7 @@
 	KeyEndpoint  = "endpoint"
 	KeyDiscovery = "discovery"
 	KeyError     = "err"
-	KeyDropped   = "dropped_before" // the number of lines that were dropped right before this one
+	KeyDropped   = "dropped_before" // the number of lines that the rate limit dropped right before this one
 )
 
 // Request is the attribute for the ID of a client's request.
--- a/internal/telemetry/ratelimit.go
+++ b/internal/telemetry/ratelimit.go
@@ -1,4 +1,3 @@
-// Package telemetry is the agent's log: its messages and attribute keys, its rate limit and its writer.
 package telemetry
 
 import (
@@ -12,7 +11,7 @@
 const linesPerSecond = 20
 
 // RateLimited returns a handler that passes at most linesPerSecond lines on to h and drops the rest. The next line that
-// passes has an attribute KeyDropped with their number.
+// passes has an attribute KeyDropped with their number. Lines that a Writer drops behind it are not counted.
 func RateLimited(h slog.Handler) slog.Handler {
 	return rateLimited{Handler: h, limiter: &lineLimiter{now: time.Now}}
 }
