--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -77,11 +77,11 @@
 			t.Fatalf("agent %d: health status %d with endpoints known", i, status)
 		}
 	}
-	a, _ := startPrepared(t, testutil.Config(t, down), func(a *Agent) { a.frontend.Timeouts.EndpointList = 0 })
+	a, _ := startPrepared(t, testutil.Config(t, down), func(a *Agent) { a.frontend.Timeouts.ReadyWithoutEndpoints = 0 })
 	if status := healthStatus(t, a); status != http.StatusOK {
 		t.Errorf("health status %d with no endpoint known after the wait for a list", status)
 	}
-	if wait := frontend.DefaultTimeouts().EndpointList; wait > 8*time.Second {
+	if wait := frontend.DefaultTimeouts().ReadyWithoutEndpoints; wait > 8*time.Second {
 		t.Errorf("that wait is %v", wait)
 	}
 }
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -17,6 +17,8 @@
 	minReadTime = 300 * time.Millisecond
 	// closeLinger bounds how long a connection with unread bytes is still read before it is closed.
 	closeLinger = 500 * time.Millisecond
+	// incompleteWriteTimeout bounds the write of the answer to an incomplete request.
+	incompleteWriteTimeout = 500 * time.Millisecond
 	// maxLingerBytes bounds how much of a connection that is about to be closed is read and dropped.
 	maxLingerBytes = 256 << 10
 )
@@ -40,7 +42,8 @@
 	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
-// connectionOf returns the connection on which a request came; nil if it came on none of a connectionListener.
+// connectionOf returns the connection on which a request came. It is never nil in a handler of a Server, which serves
+// the connections of a connectionListener alone.
 func connectionOf(r *http.Request) *connection {
 	c, _ := r.Context().Value(connectionKey{}).(*connection)
 	return c
@@ -81,12 +84,13 @@
 	if bytes.HasPrefix(p, continueLine) {
 		return c.mayContinue()
 	}
-	return c.completeRequest()
+	return c.beginResponse()
 }
 
 // SetReadDeadline sets the deadline of reads, unless a request is being read, which has a timer of its own.
 func (c *connection) SetReadDeadline(t time.Time) error {
-	c.table.mu.Lock() // held over the call: enterReading must not clear the deadline before it is set
+	// Held over the call, so that a deadline for the idle connection can't be set after enterReading has cleared it.
+	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	if c.state.phase == phaseReading {
 		return nil
@@ -97,7 +101,7 @@
 // answerIncomplete answers a request that was rejected before it was complete, and ends the sending. A read by net/http
 // that waits for more of the request ends. Errors mean that the client has gone.
 func (c *connection) answerIncomplete(status int) {
-	_ = c.SetWriteDeadline(time.Now().Add(closeLinger))
+	_ = c.SetWriteDeadline(time.Now().Add(incompleteWriteTimeout))
 	_, _ = fmt.Fprintf(c.Conn, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 		status, http.StatusText(status))
 	socket.CloseWrite(c.Conn)
--- a/internal/frontend/connectionstate.go
+++ b/internal/frontend/connectionstate.go
@@ -12,6 +12,7 @@
 // phase is what a connection is in the middle of. Its transitions:
 //
 //	idle    -> reading   the first byte of a request has come
+//	idle    -> serving   net/http answers a malformed request that it has read along with the one before
 //	reading -> serving   the request is complete, or is answered with an error
 //	reading -> rejected  the request came too slowly, or the time of a shutdown is over
 //	serving -> idle      the response is out
@@ -28,7 +29,8 @@
 	// phaseReading: a request has begun and is not complete. The connection is in the table's set of incomplete
 	// requests, and the request's timer runs in place of the read deadlines that net/http sets.
 	phaseReading
-	// phaseServing: a request is complete, or is being answered with an error.
+	// phaseServing: a request is complete, or is being answered with an error. One that came from phaseIdle has stayed
+	// on the idle list.
 	phaseServing
 	// phaseRejected: an incomplete request has been answered. Reads and writes fail, and Close drops what still comes.
 	phaseRejected
@@ -38,12 +40,14 @@
 
 // connectionState is the state of a connection. The mutex of the connection's table guards it.
 type connectionState struct {
-	phase       phase
-	used        bool          // a request has begun on the connection
-	nextBegun   bool          // some of the next request has been read while one was served
+	phase     phase
+	used      bool            // a request has begun on the connection
+	nextBegun bool            // some of the next request has been read while one was served
+	request   requestProgress // of the request that is being read
+
+	// Only idleList writes these.
 	idleElement *list.Element // in the table's idle list; nil if not in it
 	idleSince   time.Time
-	request     requestProgress
 }
 
 // isOver reports whether no request can be served any more.
@@ -56,7 +60,9 @@
 
 // requestProgress says how far the request that is being read has come.
 type requestProgress struct {
-	number     int // counts the requests that have begun on the connection
+	// number counts the requests that have begun on the connection. A timer, or a shutdown, names the request that it
+	// rejects by it, so that it does nothing to a later one.
+	number     int
 	begunAt    time.Time
 	reads      int // that returned bytes of the request
 	lastReadAt time.Time
@@ -66,7 +72,7 @@
 // remaining is the time until the request is rejected. One that comes in several reads is only slow: its time runs
 // from the last of them, up to a limit for the request as a whole.
 func (p *requestProgress) remaining(timeouts *Timeouts) time.Duration {
-	if p.reads <= 1 {
+	if p.cameInOneRead() {
 		return 0
 	}
 	end := p.lastReadAt.Add(timeouts.ReadRequest)
@@ -76,6 +82,9 @@
 	return time.Until(end)
 }
 
+// cameInOneRead reports whether nothing has come since the first bytes of the request.
+func (p *requestProgress) cameInOneRead() bool { return p.reads <= 1 }
+
 func (p *requestProgress) stopTimer() {
 	if p.timer != nil {
 		p.timer.Stop() // one that has fired finds another phase
@@ -125,9 +134,9 @@
 	return nil
 }
 
-// completeRequest notes that a request is complete, or is to be answered with an error. It reports false if there must
-// be no answer, since the request was rejected or the connection closed meanwhile.
-func (c *connection) completeRequest() bool {
+// beginResponse notes that a request is complete, or is to be answered with an error. A response is not allowed if the
+// request was rejected or the connection closed meanwhile.
+func (c *connection) beginResponse() (allowed bool) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	if c.state.isOver() {
@@ -156,8 +165,9 @@
 	return true
 }
 
-// rejectIfStopped is rejectIncomplete for a request whose timer has fired. One that still comes gets more time.
-func (c *connection) rejectIfStopped(number int) bool {
+// rejectIfStalled is rejectIncomplete for a request whose timer has fired. If bytes are still arriving, it extends the
+// timer instead.
+func (c *connection) rejectIfStalled(number int) bool {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	if !c.state.isReading(number) {
@@ -189,25 +199,35 @@
 	defer c.table.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		c.awaitRequest()
+		c.enterIdleOrReading()
 	case http.StateActive:
 		if c.state.phase == phaseIdle { // the bytes of the request came with those of the one before
 			c.enterReading()
 		}
 	case http.StateIdle:
-		c.awaitRequest()
-		if c.table.closing && c.state.phase == phaseIdle && !socket.HasUnread(c.Conn) {
-			c.enterClosing()
-			return true
-		}
+		c.enterIdleOrReading()
+		return c.beginCloseIfShuttingDown()
 	case http.StateHijacked, http.StateClosed: // no handler hijacks; Close has noted the end
 	}
 	return false
 }
 
-// awaitRequest moves a connection without an open request to phaseIdle, or to phaseReading if its next request has
-// begun. The caller holds the table's mutex.
-func (c *connection) awaitRequest() {
+// beginCloseIfShuttingDown moves an idle connection to phaseClosing if none is to stay idle, and reports whether it has
+// done so. The caller holds the table's mutex.
+func (c *connection) beginCloseIfShuttingDown() (closing bool) {
+	if !c.table.closeWhenIdle || c.state.phase != phaseIdle || socket.HasUnread(c.Conn) {
+		return false
+	}
+	c.enterClosing()
+	return true
+}
+
+// The transitions follow. Their caller holds the table's mutex.
+
+// enterIdleOrReading moves a connection without an open request to phaseIdle, or to phaseReading if its next request
+// has begun. A connection on the idle list stays as it is: net/http reports none as idle twice in a row, but the list
+// must not hold one twice whatever the order of the reports.
+func (c *connection) enterIdleOrReading() {
 	switch {
 	case c.state.isOver() || c.state.idleElement != nil:
 	case c.state.nextBegun:
@@ -217,8 +237,6 @@
 	}
 }
 
-// The transitions follow. Their caller holds the table's mutex.
-
 // enterIdle puts the connection into the idle list.
 func (c *connection) enterIdle() {
 	c.leaveReading()
@@ -271,7 +289,7 @@
 func (c *connection) startRequestTimer(after time.Duration) {
 	number := c.state.request.number
 	c.state.request.timer = time.AfterFunc(after, func() {
-		if c.rejectIfStopped(number) {
+		if c.rejectIfStalled(number) {
 			c.answerIncomplete(http.StatusRequestTimeout)
 		}
 	})
--- a/internal/frontend/connectionstate_test.go
+++ b/internal/frontend/connectionstate_test.go
@@ -21,40 +21,66 @@
 	return table.add(server)
 }
 
+// phaseStep is an event of a connection, and the phase that the connection is in after it.
+type phaseStep struct {
+	name  string
+	event func(*connection)
+	want  phase
+	// listed: the connection is on the idle list though it is not in phaseIdle.
+	listed bool
+}
+
 // Each event of a connection leads from phase to phase, and the table's idle list and incomplete requests follow.
 func TestConnectionPhases(t *testing.T) {
+	report := func(state http.ConnState) func(*connection) {
+		return func(c *connection) { c.noteServerState(state) }
+	}
+	read := func(c *connection) { _ = c.noteRead(1) }
+	begin := func(c *connection) { c.beginResponse() }
+	reject := func(number int) func(*connection) { return func(c *connection) { c.rejectIncomplete(number) } }
+	closing := func(c *connection) { c.beginClose() }
+	t.Run("requests", func(t *testing.T) {
+		checkPhases(t, []phaseStep{
+			{name: "accepted", event: report(http.StateNew), want: phaseIdle},
+			{name: "first byte", event: func(c *connection) { _ = c.noteReadable() }, want: phaseReading},
+			{name: "read", event: read, want: phaseReading},
+			{name: "reported active", event: report(http.StateActive), want: phaseReading},
+			{name: "complete", event: begin, want: phaseServing},
+			{name: "response out", event: report(http.StateIdle), want: phaseIdle},
+			{name: "next request with the one before", event: report(http.StateActive), want: phaseReading},
+			{name: "complete", event: begin, want: phaseServing},
+			{name: "read behind a request", event: read, want: phaseServing},
+			{name: "response out, next begun", event: report(http.StateIdle), want: phaseReading},
+			{name: "an earlier request rejected", event: reject(2), want: phaseReading},
+			{name: "rejected", event: reject(3), want: phaseRejected},
+			{name: "complete too late", event: begin, want: phaseRejected},
+			{name: "reported idle", event: report(http.StateIdle), want: phaseRejected},
+			{name: "closed", event: closing, want: phaseClosing},
+			{name: "closed again", event: closing, want: phaseClosing},
+		})
+	})
+	t.Run("malformed request with the one before", func(t *testing.T) {
+		checkPhases(t, []phaseStep{
+			{name: "accepted", event: report(http.StateNew), want: phaseIdle},
+			{name: "answered", event: begin, want: phaseServing, listed: true},
+			{name: "closed", event: closing, want: phaseClosing},
+		})
+	})
+}
+
+// checkPhases takes a new connection through steps.
+func checkPhases(t *testing.T, steps []phaseStep) {
+	t.Helper()
 	timeouts := &Timeouts{ReadRequest: testutil.Timeout, ReadSlowRequest: testutil.Timeout}
 	table := newConnectionTable(0, timeouts)
 	c := pipeConnection(t, table)
-	state := func(state http.ConnState) func() { return func() { c.noteServerState(state) } }
-	read := func() { _ = c.noteRead(1) }
-	for _, step := range []struct {
-		name  string
-		event func()
-		want  phase
-	}{
-		{"accepted", state(http.StateNew), phaseIdle},
-		{"first byte", func() { _ = c.noteReadable() }, phaseReading},
-		{"read", read, phaseReading},
-		{"reported active", state(http.StateActive), phaseReading},
-		{"complete", func() { c.completeRequest() }, phaseServing},
-		{"response out", state(http.StateIdle), phaseIdle},
-		{"next request with the one before", state(http.StateActive), phaseReading},
-		{"complete", func() { c.completeRequest() }, phaseServing},
-		{"read behind a request", read, phaseServing},
-		{"response out, next begun", state(http.StateIdle), phaseReading},
-		{"an earlier request rejected", func() { c.rejectIncomplete(2) }, phaseReading},
-		{"rejected", func() { c.rejectIncomplete(3) }, phaseRejected},
-		{"complete too late", func() { c.completeRequest() }, phaseRejected},
-		{"reported idle", state(http.StateIdle), phaseRejected},
-		{"closed", func() { c.beginClose() }, phaseClosing},
-		{"closed again", func() { c.beginClose() }, phaseClosing},
-	} {
-		step.event()
+	for _, step := range steps {
+		step.event(c)
 		if c.state.phase != step.want {
 			t.Fatalf("%s: phase %d, want %d", step.name, c.state.phase, step.want)
 		}
-		if idle := c.state.idleElement != nil; idle != (step.want == phaseIdle) || idle != (table.idle.len() == 1) {
+		wantListed := step.want == phaseIdle || step.listed
+		if idle := c.state.idleElement != nil; idle != wantListed || idle != (table.idle.len() == 1) {
 			t.Errorf("%s: on the idle list: %v, %d in it", step.name, idle, table.idle.len())
 		}
 		if _, incomplete := table.incomplete[c]; incomplete != (step.want == phaseReading) {
--- a/internal/frontend/connectiontable.go
+++ b/internal/frontend/connectiontable.go
@@ -18,14 +18,14 @@
 // connections. It is never held over I/O that may block.
 type connectionTable struct {
 	limit    int           // of open connections; 0: none
-	timeouts *Timeouts     // must not change once a connection is open
-	released chan struct{} // holds a value once a connection has ended
+	timeouts *Timeouts     // those of the Server
+	released chan struct{} // holds a value once a connection has ended; a value wakes one waiter alone
 
-	mu         sync.Mutex
-	open       int                      // connections that hold a descriptor
-	closing    bool                     // shutting down: no connection stays open without a request
-	idle       idleList                 // connections in phaseIdle, except for those found with unread bytes
-	incomplete map[*connection]struct{} // connections in phaseReading
+	mu            sync.Mutex
+	open          int                      // connections that hold a descriptor
+	closeWhenIdle bool                     // shutting down: a connection is closed as soon as its response is out
+	idle          idleList                 // connections in phaseIdle; idleList names the exceptions
+	incomplete    map[*connection]struct{} // connections in phaseReading
 }
 
 func newConnectionTable(limit int, timeouts *Timeouts) *connectionTable {
@@ -76,18 +76,18 @@
 	return t.limit > 0 && t.open > t.limit/2
 }
 
-// freeSlot makes sure that the limit allows one more connection, if need be by closing an idle one. Otherwise it
-// returns how long to wait before it is called again.
-func (t *connectionTable) freeSlot(now time.Time) (wait time.Duration, ok bool) {
-	reclaimed, wait, ok := t.claimSlot(now)
+// ensureSlot makes sure that the limit allows one more connection, if need be by closing an idle one. Otherwise it
+// returns how long to wait before it is called again. It reserves nothing: one goroutine alone accepts connections.
+func (t *connectionTable) ensureSlot(now time.Time) (wait time.Duration, ok bool) {
+	reclaimed, wait, ok := t.tryFreeSlot(now)
 	if reclaimed != nil {
 		_ = reclaimed.finishClose() // the descriptor is free in any case
 	}
 	return wait, ok
 }
 
-// claimSlot is freeSlot, except that its caller closes the connection that was reclaimed, if any.
-func (t *connectionTable) claimSlot(now time.Time) (reclaimed *connection, wait time.Duration, ok bool) {
+// tryFreeSlot is ensureSlot, except that its caller closes the connection that was reclaimed, if any.
+func (t *connectionTable) tryFreeSlot(now time.Time) (reclaimed *connection, wait time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.limit == 0 || t.open < t.limit {
@@ -100,8 +100,9 @@
 	return reclaimed, 0, true
 }
 
-// reclaimIdle moves the connection that has been idle for longest to phaseClosing, if it has been idle for long enough.
-// Otherwise it returns when the next one will have been. The caller holds the mutex.
+// reclaimIdle moves a connection to phaseClosing and returns it: of those that have been idle for long enough and have
+// nothing unread, the one idle for longest. If there is none, wait is the time until the next one may qualify. One with
+// unread bytes leaves the idle list. The caller holds the mutex.
 func (t *connectionTable) reclaimIdle(now time.Time) (reclaimed *connection, wait time.Duration) {
 	wait = t.timeouts.ReclaimIdle
 	for c := range t.idle.all() {
@@ -128,30 +129,29 @@
 	return t.timeouts.ReclaimUnused
 }
 
-// closeUsedIdle closes the connections that have had a request and are without an open one, and from now on each as
-// its response is out. Those that have not had a request yet stay: who connects now is about to send one.
+// closeUsedIdle is Server.CloseUsedIdle.
 func (t *connectionTable) closeUsedIdle() {
 	t.closeIdle(func(c *connection) bool { return c.state.used })
 }
 
-// closeAllIdle closes all connections without an open request.
+// closeAllIdle is Server.CloseAllIdle.
 func (t *connectionTable) closeAllIdle() {
 	t.closeIdle(func(*connection) bool { return true })
 }
 
-// closeIdle closes the idle connections that match, and from now on each as its response is out.
+// closeIdle closes the idle connections that match, and sets closeWhenIdle for good.
 func (t *connectionTable) closeIdle(match func(*connection) bool) {
 	for _, c := range t.beginCloseIdle(match) {
 		_ = c.finishClose() // nothing was under way on it
 	}
 }
 
-// beginCloseIdle moves the idle connections that match to phaseClosing, and returns them. One whose next request has
-// come, though it is not read yet, is not idle.
+// beginCloseIdle sets closeWhenIdle, moves the idle connections that match to phaseClosing, and returns them. One whose
+// next request has come, though it is not read yet, is not idle.
 func (t *connectionTable) beginCloseIdle(match func(*connection) bool) (closing []*connection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.closing = true
+	t.closeWhenIdle = true
 	for c := range t.idle.all() {
 		if match(c) && !socket.HasUnread(c.Conn) {
 			c.enterClosing()
@@ -161,7 +161,7 @@
 	return closing
 }
 
-// rejectIncomplete answers the requests that have begun and are not complete, and closes their connections.
+// rejectIncomplete is Server.RejectIncomplete, with the status of the answer.
 func (t *connectionTable) rejectIncomplete(status int) {
 	for c, number := range t.incompleteRequests() {
 		if c.rejectIncomplete(number) {
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -42,11 +42,11 @@
 	shuttingDown atomic.Bool
 }
 
-func newHandler(c *config.Config, clock clock.Clock, loop EventLoop, timeouts *Timeouts,
+func newHandler(c *config.Config, agentClock clock.Clock, loop EventLoop, timeouts *Timeouts,
 	nearLimit func() bool) *handler {
 	h := &handler{
 		loop:      loop,
-		clock:     clock,
+		clock:     agentClock,
 		classes:   map[string]int{},
 		tenants:   c.Names.Tenants,
 		settings:  c.Settings,
@@ -87,18 +87,20 @@
 	return h.awaitResponse(r, request)
 }
 
-// answerError ends a request that gets no response from the event loop. Only a malformed request and the end of the
-// event loop have an answer.
+// answerError ends a request that gets no response from the event loop. A *RequestError is answered, also one that
+// comes after the request was submitted (errTooMuchUnread), and so is the end of the event loop; nothing else is.
 func (h *handler) answerError(w http.ResponseWriter, r *http.Request, err error) {
-	var invalid *RequestError
-	switch {
-	case errors.As(err, &invalid) && connectionOf(r).completeRequest():
-		h.reject(w, r, invalid)
-	case errors.Is(err, errLoopEnded):
+	if invalid, ok := errors.AsType[*RequestError](err); ok {
+		if allowed := connectionOf(r).beginResponse(); allowed {
+			h.answerMalformed(w, r, invalid)
+			return
+		}
+	}
+	if errors.Is(err, errLoopEnded) {
 		w.WriteHeader(http.StatusBadGateway)
-	default:
-		panic(http.ErrAbortHandler) // a return would send an empty response with status 200
+		return
 	}
+	panic(http.ErrAbortHandler) // a return would send an empty response with status 200
 }
 
 // readRequest reads a request to its last byte, from which its time counts.
@@ -117,15 +119,15 @@
 		}
 		arrived = time.Now()
 	}
-	client := connectionOf(r)
-	if !client.completeRequest() {
+	conn := connectionOf(r)
+	if !conn.beginResponse() {
 		return nil, errRejectedIncomplete
 	}
 	// The client may have gone while its request waited to be read.
-	if err := checkDisconnect(client); err != nil {
+	if err := checkDisconnect(conn); err != nil {
 		return nil, err
 	}
-	request.ClientGone = func() bool { return socket.Peer(client.Conn).Gone() }
+	request.ClientGone = func() bool { return socket.Peer(conn.Conn).Gone() }
 	request.Arrived = h.clock.FromTime(arrived)
 	request.Deadline = request.Arrived + request.Event.Timeout
 	return request, nil
@@ -135,7 +137,7 @@
 // first. net/http looks for a disconnect until it has read a byte behind the request; from then on, the connection is
 // checked at intervals.
 func (h *handler) awaitResponse(r *http.Request, request *Request) (Response, error) {
-	client := connectionOf(r)
+	conn := connectionOf(r)
 	ticker := time.NewTicker(disconnectCheckInterval)
 	defer ticker.Stop()
 	var err error
@@ -148,7 +150,7 @@
 		case <-r.Context().Done():
 			err = errDisconnected
 		case <-ticker.C:
-			err = checkDisconnect(client)
+			err = checkDisconnect(conn)
 		}
 	}
 	h.loop.Abandon(request)
@@ -157,8 +159,8 @@
 
 // checkDisconnect fails if a client has disconnected, or if so much waits behind its request that a disconnect would
 // not be seen.
-func checkDisconnect(client *connection) error {
-	switch peer := socket.Peer(client.Conn); {
+func checkDisconnect(conn *connection) error {
+	switch peer := socket.Peer(conn.Conn); {
 	case peer.Closed:
 		return errDisconnected
 	case peer.Flooded:
--- a/internal/frontend/idlelist.go
+++ b/internal/frontend/idlelist.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// idleList holds the connections without an open request, the longest idle first. It sets the idleElement and the
-// idleSince of their states. The mutex of the connections' table guards it.
+// idleList holds the connections in phaseIdle, the longest idle first, except for those found with unread bytes. One
+// that is answered for a malformed request without having been read again is in phaseServing and still listed. Only
+// idleList writes the idleElement and the idleSince of their states. The mutex of the connections' table guards it.
 type idleList struct{ elements list.List }
 
 func (l *idleList) len() int { return l.elements.Len() }
--- a/internal/frontend/incomplete_test.go
+++ b/internal/frontend/incomplete_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// A request that has begun is not closed as idle, however late its connection's idle time was in it.
+// A request that has begun is not closed as idle, even if its connection's idle timeout ends in the middle of it.
 func TestRequestBegunWhileIdle(t *testing.T) {
 	for name, text := range incompleteRequests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// minAcceptBackoff is the wait after a failed call of accept.
-	minAcceptBackoff = time.Millisecond
+	// initialAcceptBackoff is the wait after the first failed call of accept.
+	initialAcceptBackoff = time.Millisecond
 	// maxAcceptBackoff bounds that wait, which grows with each failure in a row.
 	maxAcceptBackoff = 50 * time.Millisecond
 	// acceptBackoffFactor is the growth of that wait.
@@ -49,7 +49,7 @@
 // awaitSlot waits until the limit allows one more connection.
 func (l *connectionListener) awaitSlot() error {
 	for {
-		wait, ok := l.table.freeSlot(time.Now())
+		wait, ok := l.table.ensureSlot(time.Now())
 		if ok {
 			return nil
 		}
@@ -62,7 +62,7 @@
 // acceptNext accepts the next connection. Accept fails for many causes that are over in a moment, and an end of the
 // agent mends none of the others: it is called again until the listener is closed.
 func (l *connectionListener) acceptNext() (net.Conn, error) {
-	for backoff := minAcceptBackoff; ; backoff = min(acceptBackoffFactor*backoff, maxAcceptBackoff) {
+	for backoff := initialAcceptBackoff; ; backoff = min(acceptBackoffFactor*backoff, maxAcceptBackoff) {
 		accepted, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return accepted, err
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -68,7 +68,7 @@
 	first := testutil.Dial(t, server.Addr(), testutil.Post(id, ""))
 	testutil.Receive(t, submitted)
 	second := testutil.Dial(t, server.Addr(), testutil.Post(otherID, "")) // waits in the system's queue
-	if wait, ok := server.connections.freeSlot(time.Now().Add(time.Hour)); ok {
+	if wait, ok := server.connections.ensureSlot(time.Now().Add(time.Hour)); ok {
 		t.Errorf("a slot was freed under an open request (wait %v)", wait)
 	}
 	close(gate)
@@ -141,7 +141,7 @@
 		t.Fatalf("a request that waits to be read: %d bytes, %v", n, err)
 	}
 	listener.table.closeAllIdle() // read, but net/http has not made a request of it yet
-	if _, ok := listener.table.freeSlot(time.Now()); ok {
+	if _, ok := listener.table.ensureSlot(time.Now()); ok {
 		t.Error("a slot was freed under a request that is being read")
 	}
 	testutil.Write(t, client, "more")
--- a/internal/frontend/parse_test.go
+++ b/internal/frontend/parse_test.go
@@ -18,7 +18,7 @@
 func TestMalformedRequests(t *testing.T) {
 	t.Parallel()
 	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, func(s *Server) {
-		s.Timeouts.Linger = testutil.Timeout // the body of a rejected request may be slow here
+		s.Timeouts.MalformedLinger = testutil.Timeout // the body of a rejected request may be slow here
 	})
 	valid := []string{"X-Call-Id", id, "X-Budget-Ms", "700"}
 	withTimeout := func(timeout string) []string { return []string{"X-Call-Id", id, "X-Budget-Ms", timeout} }
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -17,7 +17,8 @@
 	Body           []byte
 	Arrived        time.Duration // when its last byte had come, on the agent's clock
 	Deadline       time.Duration // when the client's timeout ends, on the agent's clock
-	// ClientGone reports whether the client has closed its connection, which the event loop may not know yet.
+	// ClientGone reports whether the client has closed its connection, or has sent so much behind the request that a
+	// close would not be seen. The event loop may not know it yet.
 	ClientGone func() bool
 
 	response chan Response
@@ -26,10 +27,11 @@
 // NewRequest returns an empty request that can be responded to.
 func NewRequest() *Request { return &Request{response: make(chan Response, 1)} }
 
-// Respond sets the response to the client. It never blocks; it must be called once at most.
+// Respond hands over the only response. It must be called once at most: the channel holds one response, so that the
+// first call never blocks.
 func (r *Request) Respond(response Response) { r.response <- response }
 
-// Response returns the channel on which the only response arrives.
+// Response returns the channel on which the only response arrives. It is for tests of the event loop alone.
 func (r *Request) Response() <-chan Response { return r.response }
 
 // Response is the final answer to a client.
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -8,7 +8,7 @@
 )
 
 // writeResponse writes the final response to a request. Header keys are set in their canonical form, which saves the
-// conversion.
+// conversion. Retry-After is in seconds and may have a fraction, where RFC 9110 has whole seconds alone.
 func writeResponse(w http.ResponseWriter, response Response) {
 	header := w.Header()
 	header["Content-Type"] = []string{"application/octet-stream"}
@@ -20,12 +20,12 @@
 	_, _ = w.Write(response.Body) // an error here means that the client has gone
 }
 
-// reject answers a malformed request and closes its connection, since what follows on it can't be trusted. Some of the
-// body is read all the same: a close over unread bytes resets the connection, and the answer may be lost with it.
-// Errors are ignored, since the connection ends in any case.
-func (h *handler) reject(w http.ResponseWriter, r *http.Request, invalid *RequestError) {
+// answerMalformed answers a malformed request and closes its connection, since what follows on it can't be trusted.
+// Some of the body is read all the same: a close over unread bytes resets the connection, and the answer may be lost
+// with it. Errors are ignored, since the connection ends in any case.
+func (h *handler) answerMalformed(w http.ResponseWriter, r *http.Request, invalid *RequestError) {
 	controller := http.NewResponseController(w)
-	_ = controller.SetReadDeadline(time.Now().Add(h.timeouts.Linger))
+	_ = controller.SetReadDeadline(time.Now().Add(h.timeouts.MalformedLinger))
 	w.Header().Set("Connection", "close")
 	http.Error(w, invalid.Reason, invalid.Status)
 	_ = controller.Flush()
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -18,14 +18,16 @@
 
 // The timeouts in service, one for each field of Timeouts.
 const (
-	defaultFirstByte       = 2500 * time.Millisecond
-	defaultReadRequest     = 2800 * time.Millisecond
-	defaultReadSlowRequest = 4500 * time.Millisecond
-	defaultReclaimIdle     = 2 * time.Second
-	defaultReclaimUnused   = 250 * time.Millisecond
-	defaultIdle            = defaultReclaimIdle + 100*time.Millisecond
-	defaultLinger          = 100 * time.Millisecond
-	defaultEndpointList    = 5 * time.Second
+	// A first byte that comes just in time leaves minReadTime until ReadRequest, which counts from the connect, ends.
+	defaultFirstByteTimeout       = defaultReadRequestTimeout - minReadTime
+	defaultReadRequestTimeout     = 2800 * time.Millisecond
+	defaultReadSlowRequestTimeout = 4500 * time.Millisecond
+	defaultReclaimIdleTimeout     = 2 * time.Second
+	defaultReclaimUnusedTimeout   = 250 * time.Millisecond
+	// The connection stays a little longer than until it may be reclaimed; the reason of the size is not recorded.
+	defaultIdleTimeout                  = defaultReclaimIdleTimeout + 100*time.Millisecond
+	defaultMalformedLingerTimeout       = 100 * time.Millisecond
+	defaultReadyWithoutEndpointsTimeout = 5 * time.Second
 )
 
 // Timeouts bound how long clients may take, and how long their connections are kept.
@@ -37,38 +39,39 @@
 	ReadRequest time.Duration
 	// ReadSlowRequest is how long a request may take in all if its client goes on sending.
 	ReadSlowRequest time.Duration
-	// Idle ends a connection that has had no request for so long. Clients hold a third of the descriptors at most:
-	// those that stay after one request would keep the others out.
+	// Idle ends a connection that has had no request for so long. Clients hold half of the descriptors at most: those
+	// that stay after one request would keep the others out.
 	Idle time.Duration
 	// ReclaimIdle is how long a connection must have been without an open request before it may be closed to free
 	// its descriptor for another one.
 	ReclaimIdle time.Duration
 	// ReclaimUnused is the same for a connection that has never had a request: clients connect to send one.
 	ReclaimUnused time.Duration
-	// Linger is how long the rest of a rejected request is read before its connection is closed.
-	Linger time.Duration
-	// EndpointList is how long an agent that knows no endpoint waits for discovery before it reports that it is ready
-	// all the same: while discovery is down, rejections are a better answer to the application than silence.
-	EndpointList time.Duration
+	// MalformedLinger is how long the rest of a malformed request is read before its connection is closed.
+	MalformedLinger time.Duration
+	// ReadyWithoutEndpoints is how long an agent that knows no endpoint waits for discovery before it reports that it
+	// is ready all the same: while discovery is down, rejections are a better answer to the application than silence.
+	ReadyWithoutEndpoints time.Duration
 }
 
 // DefaultTimeouts returns the timeouts used in service.
 func DefaultTimeouts() Timeouts {
 	return Timeouts{
-		FirstByte:       defaultFirstByte,
-		ReadRequest:     defaultReadRequest,
-		ReadSlowRequest: defaultReadSlowRequest,
-		Idle:            defaultIdle,
-		ReclaimIdle:     defaultReclaimIdle,
-		ReclaimUnused:   defaultReclaimUnused,
-		Linger:          defaultLinger,
-		EndpointList:    defaultEndpointList,
+		FirstByte:             defaultFirstByteTimeout,
+		ReadRequest:           defaultReadRequestTimeout,
+		ReadSlowRequest:       defaultReadSlowRequestTimeout,
+		Idle:                  defaultIdleTimeout,
+		ReclaimIdle:           defaultReclaimIdleTimeout,
+		ReclaimUnused:         defaultReclaimUnusedTimeout,
+		MalformedLinger:       defaultMalformedLingerTimeout,
+		ReadyWithoutEndpoints: defaultReadyWithoutEndpointsTimeout,
 	}
 }
 
 // Server accepts the application's connections and answers its requests.
 type Server struct {
-	Timeouts Timeouts // may be changed until Serve is called
+	// Timeouts may be changed until Serve is called: no connection is accepted before.
+	Timeouts Timeouts
 
 	connections *connectionTable
 	listener    *connectionListener
@@ -77,11 +80,12 @@
 }
 
 // NewServer returns a server for the connections of a listener. It answers once Serve is called.
-func NewServer(listener net.Listener, c *config.Config, clock clock.Clock, loop EventLoop, log *slog.Logger) *Server {
+func NewServer(listener net.Listener, c *config.Config, agentClock clock.Clock, loop EventLoop,
+	log *slog.Logger) *Server {
 	s := &Server{Timeouts: DefaultTimeouts()}
 	s.connections = newConnectionTable(c.ClientConnections(), &s.Timeouts)
 	s.listener = newListener(listener, s.connections, log)
-	s.handler = newHandler(c, clock, loop, &s.Timeouts, s.connections.nearLimit)
+	s.handler = newHandler(c, agentClock, loop, &s.Timeouts, s.connections.nearLimit)
 	s.http = &http.Server{
 		Handler:        s.handler,
 		ConnState:      s.connections.trackState,
@@ -110,10 +114,10 @@
 // its response is out. Those that have not had one yet stay: who connects now is about to send one.
 func (s *Server) CloseUsedIdle() { s.connections.closeUsedIdle() }
 
-// CloseAllIdle closes all connections that are without an open request.
+// CloseAllIdle closes all connections that are without an open request, and from now on each as its response is out.
 func (s *Server) CloseAllIdle() { s.connections.closeAllIdle() }
 
-// RejectIncomplete rejects the requests that have begun and are not complete, and closes their connections.
+// RejectIncomplete answers the requests that have begun and are not complete with 503, and closes their connections.
 func (s *Server) RejectIncomplete() { s.connections.rejectIncomplete(http.StatusServiceUnavailable) }
 
 // StopAccepting closes the listener; open connections stay. An error is ignored: the system takes the descriptor back
@@ -126,5 +130,5 @@
 // Close closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Connections returns how many connections are open, and how many of these are without an open request.
+// Connections returns how many connections are open, and how many of these are on the idle list. It is for tests alone.
 func (s *Server) Connections() (open, idle int) { return s.connections.counts() }
