--- a/cmd/ashshunt/soak_verdict_test.go
+++ b/cmd/ashshunt/soak_verdict_test.go
@@ -10,7 +10,7 @@
 const (
 	// lateAttempt is how long after its client has left an attempt may begin.
 	lateAttempt = 100 * time.Millisecond
-	// closeWindow is for how long a request may be on its way while the agent closes its connection.
+	// closeWindow is how long a request may be on its way while the agent closes its connection.
 	closeWindow = 50 * time.Millisecond
 	// killWindow is how long around a kill a request may be on its way, and is not read.
 	killWindow = 30 * time.Millisecond
--- a/internal/agent/deadlineguard.go
+++ b/internal/agent/deadlineguard.go
@@ -35,7 +35,7 @@
 }
 
 // moduleTimeout is the timeout that the decision module gets for a request in a step at now. It is not positive if the
-// request has attemptMargin left or less.
+// client gave attemptMargin or less.
 func (l *eventLoop) moduleTimeout(now time.Duration, inbound *frontend.Request) time.Duration {
 	// A step comes within a tick of an arrival. A longer delay is this machine's, and the module would treat a client
 	// with a shorter timeout as one that retries.
