--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -80,7 +80,7 @@
 // finishAttempt notes the outcome of an attempt and passes it to the decision module. The first response that was
 // served goes to the client at once, without a decision.
 func (l *eventLoop) finishAttempt(r *openRequest, outcome balancer.Outcome, body []byte) {
-	r.endAttempt(outcome.Attempt, l.mayHaveRun(outcome.Result))
+	r.endAttempt(outcome.Attempt, l.settings.MayHaveRun(outcome.Result))
 	if outcome.Result == balancer.Served && !r.isOver() {
 		l.answer(r, frontend.Response{Status: http.StatusOK, Body: body})
 	}
@@ -89,11 +89,6 @@
 	l.addEvent(outcome)
 }
 
-// mayHaveRun reports whether an attempt with a result may have had an effect.
-func (l *eventLoop) mayHaveRun(result balancer.Result) bool {
-	return !result.NeverRan() || l.settings.RejectedMayHaveRun && result == balancer.Rejected
-}
-
 // startHealthCheck checks an endpoint outside any request.
 func (l *eventLoop) startHealthCheck(ctx context.Context, endpointID string) {
 	start := l.clock.Now()
