--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -49,7 +49,7 @@
 			Host:           client.Host,
 			Target:         client.Target,
 			Body:           client.Body,
-			Done:           done,
+			Lifetime:       done,
 			ClientGone:     client.ClientGone,
 		},
 		markDone: markDone,
--- a/internal/agent/openrequest_test.go
+++ b/internal/agent/openrequest_test.go
@@ -40,7 +40,7 @@
 		if r.phase != test.want || table.find(id) != r || table.findUnanswered(id) != nil || table.unanswered != 0 {
 			t.Errorf("%s, with an attempt in flight: phase %d", test.name, r.phase)
 		}
-		if r.upstream.Done.Err() == nil {
+		if r.upstream.Lifetime.Err() == nil {
 			t.Errorf("%s: its attempt is not told", test.name)
 		}
 		r.endAttempt(0, false)
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// minRestartDelay is the lower bound of the backoff's unit and limit.
+	// minRestartDelay is the lower bound of the backoff's unit and limit. Delays are drawn from zero on.
 	minRestartDelay = 10 * time.Millisecond
 	// delaysPerDrainGrace is how many of the longest delays fit into the drain grace.
 	delaysPerDrainGrace = 4
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -24,7 +24,7 @@
 	table          *endpoint.Table
 	onStale        func(endpointID string)
 	onList         func(balancer.EndpointList)
-	converter      converter // used by the holder of applying
+	converter      converter // used by the holder of applyMu
 	cachedList     endpoint.List
 	keepWatch      bool
 	silenceTimeout time.Duration
@@ -33,9 +33,9 @@
 	log            *slog.Logger
 	source         *source
 
-	// applying puts lists in one order, from the check of their version to the event. It is held while OnList runs, and
+	// applyMu puts lists in one order, from the check of their version to the event. It is held while OnList runs, and
 	// taken before the source's mutex.
-	applying sync.Mutex
+	applyMu sync.Mutex
 }
 
 // New returns a client that has applied the cached list to the table. It calls nobody yet.
@@ -69,6 +69,7 @@
 
 // CachedList returns the event of the list that the client was given. It must be called before any watch or poll.
 func (c *Client) CachedList() balancer.EndpointList {
+	c.converter.starts.update(c.cachedList)
 	return c.converter.event(c.cachedList, balancer.ListCached)
 }
 
--- a/internal/discovery/convert.go
+++ b/internal/discovery/convert.go
@@ -14,9 +14,8 @@
 	starts *startTimes
 }
 
-// event records the start times of a list and converts it.
+// event converts a list whose start times have been recorded.
 func (c converter) event(list endpoint.List, kind balancer.ListKind) balancer.EndpointList {
-	c.starts.update(list)
 	event := balancer.EndpointList{Kind: kind, Endpoints: make([]balancer.Endpoint, 0, len(list.Entries))}
 	for _, entry := range list.Entries {
 		event.Endpoints = append(event.Endpoints, balancer.Endpoint{
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -15,13 +15,16 @@
 // listPath is the path of discovery's endpoint list.
 const listPath = "/v1/servers"
 
-// maxListSize is the size in bytes that one list may have.
+// maxListSize is the size in bytes that one list may have. A poll reads no further, so that a longer list is malformed
+// there; a watch ends with errListTooLong.
 const maxListSize = 8 << 20
 
-// errRefused marks a call that discovery answered with a status other than 200.
+// errRefused marks a call that discovery answered with a status other than 200, whichever it is: each
+// means that discovery was reached and serves no list, and the decision module has one event for that, ListRefused.
 var errRefused = errors.New("discovery refused the call")
 
-// newHTTPClient returns a client that uses each connection once, so that it never sends a call again by itself.
+// newHTTPClient returns a client that uses each connection once, so that it never sends a call again by itself. Its
+// timeouts do not follow Options.CallTimeout; a shorter one binds by the context of the call.
 func newHTTPClient() *http.Client {
 	dialer := &socket.Dialer{Dialer: net.Dialer{Timeout: defaultCallTimeout}}
 	return &http.Client{Transport: &http.Transport{
--- a/internal/discovery/listtimeout.go
+++ b/internal/discovery/listtimeout.go
@@ -40,7 +40,8 @@
 	l.set(listTimeoutGrowth * l.timeout)
 }
 
-// received adapts the timeout to the time that a list took.
+// received adapts the timeout to the time that a list took. One that came along with the list before it took none, and
+// so resets the timeout to its minimum.
 func (l *listTimeout) received(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	list.Complete = true
+	list.Complete = true // a poll always brings all entries, whatever the list says
 	c.applyPolled(addr, list)
 	return nil
 }
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -11,24 +11,26 @@
 const unknownVersion = -1
 
 // source is where lists come from: the address of discovery, the version of its last list, and the watches. A new
-// watch is pending until it brings lists; it then becomes the active one and stops its predecessor. It is safe for
-// concurrent use; the event loop waits for its mutex, which is therefore held for moments only.
+// watch is pending until it is active: one that continues from a version, from its response on; one without a version,
+// from its complete list on. It then stops its predecessor.
+//
+// It is safe for concurrent use; the event loop waits for its mutex, which is therefore held for moments only.
 type source struct {
 	mu      sync.Mutex // protects what follows
 	addr    string     // host:port of discovery
 	version int64      // of the list that was last applied from addr, or unknownVersion
 	active  *watch     // the one that lists are taken from; nil: none
-	pending *watch     // the one that will replace it; nil: none
+	pending *watch     // the one that will replace it once it is active; nil: none
 	backoff backoff    // between watches that end
 }
 
-// listOrigin is how a list relates to the ones before it.
-type listOrigin uint8
+// listFreshness is how the version of a list relates to that of the last one that was applied.
+type listFreshness uint8
 
 const (
-	upToDate  listOrigin = iota
-	outdated             // older than the last one of the same address
-	otherAddr            // of an address that is no longer discovery's; its version can't be compared
+	fresh        listFreshness = iota
+	outdated                   // older than the last one of the same address
+	incomparable               // from an address that is no longer discovery's, which numbers its versions by itself
 )
 
 // currentAddr returns discovery's address.
@@ -50,17 +52,17 @@
 }
 
 // recordVersion records the version of a list from addr that is about to be applied, unless it is outdated.
-func (s *source) recordVersion(addr string, version int64) listOrigin {
+func (s *source) recordVersion(addr string, version int64) listFreshness {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if addr != s.addr {
-		return otherAddr
+		return incomparable
 	}
 	if version < s.version {
 		return outdated
 	}
 	s.version = version
-	return upToDate
+	return fresh
 }
 
 // addWatch makes a new watch the pending one and stops the one that was.
@@ -74,8 +76,9 @@
 	return s.pending
 }
 
-// activateWatch reports whether lists are taken from a watch that has been answered, or that has brought a list. It
-// activates a pending watch and stops its predecessor; one without a version has to bring the complete list first.
+// activateWatch is called when a watch has been answered, and when it has brought a list, which may be complete. It
+// activates a pending watch if that is enough for it, and stops its predecessor. It reports whether w is the active
+// watch now: both happen under one lock, since another watch may replace w at any time.
 func (s *source) activateWatch(w *watch, complete bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,9 +92,10 @@
 	return w == s.active
 }
 
-// removeWatch removes a watch that ended by itself and reports whether that leaves the client without a watch: a
-// pending one replaces an active one anyway.
-func (s *source) removeWatch(w *watch) (lost bool) {
+// removeWatch removes a watch that ended by itself and reports whether another one has to be started. That is so after
+// a pending watch, even beside an active one, which may be of an earlier address. It is not so after an active watch
+// that a pending one is about to replace, nor after one that was replaced already.
+func (s *source) removeWatch(w *watch) (needsRestart bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch w {
@@ -125,7 +129,7 @@
 	return s.active != nil && s.active.addr == s.addr || s.pending != nil
 }
 
-// nextDelay returns the delay before a watch that ended is started again.
+// nextDelay returns the delay before a watch that ended is started again. It counts the failure.
 func (s *source) nextDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/source_test.go
+++ b/internal/discovery/source_test.go
@@ -57,19 +57,19 @@
 	for _, tt := range []struct {
 		addr    string
 		version int64
-		want    listOrigin
+		want    listFreshness
 	}{
-		{"a:1", 2, upToDate},
-		{"a:1", 2, upToDate},
+		{"a:1", 2, fresh},
+		{"a:1", 2, fresh},
 		{"a:1", 1, outdated},
-		{"b:1", 9, otherAddr},
+		{"b:1", 9, incomparable},
 	} {
 		if got := s.recordVersion(tt.addr, tt.version); got != tt.want {
-			t.Errorf("version %d of %s: origin %d, want %d", tt.version, tt.addr, got, tt.want)
+			t.Errorf("version %d of %s: freshness %d, want %d", tt.version, tt.addr, got, tt.want)
 		}
 	}
 	s.setAddr("b:1")
-	if s.version != unknownVersion || s.recordVersion("b:1", 0) != upToDate {
+	if s.version != unknownVersion || s.recordVersion("b:1", 0) != fresh {
 		t.Error("the version of the old address is compared with the new one's")
 	}
 }
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -34,7 +34,11 @@
 //
 // Any wall clock may be off by any amount, and an endpoint that is estimated too old may get too much traffic before it
 // is warm. The estimated age is therefore the smaller one of two: by this machine's wall clock, and by the clock of the
-// endpoints, which has passed the newest start that was listed.
+// endpoints, which has passed the newest start that was listed, plus listDelay. Where a complete list leaves most
+// endpoints unproven, this machine's wall clock counts alone (see mostUnproven).
+//
+// The clock of the endpoints is treated as one clock: of the starts that are listed, the one that is furthest ahead
+// tells its time.
 type startTimes struct {
 	clock     clock.Clock
 	slowStart SlowStart
@@ -69,7 +73,7 @@
 	previous := s.starts
 	if list.Complete {
 		s.starts = make(map[string]start, len(list.Entries))
-	}
+	} // otherwise previous is s.starts itself, in which the entries of a delta replace their own starts
 	for _, entry := range list.Entries {
 		unix := entry.StartedAtUnix()
 		switch last, known := previous[entry.ID]; {
@@ -122,6 +126,6 @@
 		age = min(age, s.provenAge(unix, now)+s.slowStart.listDelay())
 	}
 	startedAt := now - max(0, age)
-	earliest := last.startedAt + 1 // a later start has a later time
+	earliest := last.startedAt + 1 // by a nanosecond: the decision module tells starts apart by their times
 	return min(now, max(startedAt, earliest))
 }
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -7,8 +7,8 @@
 	"ashshunt/internal/telemetry"
 )
 
-// Subscribe starts a watch. The active watch continues until the new one brings its list: a new address may be slow to
-// answer, or never do so.
+// Subscribe starts a watch. The active watch continues until the new one replaces it (see source): a new address may be
+// slow to answer, or never do so.
 //
 // The watch runs on a goroutine of its own, which ends when ctx does, when Unsubscribe or a later watch stops it, or
 // when the watch ends by itself. In that last case it reports the failure, or, if the client keeps its watch, waits
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -24,7 +24,9 @@
 	PollSpread = propagationLimit - max(defaultSilenceTimeout, defaultCallTimeout) - maxQueueTime
 	// RefusedPollSpread is the same after a refusal, which proves that discovery could not be reached until then.
 	RefusedPollSpread = propagationLimit - maxQueueTime
-	// maxRestartDelay bounds the backoff before a watch that the client keeps is started again. Two of them take half
-	// of what two silent watches leave of the limit.
-	maxRestartDelay = (propagationLimit - defaultSilenceTimeout - defaultCallTimeout) / 4
+	// restartDelays is how many of the longest backoffs fit into what two silent watches leave of the limit. Two occur
+	// there, and half is left for the next watch.
+	restartDelays = 4
+	// maxRestartDelay bounds the backoff before a watch that the client keeps is started again.
+	maxRestartDelay = (propagationLimit - defaultSilenceTimeout - defaultCallTimeout) / restartDelays
 )
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -68,6 +68,7 @@
 			return ctx.Err()
 		}
 		c.listTimeout.received(reader.listDuration())
+		// A watch that was replaced ends here too, with an error that nobody sees: its context has been cancelled.
 		if !c.applyWatched(w, list) {
 			return errChangesBeforeAll
 		}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -25,7 +25,7 @@
 	minIdleBeforeBreak = 100 * time.Millisecond
 )
 
-// Bounds are the times between which an attempt has to take place.
+// Bounds are the latest times at which an attempt may begin and end.
 type Bounds struct {
 	Deadline time.Time // by which it has ended
 	NotAfter time.Time // it must not begin after this; zero: no such bound
@@ -37,19 +37,21 @@
 	return now.Before(b.Deadline) && (b.NotAfter.IsZero() || now.Add(startMargin).Before(b.NotAfter))
 }
 
-// Attempt forwards a request to an endpoint once and returns the result, and the response if there was one.
+// Attempt forwards a request to an endpoint once and returns the result, and the response if there was one. The end of
+// ctx cancels the dial and the exchange; the end of request.Lifetime cancels the dial alone, since the outcome of an
+// exchange that has begun must become known.
 func (c *Client) Attempt(ctx context.Context, request *Request, endpointID string,
 	bounds Bounds) (balancer.Result, Response) {
-	// The end of the request cancels a dial for it, but not an exchange that has begun.
 	dialCtx, cancelDial := context.WithCancel(ctx)
 	defer cancelDial()
-	defer context.AfterFunc(request.Done, cancelDial)()
+	stopWaiting := context.AfterFunc(request.Lifetime, cancelDial)
+	defer stopWaiting()
 	conn, failure := c.connect(dialCtx, endpointID, bounds.Deadline)
 	if failure != nil {
 		return failure.result, unsent(failure)
 	}
 	// The request may have ended during the dial. From here to the first byte nothing blocks.
-	if request.abandoned() || ctx.Err() != nil || !bounds.allowStart() {
+	if request.isOver() || ctx.Err() != nil || !bounds.allowStart() {
 		c.pool.release(conn)
 		return balancer.NotSent, unsent(nil)
 	}
@@ -67,9 +69,9 @@
 	if c.loadReports != balancer.LoadReportsNone {
 		path = protocol.LoadReportPath
 	}
-	result, response := c.exchange(ctx, conn, newHealthCheckRequest(path, conn.RemoteAddr().String()), deadline)
-	if path == protocol.LoadReportPath && response.Err == nil && response.Header.Get(protocol.HeaderLoadReport) == "" {
-		response.Header.Set(protocol.HeaderLoadReport, string(response.Body))
+	result, response := c.exchange(ctx, conn, newHealthCheckRequest(path, conn.netConn.RemoteAddr().String()), deadline)
+	if path == protocol.LoadReportPath {
+		response.copyLoadReport()
 	}
 	return result, response
 }
@@ -80,6 +82,9 @@
 // connect returns a connection to an endpoint, idle or new. By the time it is open the endpoint may be draining or have
 // been restarted: nothing is sent to a process that has ended, since the reset of that connection would look like the
 // reset of a request that may have run.
+//
+// It returns no error interface: each failure has the result of its attempt, and nil compared as an error would not be
+// nil.
 func (c *Client) connect(ctx context.Context, endpointID string, deadline time.Time) (*connection, *connectError) {
 	for {
 		entry, serving := c.table.Serving(endpointID)
@@ -115,7 +120,8 @@
 	}
 	result := classifyDialError(ctx, err)
 	if result == balancer.ConnectFailed && socket.IsTimeout(err) {
-		// The machine is silent: its idle connections are no better.
+		// The machine is silent, so its idle connections are no better. A short deadline of the request looks the same,
+		// and costs handshakes at most.
 		c.pool.closeIdle(entry.ID)
 	}
 	return nil, &connectError{entry.ID, result, err}
@@ -141,16 +147,17 @@
 		c.pool.release(conn)
 		return balancer.NotSent, unsent(err)
 	}
-	idle := conn.idleTime()
-	outcome := roundTrip(ctx, conn.Conn, encoded, deadline, c.stallTimeout)
+	// Once it is released, the connection belongs to others.
+	before := connectionBefore{conn.endpointID(), conn.idleSince, conn.idleTime()}
+	outcome := roundTrip(ctx, conn.netConn, encoded, deadline, c.stallTimeout)
 	if outcome.reusable {
 		c.pool.release(conn)
 	} else {
 		c.pool.close(conn)
 	}
 	result := classify(outcome, ctx.Err() != nil)
-	c.closeDeadConnections(conn, result, idle)
-	c.logUnusable(conn.endpointID(), result, outcome.response)
+	c.closeDeadConnections(before, result)
+	c.logUnusable(before.endpointID, result, outcome.response)
 	return result, outcome.response
 }
 
@@ -174,19 +181,27 @@
 	return balancer.Reset
 }
 
-// closeDeadConnections closes the idle connections to an endpoint that are dead as well, judging by the result on conn
-// and its idle time before: an unsafe request that is sent on a dead connection may not be sent again.
-func (c *Client) closeDeadConnections(conn *connection, result balancer.Result, idle time.Duration) {
+// connectionBefore is what is known of a connection before its exchange.
+type connectionBefore struct {
+	endpointID string
+	idleSince  time.Time     // zero for a new one
+	idle       time.Duration // until the exchange
+}
+
+// closeDeadConnections closes the idle connections to an endpoint that are dead as well, judging by the result of an
+// exchange and the state of its connection before: an unsafe request that is sent on a dead connection may not be sent
+// again.
+func (c *Client) closeDeadConnections(before connectionBefore, result balancer.Result) {
 	switch {
 	case result == balancer.TimedOut:
 		// Idle connections to a machine that vanished swallow what is written to them; a new one fails fast, and
 		// proves that nothing ran.
-		c.pool.closeIdle(conn.endpointID())
-	case (result == balancer.Reset || result == balancer.ConnectFailed) && idle > minIdleBeforeBreak:
+		c.pool.closeIdle(before.endpointID)
+	case (result == balancer.Reset || result == balancer.ConnectFailed) && before.idle > minIdleBeforeBreak:
 		// Whatever ended the connection while it was idle, such as a middlebox or a restart of the machine, has ended
 		// those that have been idle for longer too. A break of a busy connection says nothing about the others, and
 		// to close them would cost the endpoint a handshake each.
-		c.pool.closeIdleSince(conn.endpointID(), conn.idleSince)
+		c.pool.closeIdleSince(before.endpointID, before.idleSince)
 	}
 }
 
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -71,7 +71,7 @@
 			client, request := newTestClient(t, server.Addr()), newUnsafeRequest()
 			done, end := context.WithCancel(context.Background())
 			defer end()
-			request.Done = done
+			request.Lifetime = done
 			client.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 				tt.duringDial(client, request, end)
 				return nil
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,4 +1,4 @@
-// Package upstream is the servers' side of the agent: connections to endpoints, the attempts and health checks on
+// Package upstream is the endpoints' side of the agent: connections to endpoints, the attempts and health checks on
 // them, and the result of each.
 //
 // An attempt or a health check runs on its caller's goroutine (attempt.go). The only work in the background is the
@@ -20,10 +20,10 @@
 	maxIdleShare = 0.75
 	// maxIdleByDefault is how long connections stay idle to endpoints that never close one themselves.
 	maxIdleByDefault = time.Minute
-	// healthCheckConnectTimeouts is the time that a health check may take, in connect timeouts.
-	healthCheckConnectTimeouts = 2
-	// stallConnectTimeouts is how long a response that has begun may pause, in connect timeouts.
-	stallConnectTimeouts = 2
+	// healthCheckTimeoutFactor is the time that a health check may take, as a multiple of the connect timeout.
+	healthCheckTimeoutFactor = 2
+	// stallTimeoutFactor is how long a response that has begun may pause, as a multiple of the connect timeout.
+	stallTimeoutFactor = 2
 	// minStallTimeout is the lower bound of that pause.
 	minStallTimeout = 100 * time.Millisecond
 )
@@ -63,8 +63,8 @@
 		pool:               pool,
 		table:              options.Table,
 		loadReports:        options.LoadReports,
-		healthCheckTimeout: healthCheckConnectTimeouts * options.ConnectTimeout,
-		stallTimeout:       max(stallConnectTimeouts*options.ConnectTimeout, minStallTimeout),
+		healthCheckTimeout: healthCheckTimeoutFactor * options.ConnectTimeout,
+		stallTimeout:       max(stallTimeoutFactor*options.ConnectTimeout, minStallTimeout),
 		log:                options.Log,
 	}
 }
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -9,11 +9,10 @@
 
 // connection is one connection to an endpoint. It belongs to whoever took or dialled it until release or close.
 type connection struct {
-	net.Conn
+	netConn   net.Conn // closed by the pool alone, which counts connections
 	group     *endpointGroup
 	entry     endpoint.Entry // as listed when it was dialled
 	idleSince time.Time      // zero before its first release; written under pool.mu
-	closed    bool           // protected by pool.mu
 }
 
 func (c *connection) endpointID() string { return c.group.endpointID }
@@ -26,14 +25,15 @@
 	return time.Since(c.idleSince)
 }
 
-// endpointGroup holds the connections to one endpoint. A draining group is no longer in the pool: its connections that
-// are in use are closed when they are released. pool.mu protects its fields, but for the ID.
+// endpointGroup holds the connections to one endpoint. A retired group is no longer in the pool, since its endpoint
+// drains, is gone or was restarted: its connections that are in use are closed when they are released. pool.mu protects
+// its fields, but for the ID.
 type endpointGroup struct {
 	endpointID string
 
-	idle     []*connection // by idleSince, the longest idle first
-	open     int           // idle, in use and being dialled
-	draining bool
+	idle    []*connection // by idleSince, the longest idle first
+	open    int           // idle, in use and being dialled
+	retired bool
 }
 
 // popNewest takes out the connection that became idle last; there must be one.
--- a/internal/upstream/framing.go
+++ b/internal/upstream/framing.go
@@ -23,48 +23,55 @@
 	framedByClose                     // the body ends with its connection
 )
 
-// bodyFraming is where the body of a response ends.
-type bodyFraming struct {
+// lengthBase and lengthBits are the form of a Content-Length; the bits make it fit into any int.
+const (
+	lengthBase = 10
+	lengthBits = 31
+)
+
+// framing is where the body of a response ends.
+type framing struct {
 	kind   framingKind
 	length int // in bytes, if it is framed by its length
 }
 
-// bodyFraming parses the framing of the body. Two lengths, or a length and an encoding, leave the end of the body
+// parseFraming parses the framing of the body. Two lengths, or a length and an encoding, leave the end of the body
 // ambiguous. A body over the limit is not waited for.
-func (h responseHead) bodyFraming() (bodyFraming, error) {
+func (h responseHead) parseFraming() (framing, error) {
 	lengths, encodings := h.header["Content-Length"], h.header["Transfer-Encoding"]
 	switch {
 	case h.status < http.StatusOK:
-		return bodyFraming{}, fmt.Errorf("status %d", h.status)
+		return framing{}, fmt.Errorf("status %d", h.status)
 	case len(lengths)+len(encodings) == 0:
-		return bodyFraming{kind: framedByClose}, nil
+		return framing{kind: framedByClose}, nil
 	case len(lengths)+len(encodings) != 1:
-		return bodyFraming{}, errors.New("framed twice")
+		return framing{}, errors.New("framed twice")
 	case len(encodings) == 1:
 		if !strings.EqualFold(encodings[0], "chunked") {
-			return bodyFraming{}, fmt.Errorf("encoding %.*q", maxQuoted, encodings[0])
+			return framing{}, fmt.Errorf("encoding %.*q", maxQuoted, encodings[0])
 		}
-		return bodyFraming{kind: framedByChunks}, nil
+		return framing{kind: framedByChunks}, nil
 	}
-	length, err := strconv.ParseUint(lengths[0], 10, 31)
+	length, err := strconv.ParseUint(lengths[0], lengthBase, lengthBits)
 	if err != nil || length > protocol.MaxBodySize {
-		return bodyFraming{}, fmt.Errorf("length %.*q", maxQuoted, lengths[0])
+		return framing{}, fmt.Errorf("length %.*q", maxQuoted, lengths[0])
 	}
-	return bodyFraming{kind: framedByLength, length: int(length)}, nil
+	return framing{kind: framedByLength, length: int(length)}, nil
 }
 
 // readBody reads the body to its end.
-func (f bodyFraming) readBody(in *bufio.Reader) ([]byte, error) {
+func (f framing) readBody(in *bufio.Reader) ([]byte, error) {
 	switch f.kind {
 	case framedByChunks:
 		return readChunkedBody(in)
 	case framedByClose:
 		return readAtMost(in, protocol.MaxBodySize)
-	case framedByLength: // below
+	case framedByLength:
+		body := make([]byte, f.length)
+		_, err := io.ReadFull(in, body)
+		return body, err
 	}
-	body := make([]byte, f.length)
-	_, err := io.ReadFull(in, body)
-	return body, err
+	return nil, fmt.Errorf("framing %d", f.kind) // there is no other kind
 }
 
 func readChunkedBody(in *bufio.Reader) ([]byte, error) {
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -47,7 +47,7 @@
 		Host:       "api.internal",
 		Target:     &url.URL{Opaque: "/settle"},
 		Body:       []byte("x"),
-		Done:       context.Background(),
+		Lifetime:   context.Background(),
 		ClientGone: func() bool { return false },
 	}
 }
@@ -80,7 +80,7 @@
 func (c *Client) firstIdle() net.Conn {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	return c.pool.groups["s0"].idle[0].Conn
+	return c.pool.groups["s0"].idle[0].netConn
 }
 
 // twoIdleConnections returns a client with two idle connections to one server. After a value on next, the server
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -44,8 +44,8 @@
 	defer p.mu.Unlock()
 	for group := p.groups[endpointID]; group != nil && len(group.idle) > 0; {
 		conn := group.popNewest()
-		// Not quiet: the endpoint has closed it, or has sent more than its last response.
-		if socket.Peek(conn.Conn) == socket.Quiet && time.Since(conn.idleSince) < p.maxIdle {
+		// One that is not quiet has ended, has brought more than its last response, or can't be examined at present.
+		if socket.Peek(conn.netConn) == socket.Quiet && time.Since(conn.idleSince) < p.maxIdle {
 			return conn
 		}
 		p.closeLocked(conn)
@@ -66,7 +66,7 @@
 		p.unreserve(group)
 		return nil, err
 	}
-	return &connection{Conn: conn, group: group, entry: entry}, nil
+	return &connection{netConn: conn, group: group, entry: entry}, nil
 }
 
 // reserve counts a connection that is about to be dialled. At the limit it evicts an idle one; with none idle it
@@ -105,18 +105,15 @@
 	return true
 }
 
-// release puts back a connection on which nothing is in flight.
+// release puts back a connection on which nothing is in flight. One of a retired group is closed instead.
 func (p *pool) release(conn *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if conn.closed {
-		return
-	}
-	if conn.group.draining {
+	if conn.group.retired {
 		p.closeLocked(conn)
 		return
 	}
-	_ = conn.SetDeadline(time.Time{}) // fails on a connection that has ended, which takeIdle notices
+	_ = conn.netConn.SetDeadline(time.Time{}) // fails on a connection that has ended, which takeIdle notices
 	conn.idleSince = time.Now()
 	conn.group.idle = append(conn.group.idle, conn)
 	p.scheduleSweepLocked(p.maxIdle)
@@ -163,13 +160,11 @@
 	p.closeLocked(conn)
 }
 
-// closeLocked closes a connection that its group does not list as idle. The caller holds p.mu.
+// closeLocked closes a connection that its group does not list as idle, and takes it off the counts, so it must be
+// called once for each connection: by whoever took or dialled it, or by the pool for one that it took out of the idle
+// ones. The caller holds p.mu.
 func (p *pool) closeLocked(conn *connection) {
-	if conn.closed {
-		return
-	}
-	conn.closed = true
-	_ = conn.Close() // nothing is left to be written
+	_ = conn.netConn.Close() // nothing is left to be written
 	p.uncountLocked(conn.group)
 }
 
@@ -189,7 +184,7 @@
 	defer p.mu.Unlock()
 	if group := p.groups[endpointID]; group != nil {
 		p.closeIdleSinceLocked(group, time.Now())
-		group.draining = true
+		group.retired = true
 		delete(p.groups, endpointID)
 	}
 }
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -44,7 +44,7 @@
 			r.setReadDeadline(r.deadline) // no stall timeout until the final one starts
 			continue
 		}
-		framing, err := head.bodyFraming()
+		framing, err := head.parseFraming()
 		if err != nil {
 			return r.failure(err), false
 		}
@@ -77,8 +77,8 @@
 	return n, err
 }
 
-// setReadDeadline moves the read deadline, but never past the response's, nor past the interruption of a cancelled
-// attempt.
+// setReadDeadline moves the read deadline, but not past the response's. If the attempt has been cancelled, it restores
+// the interruption of reads and writes, which the new deadline may have replaced.
 func (r *responseReader) setReadDeadline(at time.Time) {
 	if at.After(r.deadline) {
 		at = r.deadline
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -19,12 +19,14 @@
 	Method, Host   string
 	Target         *url.URL // path and query as the client sent them
 	Body           []byte
-	Done           context.Context // once it ends, nothing more may go out for the request
-	ClientGone     func() bool     // reports whether the client has left, which the request's owner may not know yet
+	Lifetime       context.Context // once it ends, nothing more may go out for the request
+	// ClientGone reports whether the client gets no answer any more, which the request's owner may not know yet: it has
+	// closed its connection, or floods it.
+	ClientGone func() bool
 }
 
-// abandoned reports whether nothing more may go out for the request.
-func (r *Request) abandoned() bool { return r.Done.Err() != nil || r.ClientGone() }
+// isOver reports whether nothing more may go out for the request.
+func (r *Request) isOver() bool { return r.Lifetime.Err() != nil || r.ClientGone() }
 
 // newForwardedRequest returns the HTTP request of an attempt, whose timeout is what remains until the deadline.
 func newForwardedRequest(request *Request, deadline time.Time) *http.Request {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -15,12 +15,12 @@
 	"ashshunt/internal/protocol"
 )
 
-// Response is what came back for a request: a complete response, or an error.
+// Response is what came back for a request: a complete response, an error, or neither if nothing was sent by choice.
 type Response struct {
 	Status  int
 	Header  textproto.MIMEHeader
 	Body    []byte
-	EndedAt time.Time // when its last byte or the error came
+	EndedAt time.Time // when its last byte or the error came, or it was decided to send nothing
 	Err     error
 }
 
@@ -35,8 +35,15 @@
 	return loadreport.Parse(r.Header.Get(protocol.HeaderLoadReport))
 }
 
+// copyLoadReport has a response whose body is a load report carry it in its header, as other responses do.
+func (r Response) copyLoadReport() {
+	if r.Err == nil && r.Header.Get(protocol.HeaderLoadReport) == "" {
+		r.Header.Set(protocol.HeaderLoadReport, string(r.Body))
+	}
+}
+
 const (
-	// protocolPrefix is how each response begins; the minor version, one digit, follows.
+	// protocolPrefix is how each response begins. The minor version follows: one byte, which may be any.
 	protocolPrefix = "HTTP/1."
 	// statusDigits is the length of a status code.
 	statusDigits = 3
