--- a/internal/endpoint/list.go
+++ b/internal/endpoint/list.go
@@ -19,7 +19,9 @@
 // ParseList parses one list in the form that discovery sends and validates all of it: a list that is applied in part
 // could leave out healthy endpoints. Its errors are ErrMalformedList.
 func ParseList(raw []byte) (List, error) {
-	var fields struct { // by their names on the wire
+	// The names on the wire are in lower case, and encoding/json matches any case. Its errors, which are logged, name
+	// the fields as they are written here, so tags would change these texts.
+	var fields struct {
 		Version *int64
 		Full    bool
 		Servers *[]Entry
--- a/internal/endpoint/list_test.go
+++ b/internal/endpoint/list_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"strings"
 	"testing"
 
@@ -29,6 +30,20 @@
 	}
 }
 
+// Names are matched whatever their case, as encoding/json does.
+func TestParseListInOtherSpellings(t *testing.T) {
+	entry := testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING")
+	for _, names := range [][3]string{
+		{"version", "full", "servers"}, {"Version", "Full", "Servers"}, {"VERSION", "FULL", "sErVeRs"},
+	} {
+		text := fmt.Sprintf(`{%q:41,%q:true,%q:[%s]}`, names[0], names[1], names[2], entry)
+		list, err := endpoint.ParseList([]byte(text))
+		if err != nil || list.Version != 41 || !list.Complete || len(list.Entries) != 1 {
+			t.Errorf("%v: list %+v, error %v", names, list, err)
+		}
+	}
+}
+
 func TestParseMalformedList(t *testing.T) {
 	good := testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING")
 	for name, text := range map[string]string{
--- a/internal/endpoint/table.go
+++ b/internal/endpoint/table.go
@@ -13,8 +13,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: map[string]Entry{}} }
 
-// Apply updates the table by a list. It returns the IDs of the endpoints whose connections have become stale, which
-// must get no further requests: the endpoint drains, is gone, has another address or was restarted.
+// Apply updates the table by a list. It returns the IDs of the endpoints whose connections must not be used
+// again: the endpoint drains, is gone, has another address or was restarted.
 func (t *Table) Apply(list List) (stale []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -10,12 +10,12 @@
 const (
 	// initialRepeatDelay is the wait before a read or a write is repeated; it doubles with each repeat.
 	initialRepeatDelay = time.Millisecond
-	// maxRepeats is how often in a row a read, a write or an examination is repeated. Those that wait take about a
-	// quarter of a second in all.
+	// maxRepeats is how many calls in a row a read or an examination makes at most, and how often a write without
+	// progress is repeated after its first call. The waits take about a quarter of a second in all.
 	maxRepeats = 8
 )
 
-// Conn is a TCP connection whose reads and writes are repeated if they fail by a transient lack of resources: the
+// Conn is a TCP connection whose reads and writes are repeated if they fail transiently (see isTransient): the
 // connection itself is healthy then, and to close it would lose the request on it.
 type Conn struct{ net.Conn }
 
@@ -35,26 +35,35 @@
 	return n, err
 }
 
-// Write implements net.Conn.
-func (c Conn) Write(p []byte) (written int, err error) {
-	delay, repeats := initialRepeatDelay, 0
-	for {
-		n, err := c.Conn.Write(p[written:])
+// Write implements net.Conn. It continues after a write that was cut short, unless that has failed for good.
+func (c Conn) Write(p []byte) (int, error) {
+	written := 0
+	for written < len(p) {
+		n, err := c.writeSome(p[written:])
 		written += n
 		switch {
 		case written == len(p):
 			return written, nil
-		case n > 0 && (err == nil || isTransient(err)):
-			delay, repeats = initialRepeatDelay, 0
-			continue
+		case n > 0 && (err == nil || isTransient(err)): // the rest follows
 		case err == nil:
 			return written, io.ErrShortWrite
-		case !isTransient(err) || repeats == maxRepeats:
+		default:
 			return written, err
 		}
+	}
+	return written, nil
+}
+
+// writeSome writes until at least one byte is written, and repeats writes that fail transiently without that.
+func (c Conn) writeSome(p []byte) (n int, err error) {
+	delay := initialRepeatDelay
+	for repeats := 0; ; repeats++ {
+		n, err = c.Conn.Write(p)
+		if n > 0 || !isTransient(err) || repeats == maxRepeats {
+			return n, err
+		}
 		time.Sleep(delay)
 		delay *= 2
-		repeats++
 	}
 }
 
--- a/internal/socket/errors.go
+++ b/internal/socket/errors.go
@@ -13,8 +13,9 @@
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// isLocalFailure reports whether an error of a dial may have its cause on this machine or its network. Only a refusal
-// and a reset certainly come from the other side; a dial that timed out shows that the other side is silent.
+// isLocalFailure reports whether an error of a dial may have its cause on this machine or its network. Of the system's
+// errors only a refusal and a reset certainly come from the other side; ETIMEDOUT does not. A dial that ran into a
+// deadline of this process carries no error of the system: it shows that the other side is silent.
 func isLocalFailure(err error) bool {
 	var cause syscall.Errno
 	if !errors.As(err, &cause) {
@@ -23,8 +24,8 @@
 	return cause != syscall.ECONNREFUSED && cause != syscall.ECONNRESET
 }
 
-// isTransient reports whether a call on a connection failed by a lack of resources that may pass by itself. The
-// connection is as good as before.
+// isTransient reports whether a call on a connection failed by an interruption, or by a lack of resources that may pass
+// by itself. The connection is as good as before.
 func isTransient(err error) bool {
 	return errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -26,10 +26,10 @@
 
 // The states of a receive side.
 const (
-	Ended    ReceiveState = iota // either side has closed it, or it failed
+	Ended    ReceiveState = iota // nothing will come: either side has closed it, or it failed, or it is no socket
 	Quiet                        // open, with nothing to read
-	Readable                     // bytes wait to be read
-	Unknown                      // the system calls fail at present
+	Readable                     // bytes wait to be read; the other side may have closed it behind them
+	Unknown                      // the system call fails transiently, however often it is repeated
 )
 
 // Peek examines a socket without waiting.
@@ -62,8 +62,8 @@
 
 // PeerState is what a socket shows of the other side while that waits for a response.
 type PeerState struct {
-	Closed  bool // it has closed the connection, or at least its sending side
-	Flooded bool // it has sent so much behind its request that a close after it would not be seen
+	Closed  bool // it has closed the connection or at least its sending side, or the connection has failed
+	Flooded bool // it has sent more than maxUnread behind its request
 }
 
 // Gone reports whether the other side gets no answer any more.
