--- a/cmd/ashshunt-sim/host.go
+++ b/cmd/ashshunt-sim/host.go
@@ -52,7 +52,7 @@
 }
 
 // accept opens or retires an instance, or queues the event for it.
-func (h *host) accept(now time.Duration, event simwire.Event, queue *eventQueue) error {
+func (h *host) accept(now time.Duration, event simwire.InstanceEvent, queue *eventQueue) error {
 	switch {
 	case event.Open != nil:
 		// Events of the same batch for the instance that this one replaces are a step of their own.
@@ -72,7 +72,7 @@
 }
 
 // open starts an instance in place of the one that the agent may have had.
-func (h *host) open(event simwire.Event) error {
+func (h *host) open(event simwire.InstanceEvent) error {
 	instance, err := balancer.New(event.Open.Settings, event.Open.Seed)
 	if err != nil {
 		return &simwire.LineError{Line: event.Line, Message: simwire.KindOpenInstance, Err: config.WithWireKey(err)}
--- a/cmd/ashshunt-sim/main_test.go
+++ b/cmd/ashshunt-sim/main_test.go
@@ -81,7 +81,7 @@
 func TestPanicIsBroken(t *testing.T) {
 	var out bytes.Buffer
 	h := newHost(simwire.NewWriter(&out))
-	b := &simwire.Batch{Events: []simwire.Event{{Agent: 2, Event: balancer.Request{ID: "x"}}}}
+	b := &simwire.Batch{Events: []simwire.InstanceEvent{{Agent: 2, Event: balancer.Request{ID: "x"}}}}
 	h.instances[2] = stepFunc(func(time.Duration, []balancer.Event) []balancer.Action { panic("no such thing") })
 	if err := h.reply(b); err != nil {
 		t.Fatal(err)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -99,7 +99,7 @@
 func (l *eventLoop) discoveryOptions(c *config.Config) discovery.Options {
 	return discovery.Options{
 		Addr:           c.Discovery,
-		CachedList:     c.Known,
+		CachedList:     c.CachedList,
 		Table:          l.endpoints,
 		OnStale:        l.upstream.DrainConnections,
 		OnList:         func(list balancer.EndpointList) { l.post(moduleEvent{list}) },
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -44,10 +44,11 @@
 	Discovery string // host:port of the discovery service
 	Seed      uint64 // of all random choices
 	MemoryMB  int    // memory that the process may use; 0: no limit
-	Sockets   int    // file descriptors that the process may hold; 0: no limit
-	Settings  balancer.Settings
-	Names     Names
-	Known     endpoint.List // the endpoints as last known; may be out of date
+	// Descriptors is how many file descriptors the process may hold; 0: no limit. Key limits.sockets.
+	Descriptors int
+	Settings    balancer.Settings
+	Names       Names
+	CachedList  endpoint.List // the endpoints as last known, which may be stale; key known
 }
 
 // file is the configuration file as it is written.
@@ -74,14 +75,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.Sockets, err = descriptorLimit(c.Sockets); err != nil {
+	if c.Descriptors, err = descriptorLimit(c.Descriptors); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// Parse reads the text of a configuration file and checks it. Unless the text is not JSON of the right types, an
-// error is a *KeyError, or a *balancer.SettingError for a setting out of range.
+// Parse reads the text of a configuration file and checks it. An error is a *KeyError, or a *balancer.SettingError for
+// a setting out of range. For text that is not JSON of the right types it is one of encoding/json, with ErrIncomplete
+// in front where the text ends too early. Descriptors is the configured limit alone; Load applies the system's.
 func Parse(raw []byte) (*Config, error) {
 	f, err := decode(raw)
 	if err != nil {
@@ -89,7 +91,7 @@
 	}
 	c := &Config{Name: valueOrEnv(f.Name, envName)}
 	for _, parse := range []func(*file) error{
-		c.parseAddresses, c.parseSeed, c.parseLimits, c.parseSettings, c.parseKnown,
+		c.parseAddresses, c.parseSeed, c.parseLimits, c.parseSettings, c.parseCachedList,
 	} {
 		if err := parse(f); err != nil {
 			return nil, err
@@ -98,7 +100,7 @@
 	return c, nil
 }
 
-// decode returns an error that wraps ErrIncomplete if the text ends too early.
+// decode reads the text into the form of the file. Its error wraps ErrIncomplete if the text ends too early.
 func decode(raw []byte) (*file, error) {
 	var f file
 	err := json.Unmarshal(raw, &f)
@@ -133,13 +135,15 @@
 // parseLimits drops fractions; a limit that is larger than any int32 binds nothing.
 func (c *Config) parseLimits(f *file) error {
 	c.MemoryMB = int(min(f.Limits.MemoryMB, math.MaxInt32))
-	c.Sockets = int(min(f.Limits.Sockets, math.MaxInt32))
-	if c.MemoryMB < 0 || c.Sockets < 0 {
+	c.Descriptors = int(min(f.Limits.Sockets, math.MaxInt32))
+	if c.MemoryMB < 0 || c.Descriptors < 0 {
 		return &KeyError{Key: keyLimits, Err: errNegative}
 	}
 	return nil
 }
 
+// parseSettings returns a *KeyError for an object that is missing or can't be read, and a *balancer.SettingError, with
+// the key on the wire, for a value that the decision module rejects.
 func (c *Config) parseSettings(f *file) (err error) {
 	if f.Settings == nil {
 		return &KeyError{Key: keySettings, Err: errMissing}
@@ -154,11 +158,11 @@
 	return nil
 }
 
-func (c *Config) parseKnown(f *file) (err error) {
+func (c *Config) parseCachedList(f *file) (err error) {
 	if f.Known == nil {
 		return nil
 	}
-	if c.Known, err = endpoint.ParseList(f.Known); err != nil {
+	if c.CachedList, err = endpoint.ParseList(f.Known); err != nil {
 		return &KeyError{Key: keyKnown, Err: err}
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,8 +24,8 @@
 	if c.Name != "n0" || c.Listen != "127.0.0.1:0" || c.Discovery != "127.0.0.1:1" || c.Seed != 0x8c1f30d27a5be964 {
 		t.Errorf("identity %+v", c)
 	}
-	if c.MemoryMB != 192 || c.Sockets != 1024 {
-		t.Errorf("limits %d MB, %d sockets", c.MemoryMB, c.Sockets)
+	if c.MemoryMB != 192 || c.Descriptors != 1024 {
+		t.Errorf("limits %d MB, %d sockets", c.MemoryMB, c.Descriptors)
 	}
 	if c.Settings.Agents != 2 || c.Settings.AgentIndex != 1 ||
 		c.Settings.Classes[0].Idempotency != balancer.NotIdempotent {
@@ -34,8 +34,8 @@
 	if len(c.Names.Classes) != 1 || c.Names.Classes[0] != "pay" || c.Names.Tenants[0] != "acme" {
 		t.Errorf("names %+v", c.Names)
 	}
-	if c.Known.Version != 4 || len(c.Known.Entries) != 1 || c.Known.Entries[0].ID != "s0" {
-		t.Errorf("known list %+v", c.Known)
+	if c.CachedList.Version != 4 || len(c.CachedList.Entries) != 1 || c.CachedList.Entries[0].ID != "s0" {
+		t.Errorf("known list %+v", c.CachedList)
 	}
 }
 
@@ -113,7 +113,7 @@
 		{1024, 1000, 512, 384, 341},
 	}
 	for _, tt := range tests {
-		c := &Config{Sockets: tt.sockets, Settings: balancer.Settings{MaxOpen: tt.maxOpen}}
+		c := &Config{Descriptors: tt.sockets, Settings: balancer.Settings{MaxOpen: tt.maxOpen}}
 		if got := c.ClientConnections(); got != tt.clients {
 			t.Errorf("%d sockets: %d client connections, want %d", tt.sockets, got, tt.clients)
 		}
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -24,7 +24,8 @@
 // Unwrap returns what is wrong with the value.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// UnknownWordError reports a setting that holds none of the words that the agent knows.
+// UnknownWordError reports a setting that holds none of the words that the agent knows. An error of the same name in
+// internal/simwire is about the messages there, which have no paths.
 type UnknownWordError struct {
 	Key  string // the path within the settings object
 	What string // what the word names
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -28,14 +28,14 @@
 
 // descriptors returns how many descriptors so many parts are, rounded up.
 func (c *Config) descriptors(parts int) int {
-	return (c.Sockets*parts + descriptorParts - 1) / descriptorParts
+	return (c.Descriptors*parts + descriptorParts - 1) / descriptorParts
 }
 
 // OpenRequests is the most requests that may be open; 0: no limit. It is the limit of the settings, or what the
 // descriptors allow where that is less.
 func (c *Config) OpenRequests() int {
 	limit := c.Settings.MaxOpen
-	if allowed := c.Sockets / descriptorsPerRequest; allowed > 0 && (limit == 0 || allowed < limit) {
+	if allowed := c.Descriptors / descriptorsPerRequest; allowed > 0 && (limit == 0 || allowed < limit) {
 		limit = allowed
 	}
 	return limit
--- a/internal/config/mapping.go
+++ b/internal/config/mapping.go
@@ -6,6 +6,7 @@
 
 	"ashshunt/balancer"
 	"ashshunt/internal/clock"
+	"ashshunt/internal/loadreport"
 )
 
 // The functions below map the settings object, group by group: the field of balancer.Settings stands on the left, the
@@ -28,7 +29,8 @@
 	if err := o.Report.mapTo(&s); err != nil {
 		return s, err
 	}
-	return s, o.mapClasses(&s)
+	err := o.mapClasses(&s)
+	return s, err
 }
 
 // mapAgents maps who the agents are and what they are a part of.
@@ -180,7 +182,8 @@
 	return milliseconds(value / microsecondsPerMillisecond)
 }
 
-// The words of the settings object. An empty word stands for a key that is absent.
+// The words of the settings object. An empty word stands for a key that is absent. internal/simwire has the words of
+// messages, whose errors have another form.
 
 const (
 	countedByWork       = "work"      // of CountedBy: priorities count per unit of work
@@ -203,12 +206,12 @@
 }
 
 var reportFields = map[string]balancer.LoadReportFields{
-	"outstanding":  balancer.FieldInFlight,
-	"backlog":      balancer.FieldQueue,
-	"utilization":  balancer.FieldUtilization,
-	"recent_ms":    balancer.FieldService,
-	"throughput":   balancer.FieldThroughput,
-	"errors_per_s": balancer.FieldErrors,
+	loadreport.InFlight:        balancer.FieldInFlight,
+	loadreport.Queue:           balancer.FieldQueue,
+	loadreport.Utilization:     balancer.FieldUtilization,
+	loadreport.ServiceMs:       balancer.FieldService,
+	loadreport.Throughput:      balancer.FieldThroughput,
+	loadreport.ErrorsPerSecond: balancer.FieldErrors,
 }
 
 var idempotencies = map[string]balancer.Idempotency{
--- a/internal/config/wire_keys.go
+++ b/internal/config/wire_keys.go
@@ -7,7 +7,9 @@
 	"ashshunt/balancer"
 )
 
-// wireKeys gives the path within the settings object for each field of balancer.Settings that has another name there.
+// wireKeys gives the path within the settings object for each field of balancer.Settings, and of its classes and
+// tenants, that an error of balancer.New may name and that has another name in the object. The fields of a class or a
+// tenant stand without their path. PollSpread and RefusedPollSpread are left out: the agent sets them itself.
 var wireKeys = map[string]string{
 	"Agents":                    "Balancers",
 	"AgentIndex":                "Me",
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -20,7 +20,7 @@
 	events := make(chan balancer.EndpointList, 10)
 	return Options{
 		Addr:           c.Discovery,
-		CachedList:     c.Known,
+		CachedList:     c.CachedList,
 		Table:          endpoint.NewTable(),
 		OnStale:        func(string) {},
 		OnList:         func(event balancer.EndpointList) { events <- event },
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -32,7 +32,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			config := testutil.Config(t, "127.0.0.1:1")
-			config.Sockets = 8 // 4 for clients
+			config.Descriptors = 8 // 4 for clients
 			server, _ := startServer(t, config, echo, func(s *Server) {
 				reclaimAtOnce(s)
 				s.Timeouts.ReclaimUnused = test.reclaimUnused
@@ -59,7 +59,7 @@
 	t.Parallel()
 	gate, submitted := make(chan struct{}), make(chan *Request, 2)
 	config := testutil.Config(t, "127.0.0.1:1")
-	config.Sockets = 2 // 1 for clients
+	config.Descriptors = 2 // 1 for clients
 	server, _ := startServer(t, config, func(r *Request) {
 		submitted <- r
 		<-gate
@@ -85,7 +85,7 @@
 func TestConnectionsNearTheLimitCloseWithTheResponse(t *testing.T) {
 	t.Parallel()
 	config := testutil.Config(t, "127.0.0.1:1")
-	config.Sockets = 8 // 4 for clients
+	config.Descriptors = 8 // 4 for clients
 	server, _ := startServer(t, config, echo, func(s *Server) {
 		s.Timeouts.ReclaimIdle = time.Hour
 		s.Timeouts.Idle = time.Hour
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -11,30 +11,30 @@
 	"ashshunt/internal/clock"
 )
 
-// notReported marks a value that a load report does not hold.
+// notReported marks a value that a load report does not hold. As a service time it is a negative duration.
 const notReported = -1
 
 // textPrefix starts a report in the one format that endpoints use.
 const textPrefix = "TEXT "
 
-// The values of a report, by their names in the simulator's messages.
+// The values of a report, by their names in the simulator's messages and in the settings.
 const (
-	valueInFlight        = "outstanding"
-	valueQueue           = "backlog"
-	valueUtilization     = "utilization"
-	valueServiceMs       = "recent_ms"
-	valueThroughput      = "throughput"
-	valueErrorsPerSecond = "errors_per_s"
+	InFlight        = "outstanding"
+	Queue           = "backlog"
+	Utilization     = "utilization"
+	ServiceMs       = "recent_ms"
+	Throughput      = "throughput"
+	ErrorsPerSecond = "errors_per_s"
 )
 
-// endpointNames maps the names that real endpoints use to the simulator's. A report may use either.
-var endpointNames = map[string]string{
-	"inflight":   valueInFlight,
-	"queue":      valueQueue,
-	"util":       valueUtilization,
-	"latency_ms": valueServiceMs,
-	"qps":        valueThroughput,
-	"eps":        valueErrorsPerSecond,
+// endpointReportNames maps the names that real endpoints use to the simulator's. A report may use either.
+var endpointReportNames = map[string]string{
+	"inflight":   InFlight,
+	"queue":      Queue,
+	"util":       Utilization,
+	"latency_ms": ServiceMs,
+	"qps":        Throughput,
+	"eps":        ErrorsPerSecond,
 }
 
 // Parse parses a report as endpoints write it: "TEXT name=value, name=value". Text that can't be parsed in full is no
@@ -52,7 +52,7 @@
 		}
 		values[name] = value
 	}
-	for endpointName, name := range endpointNames {
+	for endpointName, name := range endpointReportNames {
 		if value, ok := values[endpointName]; ok {
 			values[name] = value
 		}
@@ -80,14 +80,14 @@
 	}
 	report := balancer.LoadReport{
 		Valid:        values != nil,
-		InFlight:     value(valueInFlight),
-		Queue:        value(valueQueue),
-		Utilization:  value(valueUtilization),
-		Throughput:   value(valueThroughput),
+		InFlight:     value(InFlight),
+		Queue:        value(Queue),
+		Utilization:  value(Utilization),
+		Throughput:   value(Throughput),
 		Service:      notReported,
-		ErrorsPerSec: value(valueErrorsPerSecond),
+		ErrorsPerSec: value(ErrorsPerSecond),
 	}
-	if ms, ok := values[valueServiceMs]; ok {
+	if ms, ok := values[ServiceMs]; ok {
 		report.Service = clock.Milliseconds(ms)
 	}
 	return report
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -18,8 +18,9 @@
 	Settings balancer.Settings
 }
 
-// Event is one event of a batch, with the instance that it belongs to. Exactly one of Open, Retire and Event is set.
-type Event struct {
+// InstanceEvent is one event of a batch, with the instance that it belongs to. Exactly one of Open, Retire and Event is
+// set.
+type InstanceEvent struct {
 	Line   int            // line number in the stream, from 1
 	Agent  int            // number of the instance
 	Open   *Open          // the instance starts
@@ -30,5 +31,5 @@
 // Batch holds what happened at one instant.
 type Batch struct {
 	Now    time.Duration // on the simulator's clock
-	Events []Event
+	Events []InstanceEvent
 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -19,7 +19,7 @@
 
 // eventDecoders has a decoder for each kind of message that holds an event. Each checks that the fields of its kind are
 // there; the number of the instance is left to decoder.event.
-var eventDecoders = map[string]func(*decoder, *message) (Event, error){
+var eventDecoders = map[string]func(*decoder, *message) (InstanceEvent, error){
 	KindOpenInstance: (*decoder).openInstance,
 	kindRetire:       (*decoder).retire,
 	kindView:         (*decoder).endpointList,
@@ -33,17 +33,17 @@
 }
 
 // event returns the event that m holds.
-func (d *decoder) event(m *message) (Event, error) {
+func (d *decoder) event(m *message) (InstanceEvent, error) {
 	decode, ok := eventDecoders[m.Kind]
 	if !ok {
-		return Event{}, ErrUnknownMessage
+		return InstanceEvent{}, ErrUnknownMessage
 	}
 	event, err := decode(d, m)
 	if err != nil {
-		return Event{}, err
+		return InstanceEvent{}, err
 	}
 	if m.Agent == nil {
-		return Event{}, missing("Agent")
+		return InstanceEvent{}, missing("Agent")
 	}
 	event.Agent = *m.Agent
 	return event, nil
@@ -85,43 +85,43 @@
 	}, nil
 }
 
-func (d *decoder) openInstance(m *message) (Event, error) {
+func (d *decoder) openInstance(m *message) (InstanceEvent, error) {
 	if m.RandomSeed == nil || m.Facts == nil {
-		return Event{}, missing("RandomSeed", "Facts")
+		return InstanceEvent{}, missing("RandomSeed", "Facts")
 	}
 	settings, _, err := config.ParseSettings(m.Facts)
 	if err != nil {
-		return Event{}, err
+		return InstanceEvent{}, err
 	}
-	return Event{Open: &Open{Seed: *m.RandomSeed, Settings: settings}}, nil
+	return InstanceEvent{Open: &Open{Seed: *m.RandomSeed, Settings: settings}}, nil
 }
 
-func (d *decoder) retire(*message) (Event, error) { return Event{Retire: true}, nil }
+func (d *decoder) retire(*message) (InstanceEvent, error) { return InstanceEvent{Retire: true}, nil }
 
-func (d *decoder) endpointList(m *message) (Event, error) {
+func (d *decoder) endpointList(m *message) (InstanceEvent, error) {
 	if m.How == nil {
-		return Event{}, missing("How")
+		return InstanceEvent{}, missing("How")
 	}
 	kind, err := listKindWords.meaning(*m.How)
 	if err != nil {
-		return Event{}, err
+		return InstanceEvent{}, err
 	}
 	if kind == balancer.ListFailed {
-		return Event{Event: balancer.EndpointList{Kind: kind}}, nil
+		return InstanceEvent{Event: balancer.EndpointList{Kind: kind}}, nil
 	}
 	if m.Sheet == nil {
-		return Event{}, missing("Sheet")
+		return InstanceEvent{}, missing("Sheet")
 	}
 	list, ok := d.lists[*m.Sheet]
 	if !ok {
-		return Event{}, &UndefinedListError{Sheet: *m.Sheet}
+		return InstanceEvent{}, &UndefinedListError{Sheet: *m.Sheet}
 	}
-	return Event{Event: balancer.EndpointList{Kind: kind, Endpoints: list}}, nil
+	return InstanceEvent{Event: balancer.EndpointList{Kind: kind, Endpoints: list}}, nil
 }
 
-func (d *decoder) request(m *message) (Event, error) {
+func (d *decoder) request(m *message) (InstanceEvent, error) {
 	if m.Job == nil || m.TierClass == nil || m.GraceMs == nil {
-		return Event{}, missing("Job", "TierClass", "GraceMs")
+		return InstanceEvent{}, missing("Job", "TierClass", "GraceMs")
 	}
 	request := balancer.Request{
 		ID:          *m.Job,
@@ -135,18 +135,18 @@
 	if m.StateBits&bitWorkHint != 0 {
 		request.Work = clock.Milliseconds(m.WorkHintMs)
 	}
-	return Event{Event: request}, nil
+	return InstanceEvent{Event: request}, nil
 }
 
-func (d *decoder) outcome(m *message) (Event, error) {
+func (d *decoder) outcome(m *message) (InstanceEvent, error) {
 	if m.Job == nil || m.Outcome == nil || m.SendNo == nil || m.Backend == nil || m.WaitTimeMs == nil {
-		return Event{}, missing("Job", "Outcome", "SendNo", "Backend", "WaitTimeMs")
+		return InstanceEvent{}, missing("Job", "Outcome", "SendNo", "Backend", "WaitTimeMs")
 	}
 	result, err := resultWords.meaning(*m.Outcome)
 	if err != nil {
-		return Event{}, err
+		return InstanceEvent{}, err
 	}
-	return Event{Event: balancer.Outcome{
+	return InstanceEvent{Event: balancer.Outcome{
 		Request:    *m.Job,
 		Attempt:    *m.SendNo,
 		Endpoint:   *m.Backend,
@@ -157,15 +157,15 @@
 	}}, nil
 }
 
-func (d *decoder) healthCheckResult(m *message) (Event, error) {
+func (d *decoder) healthCheckResult(m *message) (InstanceEvent, error) {
 	if m.Backend == nil || m.Outcome == nil || m.WaitTimeMs == nil {
-		return Event{}, missing("Backend", "Outcome", "WaitTimeMs")
+		return InstanceEvent{}, missing("Backend", "Outcome", "WaitTimeMs")
 	}
 	result, err := resultWords.meaning(*m.Outcome)
 	if err != nil {
-		return Event{}, err
+		return InstanceEvent{}, err
 	}
-	return Event{Event: balancer.HealthCheckResult{
+	return InstanceEvent{Event: balancer.HealthCheckResult{
 		Endpoint:   *m.Backend,
 		Result:     result,
 		Latency:    clock.Milliseconds(*m.WaitTimeMs),
@@ -173,34 +173,34 @@
 	}}, nil
 }
 
-func (d *decoder) streamStarted(m *message) (Event, error) {
+func (d *decoder) streamStarted(m *message) (InstanceEvent, error) {
 	if m.Job == nil || m.SendNo == nil {
-		return Event{}, missing("Job", "SendNo")
+		return InstanceEvent{}, missing("Job", "SendNo")
 	}
-	return Event{Event: balancer.StreamStarted{Request: *m.Job, Attempt: *m.SendNo}}, nil
+	return InstanceEvent{Event: balancer.StreamStarted{Request: *m.Job, Attempt: *m.SendNo}}, nil
 }
 
-func (d *decoder) abandoned(m *message) (Event, error) {
+func (d *decoder) abandoned(m *message) (InstanceEvent, error) {
 	if m.Job == nil {
-		return Event{}, missing("Job")
+		return InstanceEvent{}, missing("Job")
 	}
-	return Event{Event: balancer.Abandoned{Request: *m.Job}}, nil
+	return InstanceEvent{Event: balancer.Abandoned{Request: *m.Job}}, nil
 }
 
-func (d *decoder) timerFired(m *message) (Event, error) {
+func (d *decoder) timerFired(m *message) (InstanceEvent, error) {
 	if m.Cookie == nil {
-		return Event{}, missing("Cookie")
+		return InstanceEvent{}, missing("Cookie")
 	}
-	return Event{Event: balancer.TimerFired{Token: *m.Cookie}}, nil
+	return InstanceEvent{Event: balancer.TimerFired{Token: *m.Cookie}}, nil
 }
 
-func (d *decoder) gossipMessage(m *message) (Event, error) {
+func (d *decoder) gossipMessage(m *message) (InstanceEvent, error) {
 	if m.From == nil || m.Text == nil {
-		return Event{}, missing("From", "Msg")
+		return InstanceEvent{}, missing("From", "Msg")
 	}
 	data, err := hex.DecodeString(*m.Text)
 	if err != nil {
-		return Event{}, &FieldError{Field: "Msg", Err: err}
+		return InstanceEvent{}, &FieldError{Field: "Msg", Err: err}
 	}
-	return Event{Event: balancer.GossipMessage{From: *m.From, Data: data}}, nil
+	return InstanceEvent{Event: balancer.GossipMessage{From: *m.From, Data: data}}, nil
 }
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -67,7 +67,8 @@
 // Unwrap returns the reason.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// UnknownWordError reports a field whose value is none of the words that it may hold.
+// UnknownWordError reports a field of a message whose value is none of the words that it may hold. For words of the
+// settings object see the error of the same name in internal/config.
 type UnknownWordError struct{ Field, Word string }
 
 func (e *UnknownWordError) Error() string { return fmt.Sprintf("unknown %s %q", e.Field, e.Word) }
--- a/internal/simwire/line.go
+++ b/internal/simwire/line.go
@@ -1,6 +1,7 @@
 package simwire
 
 import (
+	"encoding/hex"
 	"encoding/json"
 	"strconv"
 	"time"
@@ -13,81 +14,116 @@
 	float64Bits = 64
 )
 
-// line puts one JSON object together. Its buffer is used again, since replies have many lines.
-type line struct{ buffer []byte }
+// lineEncoder puts one JSON object together. Its buffer is used again, since replies have many lines.
+type lineEncoder struct{ buffer []byte }
+
+// encode replaces what the encoder holds by the message for an action.
+func (e *lineEncoder) encode(agent int, action balancer.Action) error {
+	switch a := action.(type) {
+	case balancer.Send:
+		e.begin(kindTry, agent).text("Job", a.Request).text("Backend", a.Endpoint)
+		e.positiveMilliseconds("PatienceMs", a.Timeout)
+	case balancer.Cancel:
+		e.begin(kindCancel, agent).text("Job", a.Request).integer("SendNo", int64(a.Attempt))
+	case balancer.Reject:
+		e.begin(kindSayNo, agent).text("Job", a.Request)
+		e.positiveMilliseconds("WaitMs", a.RetryAfter)
+	case balancer.Fail:
+		e.begin(kindDropRequest, agent).text("Job", a.Request)
+	case balancer.SetTimer:
+		e.begin(kindSetTimer, agent).milliseconds("SpanMs", a.After).integer("Cookie", a.Token)
+	case balancer.HealthCheck:
+		e.begin(kindTest, agent).text("Backend", a.Endpoint)
+	case balancer.Gossip:
+		e.begin(kindWritePeer, agent).recipient("Whom", a).text("Msg", hex.EncodeToString(a.Data))
+	case balancer.Subscribe:
+		e.begin(kindKeepInformed, agent).literal("Enable", "true")
+	case balancer.Unsubscribe:
+		e.begin(kindKeepInformed, agent).literal("Enable", "false")
+	case balancer.PollEndpoints:
+		e.begin(kindListAll, agent)
+	case balancer.CloseIdle:
+		e.begin(kindCloseIdle, agent).text("Backend", a.Endpoint)
+	case balancer.LogMessage:
+		e.begin(kindTrace, agent).text("Msg", a.Text)
+	default:
+		return &UnknownActionError{Action: action}
+	}
+	return nil
+}
 
 // begin starts a message of an instance. The methods below add fields to it.
-func (l *line) begin(kind string, agent int) *line {
-	l.beginObject(kind)
-	return l.integer("Agent", int64(agent))
+func (e *lineEncoder) begin(kind string, agent int) *lineEncoder {
+	e.beginObject(kind)
+	return e.integer("Agent", int64(agent))
 }
 
 // beginReplyEnd starts the message that ends a reply, which has no further field.
-func (l *line) beginReplyEnd() { l.beginObject(kindEndOfReply) }
+func (e *lineEncoder) beginReplyEnd() { e.beginObject(kindEndOfReply) }
 
-func (l *line) beginObject(kind string) {
-	l.buffer = append(l.buffer[:0], `{"msg":"`...)
-	l.buffer = append(l.buffer, kind...)
-	l.buffer = append(l.buffer, '"')
+func (e *lineEncoder) beginObject(kind string) {
+	e.buffer = append(e.buffer[:0], `{"msg":"`...)
+	e.buffer = append(e.buffer, kind...)
+	e.buffer = append(e.buffer, '"')
 }
 
 // end returns the whole line, which is valid until the next begin.
-func (l *line) end() []byte {
-	l.buffer = append(l.buffer, "}\n"...)
-	return l.buffer
+func (e *lineEncoder) end() []byte {
+	e.buffer = append(e.buffer, "}\n"...)
+	return e.buffer
 }
 
-func (l *line) name(name string) {
-	l.buffer = append(l.buffer, `,"`...)
-	l.buffer = append(l.buffer, name...)
-	l.buffer = append(l.buffer, `":`...)
+func (e *lineEncoder) name(name string) {
+	e.buffer = append(e.buffer, `,"`...)
+	e.buffer = append(e.buffer, name...)
+	e.buffer = append(e.buffer, `":`...)
 }
 
-func (l *line) integer(name string, value int64) *line {
-	l.name(name)
-	l.buffer = strconv.AppendInt(l.buffer, value, decimal)
-	return l
+func (e *lineEncoder) integer(name string, value int64) *lineEncoder {
+	e.name(name)
+	e.buffer = strconv.AppendInt(e.buffer, value, decimal)
+	return e
 }
 
-func (l *line) milliseconds(name string, value time.Duration) *line {
-	l.name(name)
+func (e *lineEncoder) milliseconds(name string, value time.Duration) *lineEncoder {
+	e.name(name)
 	milliseconds := float64(value) / float64(time.Millisecond)
-	l.buffer = strconv.AppendFloat(l.buffer, milliseconds, 'f', -1, float64Bits)
-	return l
+	e.buffer = strconv.AppendFloat(e.buffer, milliseconds, 'f', -1, float64Bits)
+	return e
 }
 
 // positiveMilliseconds adds a time, which is left out where there is none.
-func (l *line) positiveMilliseconds(name string, value time.Duration) {
+func (e *lineEncoder) positiveMilliseconds(name string, value time.Duration) {
 	if value > 0 {
-		l.milliseconds(name, value)
+		e.milliseconds(name, value)
 	}
 }
 
 // literal adds a value that is JSON already.
-func (l *line) literal(name, value string) *line {
-	l.name(name)
-	l.buffer = append(l.buffer, value...)
-	return l
+func (e *lineEncoder) literal(name, value string) *lineEncoder {
+	e.name(name)
+	e.buffer = append(e.buffer, value...)
+	return e
 }
 
 // recipient adds the number of the instance that a gossip message is for, or null for all of them.
-func (l *line) recipient(name string, gossip balancer.Gossip) *line {
+func (e *lineEncoder) recipient(name string, gossip balancer.Gossip) *lineEncoder {
 	if !gossip.One {
-		return l.literal(name, "null")
+		return e.literal(name, "null")
 	}
-	return l.integer(name, int64(gossip.To))
+	return e.integer(name, int64(gossip.To))
 }
 
-func (l *line) text(name, value string) *line {
+func (e *lineEncoder) text(name, value string) *lineEncoder {
 	if !isPlain(value) {
 		quoted, _ := json.Marshal(value) // a string always marshals
-		return l.literal(name, string(quoted))
+		return e.literal(name, string(quoted))
 	}
-	l.name(name)
-	l.buffer = append(l.buffer, '"')
-	l.buffer = append(l.buffer, value...)
-	l.buffer = append(l.buffer, '"')
-	return l
+	e.name(name)
+	e.buffer = append(e.buffer, '"')
+	e.buffer = append(e.buffer, value...)
+	e.buffer = append(e.buffer, '"')
+	return e
 }
 
 // isPlain reports whether a string needs nothing but quotes around it.
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -6,7 +6,8 @@
 	"ashshunt/balancer"
 )
 
-// The kinds of message that the simulator sends. Those from OpenInstance on hold one event each.
+// The kinds of message that the simulator sends. Those from OpenInstance on hold one event each. KindOpenInstance is
+// exported for the errors of whoever opens instances.
 const (
 	kindFrame        = "Frame"        // starts a batch
 	kindEnd          = "End"          // ends a batch
@@ -37,7 +38,7 @@
 	kindCloseIdle    = "CloseIdle"    // balancer.CloseIdle
 	kindTrace        = "Trace"        // balancer.LogMessage
 	kindBroken       = "Broken"       // the decision code of an instance has failed
-	kindEndOfReply   = "Eor"
+	kindEndOfReply   = "Eor"          // ends a reply
 )
 
 // message holds the fields of every message from the simulator, named as on the wire. Pointers mark those that some
@@ -87,7 +88,8 @@
 	bitWrite       = 4
 )
 
-// vocabulary gives the meanings of the words that one field may hold.
+// vocabulary gives the meanings of the words that one field of a message may hold. internal/config looks up those of
+// the settings object, whose errors say more.
 type vocabulary[T any] struct {
 	field    string
 	meanings map[string]T
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -15,9 +15,9 @@
 
 // Reader reads batches.
 type Reader struct {
-	in      *bufio.Reader
-	line    int // number of the line that was read last
-	decoder decoder
+	in         *bufio.Reader
+	lineNumber int // of the line that was read last
+	decoder    decoder
 }
 
 // NewReader returns a Reader on r.
@@ -78,7 +78,7 @@
 		if err != nil {
 			return r.errorIn(m.Kind, err)
 		}
-		event.Line = r.line
+		event.Line = r.lineNumber
 		batch.Events = append(batch.Events, event)
 	}
 	return nil
@@ -91,7 +91,7 @@
 		if errors.Is(err, io.EOF) && len(text) == 0 {
 			return nil, io.EOF
 		}
-		r.line++
+		r.lineNumber++
 		if err != nil && !errors.Is(err, io.EOF) {
 			return nil, r.errorIn("", err)
 		}
@@ -108,5 +108,5 @@
 
 // errorIn returns an error in the line that was read last; message is the kind of its message, or "".
 func (r *Reader) errorIn(message string, err error) error {
-	return &LineError{Line: r.line, Message: message, Err: err}
+	return &LineError{Line: r.lineNumber, Message: message, Err: err}
 }
