--- a/check.sh
+++ b/check.sh
@@ -9,6 +9,9 @@
 max_start_polls=300    # of the agent's log until it serves, one each start_poll_seconds
 start_poll_seconds=0.1
 
+dir= # holds the configuration and the log of the agent that check_agent starts
+pid= # of that agent; empty: it is not running
+
 main() {
 	check_sources
 	check_file_sizes
@@ -76,7 +79,7 @@
 		fi
 	done
 	for file in balancer/*.go; do
-		is_interface "$file" && continue
+		holds_no_decisions "$file" && continue
 		case " $policy " in
 		*" $file "*) ;;
 		*) fail "deploy/balancer.toml: policy does not name $file" ;;
@@ -84,8 +87,8 @@
 	done
 }
 
-# is_interface reports whether a file of balancer/ holds neither decision logic nor its state.
-is_interface() {
+# holds_no_decisions reports whether a file of balancer/ holds neither decision logic nor its state.
+holds_no_decisions() {
 	case "$1" in
 	*_test.go) return 0 ;;
 	balancer/events.go | balancer/actions.go | balancer/settings.go | balancer/validation.go | balancer/doc.go) return 0 ;;
@@ -103,7 +106,6 @@
 # check_agent checks that the agent rejects a configuration that is missing, starts, and exits with status 0 on SIGTERM.
 check_agent() {
 	dir=$(mktemp -d)
-	pid=
 	trap '[ -z "$pid" ] || kill "$pid" 2>/dev/null || true; rm -rf "$dir"' EXIT
 	check_missing_configuration
 	write_configuration
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -1,13 +1,17 @@
 #!/bin/bash
 # Runs all tests. Those that KNOWN-RED.txt names run apart from the others: their result is printed and does not count.
-# Each of its lines that is neither empty nor a comment is "PACKAGE TEST: cause (issue N)", PACKAGE as in go test.
+# Each of its lines that is neither empty nor a comment names one test, PACKAGE as in go test, and says why it fails, how
+# to see that, with which seed, and what was seen:
+#
+#   PACKAGE TEST: CAUSE; run: go test ARGUMENTS; seed: NUMBER or none; seen: OBSERVATION (issue N)
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
 max_known_red=3
 known_red_timeout=120s
 known_red_output_lines=20
-line_form='^(\./[a-z/]+) (Test[A-Za-z0-9_]+): .+ \(issue [0-9]+\)$'
+line_form='^(\./[a-z/]+) (Test[A-Za-z0-9_]+): [^;]+; run: go test [^;]+; seed: ([0-9]+|none); seen: .+ \(issue [0-9]+\)$'
+line_form_text='PACKAGE TEST: CAUSE; run: go test ARGUMENTS; seed: NUMBER or none; seen: OBSERVATION (issue N)'
 
 known_red=() # the lines of KNOWN-RED.txt
 names=()     # the names of the tests in these lines
@@ -38,7 +42,7 @@
 
 # parse_line sets package and name from a line of KNOWN-RED.txt.
 parse_line() {
-	[[ $1 =~ $line_form ]] || fail "not 'PACKAGE TEST: cause (issue N)': $1"
+	[[ $1 =~ $line_form ]] || fail "not '$line_form_text': $1"
 	package=${BASH_REMATCH[1]}
 	name=${BASH_REMATCH[2]}
 }
@@ -52,8 +56,13 @@
 	[ "$in_package $in_all" = "1 1" ] || fail "$2 is not one test, in $1"
 }
 
-# count_tests prints how many tests in packages have a name.
-count_tests() { go test -list "^$1\$" "$2" | grep -cx "$1" || true; }
+# count_tests prints how many tests in packages have a name. It fails where the tests can't be listed, such as for one
+# that does not compile.
+count_tests() {
+	local listed
+	listed=$(go test -list "^$1\$" "$2") || fail "the tests of $2 can't be listed"
+	grep -cx "$1" <<<"$listed" || [ "$?" -eq 1 ] # 1: none
+}
 
 # run_counted_tests runs all tests but the known red ones, those of internal/ with the race detector.
 run_counted_tests() {
