--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -19,8 +19,8 @@
 // there; a watch ends with errListTooLong.
 const maxListSize = 8 << 20
 
-// errRefused marks a call that discovery answered with a status other than 200, whichever it is: each
-// means that discovery was reached and serves no list, and the decision module has one event for that, ListRefused.
+// errRefused marks a call that discovery answered with a status other than 200, whichever it is: the
+// decision module has one event for all of them, ListRefused.
 var errRefused = errors.New("discovery refused the call")
 
 // newHTTPClient returns a client that uses each connection once, so that it never sends a call again by itself. Its
