--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -19,12 +19,12 @@
 // there; a watch ends with errListTooLong.
 const maxListSize = 8 << 20
 
-// errRefused marks a call that discovery answered with a status other than 200, whichever it is: the
-// decision module has one event for all of them, ListRefused.
+// errRefused marks a call that discovery answered with a status other than 200, whichever it is: the decision module
+// has one event for all of them, ListRefused.
 var errRefused = errors.New("discovery refused the call")
 
 // newHTTPClient returns a client that uses each connection once, so that it never sends a call again by itself. Its
-// timeouts do not follow Options.CallTimeout; a shorter one binds by the context of the call.
+// timeouts do not follow Options.CallTimeout: a shorter one ends the call by its context, a longer one has no effect.
 func newHTTPClient() *http.Client {
 	dialer := &socket.Dialer{Dialer: net.Dialer{Timeout: defaultCallTimeout}}
 	return &http.Client{Transport: &http.Transport{
--- a/internal/discovery/listtimeout.go
+++ b/internal/discovery/listtimeout.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// listTimeoutGrowth is the factor by which the timeout of a list grows when one expires, and its multiple of the
+	// listTimeoutFactor is the factor by which the timeout of a list grows when one expires, and its multiple of the
 	// time that the last list took.
-	listTimeoutGrowth = 2
-	// maxListTimeoutGrowth bounds the timeout, in multiples of its minimum.
-	maxListTimeoutGrowth = 8
+	listTimeoutFactor = 2
+	// maxListTimeoutFactor bounds the timeout, in multiples of its minimum.
+	maxListTimeoutFactor = 8
 )
 
 // listTimeout is the time that one list of a watch may take from its first byte to its end. It adapts to slow lists,
@@ -37,7 +37,7 @@
 func (l *listTimeout) expired() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.set(listTimeoutGrowth * l.timeout)
+	l.set(listTimeoutFactor * l.timeout)
 }
 
 // received adapts the timeout to the time that a list took. One that came along with the list before it took none, and
@@ -45,10 +45,10 @@
 func (l *listTimeout) received(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.set(listTimeoutGrowth * took)
+	l.set(listTimeoutFactor * took)
 }
 
 // set sets the timeout within its bounds. The caller holds mu.
 func (l *listTimeout) set(timeout time.Duration) {
-	l.timeout = min(max(l.minimum, timeout), maxListTimeoutGrowth*l.minimum)
+	l.timeout = min(max(l.minimum, timeout), maxListTimeoutFactor*l.minimum)
 }
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -73,7 +73,7 @@
 	previous := s.starts
 	if list.Complete {
 		s.starts = make(map[string]start, len(list.Entries))
-	} // otherwise previous is s.starts itself, in which the entries of a delta replace their own starts
+	} // otherwise previous is s.starts itself: each entry of a delta replaces its own start alone
 	for _, entry := range list.Entries {
 		unix := entry.StartedAtUnix()
 		switch last, known := previous[entry.ID]; {
