--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -29,7 +29,7 @@
 	// Set once; the goroutines of attempts read upstream too.
 	inbound  *frontend.Request  // as the client sent it
 	upstream *upstream.Request  // as the attempts send it
-	markDone context.CancelFunc // ends upstream.Done, which tells attempts that the request is over
+	markDone context.CancelFunc // ends upstream.Lifetime, which tells attempts that the request is over
 
 	// Used by the event loop's goroutine alone.
 	phase          requestPhase
@@ -51,7 +51,7 @@
 			Host:           inbound.Host,
 			Target:         inbound.Target,
 			Body:           inbound.Body,
-			Done:           done,
+			Lifetime:       done,
 			ClientGone:     inbound.ClientGone,
 		},
 		markDone: markDone,
