--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -37,7 +37,7 @@
 		},
 		DrainGrace: 500 * ms, ResponseGrace: 20 * ms, SlowStartMinCapacity: 0.2, SlowStartDuration: 10 * time.Second,
 		SlowStartOverloadMultiple: 2.5, SlowStartOverloadWindow: time.Second, PollWithin: 10 * time.Second,
-		WeightOverall: 0.6, WeightWorstWindow: 0.2, WeightWorstClass: 0.2,
+		GoalOverall: 0.6, GoalWorstWindow: 0.2, GoalWorstClass: 0.2,
 	}
 }
 
--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -219,7 +219,7 @@
 	tests := []struct {
 		name    string
 		agents  int
-		spread  time.Duration // Settings.PollSpread; 0: none
+		spread  time.Duration // Settings.SubscribeSpread; 0: none
 		lists   []ListKind
 		longest time.Duration // after the last list; 0: no poll
 	}{
@@ -232,8 +232,8 @@
 		{"refusal, bounded spread", 900, 3 * time.Second, []ListKind{ListRefused}, 6 * time.Second},
 	}
 	for _, tt := range tests {
-		settings := Settings{Agents: tt.agents, Subscribe: true, PollWithin: 64 * time.Second, PollSpread: tt.spread,
-			RefusedPollSpread: 2 * tt.spread}
+		settings := Settings{Agents: tt.agents, Subscribe: true, PollWithin: 64 * time.Second,
+			SubscribeSpread: tt.spread, RefusedSubscribeSpread: 2 * tt.spread}
 		rng := rand.New(rand.NewPCG(1, 9))
 		waits := make([]time.Duration, 300)
 		for i := range waits {
--- a/balancer/priority.go
+++ b/balancer/priority.go
@@ -22,12 +22,12 @@
 		demand += class.arrived * class.Priority * priorityUnit(class, settings)
 	}
 	worst := classes.worst()
-	goalWeight := settings.WeightOverall + settings.WeightWorstWindow
+	goalWeight := settings.GoalOverall + settings.GoalWorstWindow
 	for _, class := range classes {
 		gain := goalWeight * class.Priority * priorityUnit(class, settings)
 		class.priorityPerWork = gain / class.meanLatencyNs / max(demand, minDemand)
 		if class == worst { // one more request on time raises its share by one over those that arrived
-			class.priorityPerWork += settings.WeightWorstClass / (max(class.arrived, 1) * class.meanLatencyNs)
+			class.priorityPerWork += settings.GoalWorstClass / (max(class.arrived, 1) * class.meanLatencyNs)
 		}
 	}
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -92,12 +92,12 @@
 
 	// The requests and how they are valued.
 
-	Classes           []Class // at least one; the first sets the time scale of what concerns all
-	PriorityByWork    bool    // priorities count per unit of work, not per request
-	WeightOverall     float64 // weight of the priority served in all, in the operator's goal
-	WeightWorstWindow float64 // weight of the priority served in the worst window of time
-	WeightWorstClass  float64 // weight of the priority served of the worst class
-	CrossZonePrice    float64 // cost of a request that crosses zones, as a share of the result
+	Classes         []Class // at least one; the first sets the time scale of what concerns all
+	PriorityByWork  bool    // priorities count per unit of work, not per request
+	GoalOverall     float64 // weight of the priority served in all, in the operator's goal
+	GoalWorstWindow float64 // weight of the priority served in the worst window of time
+	GoalWorstClass  float64 // weight of the priority served of the worst class
+	CrossZonePrice  float64 // cost of a request that crosses zones, as a share of the operator's goal
 
 	// What an agent may do.
 
@@ -119,10 +119,10 @@
 
 	// The endpoint list.
 
-	Subscribe         bool          // the list must be subscribed to; false: it is delivered anyway
-	PollWithin        time.Duration // Subscribe: poll at least this often while not subscribed
-	PollSpread        time.Duration // Subscribe: poll within this time of a start or failure; 0: PollWithin
-	RefusedPollSpread time.Duration // Subscribe: poll within this time of a refusal; 0: PollWithin
+	Subscribe              bool          // the list must be subscribed to; false: it is delivered anyway
+	PollWithin             time.Duration // Subscribe: subscribe at the latest after this time while not subscribed
+	SubscribeSpread        time.Duration // Subscribe: subscribe within this time of a start or failure; 0: PollWithin
+	RefusedSubscribeSpread time.Duration // Subscribe: subscribe within this time of a refusal; 0: PollWithin
 
 	// Slow start: an endpoint starts with SlowStartMinCapacity of its capacity and has all of it after
 	// SlowStartDuration. One that is sent more than SlowStartOverloadMultiple of its current capacity within
@@ -152,10 +152,10 @@
 	CPUPerRequest     time.Duration    // mean CPU for a request with its outcomes; 0: no limit
 	DrainGrace        time.Duration    // how long sends to a draining endpoint are still tolerated
 	ResponseGrace     time.Duration    // how long after its deadline a final answer still counts
-	WeightWorstTenant float64          // weight of the priority served of the worst tenant within its share
+	GoalWorstTenant   float64          // weight of the priority served of the worst tenant within its share
 	OverQuotaPriority float64          // weight of a request beyond its tenant's share, against one within
 
-	// Further prices, as a share of the result, that Balancer does not weigh.
+	// Further prices, as a share of the operator's goal, that Balancer does not weigh.
 
 	WastePrice       float64 // work of endpoints that served no response, as much as was requested
 	LateFailPrice    float64 // all priority left unserved only after its objective
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -43,9 +43,9 @@
 func (s *subscriber) drawWait(refused bool) time.Duration {
 	firstSpread := min(subscribeSpreadPerAgent*float64(s.settings.Agents), maxFirstSubscribeSpread)
 	spread := firstSpread * math.Exp2(float64(min(s.failures, maxSubscribeDoublings)))
-	longest := s.settings.PollSpread
+	longest := s.settings.SubscribeSpread
 	if refused { // a refusal proves that discovery could not be reached until now
-		longest = s.settings.RefusedPollSpread
+		longest = s.settings.RefusedSubscribeSpread
 	}
 	longest = min(cmp.Or(longest, s.settings.PollWithin), s.settings.PollWithin)
 	return time.Duration(s.rng.Float64() * min(spread*float64(s.settings.PollWithin), float64(longest)))
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -108,13 +108,13 @@
 }
 
 // subscribeTogether starts agents at one moment and returns how many have the list after the span, and how many calls
-// that took. spread is the PollSpread setting; 0: there is none.
+// that took. spread is the SubscribeSpread setting; 0: there is none.
 func subscribeTogether(
 	t *testing.T, agents int, spread time.Duration, discovery *discoveryService, span time.Duration,
 ) (listed, calls int) {
 	t.Helper()
 	s := settings()
-	s.Subscribe, s.Agents, s.PollSpread, s.RefusedPollSpread = true, agents, spread, 8*spread/3
+	s.Subscribe, s.Agents, s.SubscribeSpread, s.RefusedSubscribeSpread = true, agents, spread, 8*spread/3
 	failure := balancer.ListFailed
 	if spread > 0 {
 		failure = balancer.ListRefused
--- a/balancer/validation.go
+++ b/balancer/validation.go
@@ -72,8 +72,8 @@
 
 func (s *Settings) checkPrices() error {
 	return checkNotNegative([]namedValue[float64]{
-		{"WeightOverall", s.WeightOverall}, {"WeightWorstWindow", s.WeightWorstWindow},
-		{"WeightWorstClass", s.WeightWorstClass}, {"WeightWorstTenant", s.WeightWorstTenant},
+		{"GoalOverall", s.GoalOverall}, {"GoalWorstWindow", s.GoalWorstWindow},
+		{"GoalWorstClass", s.GoalWorstClass}, {"GoalWorstTenant", s.GoalWorstTenant},
 		{"OverQuotaPriority", s.OverQuotaPriority}, {"CrossZonePrice", s.CrossZonePrice},
 		{"WastePrice", s.WastePrice}, {"LateFailPrice", s.LateFailPrice},
 		{"HealthCheckPrice", s.HealthCheckPrice}, {"GossipPrice", s.GossipPrice},
@@ -99,8 +99,8 @@
 	return checkNotNegative([]namedValue[time.Duration]{
 		{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
 		{"IdleClose", s.IdleClose}, {"DrainGrace", s.DrainGrace}, {"ResponseGrace", s.ResponseGrace},
-		{"PollWithin", s.PollWithin}, {"PollSpread", s.PollSpread},
-		{"RefusedPollSpread", s.RefusedPollSpread},
+		{"PollWithin", s.PollWithin}, {"SubscribeSpread", s.SubscribeSpread},
+		{"RefusedSubscribeSpread", s.RefusedSubscribeSpread},
 		{"SlowStartDuration", s.SlowStartDuration}, {"SlowStartOverloadWindow", s.SlowStartOverloadWindow},
 		{"KeyQuietPeriod", s.KeyQuietPeriod}, {"CPUPerSecond", s.CPUPerSecond},
 		{"CPUPerRequest", s.CPUPerRequest},
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -115,7 +115,7 @@
 		class := &c.Settings.Classes[i]
 		class.Objective, class.Deadline = 10*testutil.Timeout, 10*testutil.Timeout
 	}
-	c.Settings.Classes[2].Priority, c.Settings.WeightOverall = 10, 1 // settle
+	c.Settings.Classes[2].Priority, c.Settings.GoalOverall = 10, 1 // settle
 	a := startAgent(t, c)
 	defer close(server.end)
 	sent := 0
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -62,8 +62,8 @@
 	// allow. The loop itself rejects by the limit of the settings alone.
 	moduleSettings := c.Settings
 	moduleSettings.MaxOpen = c.OpenRequests()
-	moduleSettings.PollSpread = discovery.PollSpread
-	moduleSettings.RefusedPollSpread = discovery.RefusedPollSpread
+	moduleSettings.SubscribeSpread = discovery.SubscribeSpread
+	moduleSettings.RefusedSubscribeSpread = discovery.RefusedSubscribeSpread
 	module, err := balancer.New(moduleSettings, c.Seed)
 	if err != nil {
 		return nil, err
--- a/internal/config/mapping.go
+++ b/internal/config/mapping.go
@@ -96,13 +96,13 @@
 
 // mapGoal maps the weights of the operator's goal.
 func (o *settingsObject) mapGoal(s *balancer.Settings) {
-	s.WeightOverall = o.Goal.Whole
-	s.WeightWorstWindow = o.Goal.WorstWindow
-	s.WeightWorstClass = o.Goal.WorstClass
-	s.WeightWorstTenant = o.Goal.WorstTenant
+	s.GoalOverall = o.Goal.Whole
+	s.GoalWorstWindow = o.Goal.WorstWindow
+	s.GoalWorstClass = o.Goal.WorstClass
+	s.GoalWorstTenant = o.Goal.WorstTenant
 }
 
-// mapTo maps what things cost, as a share of the result.
+// mapTo maps what things cost, as a share of the operator's goal.
 func (p *prices) mapTo(s *balancer.Settings) {
 	s.CrossZonePrice = p.CrossZone
 	s.WastePrice = p.Waste
--- a/internal/config/settings_object.go
+++ b/internal/config/settings_object.go
@@ -84,7 +84,7 @@
 	KeyRestMs       float64
 }
 
-// prices are what each thing costs, as a share of the result.
+// prices are what each thing costs, as a share of the operator's goal.
 type prices struct {
 	CrossZone      float64
 	Waste          float64
--- a/internal/config/wire_keys.go
+++ b/internal/config/wire_keys.go
@@ -9,7 +9,7 @@
 
 // wireKeys gives the path within the settings object for each field of balancer.Settings, and of its classes and
 // tenants, that an error of balancer.New may name and that has another name in the object. The fields of a class or a
-// tenant stand without their path. PollSpread and RefusedPollSpread are left out: the agent sets them itself.
+// tenant stand without their path. SubscribeSpread and RefusedSubscribeSpread are left out: the agent sets them itself.
 var wireKeys = map[string]string{
 	"Agents":                    "Balancers",
 	"AgentIndex":                "Me",
@@ -35,10 +35,10 @@
 	"SlowStartOverloadMultiple": "Contract.FallMultiple",
 	"SlowStartOverloadWindow":   "Contract.FallMs",
 	"KeyQuietPeriod":            "Contract.KeyRestMs",
-	"WeightOverall":             "Goal.Whole",
-	"WeightWorstWindow":         "Goal.WorstWindow",
-	"WeightWorstClass":          "Goal.WorstClass",
-	"WeightWorstTenant":         "Goal.WorstTenant",
+	"GoalOverall":               "Goal.Whole",
+	"GoalWorstWindow":           "Goal.WorstWindow",
+	"GoalWorstClass":            "Goal.WorstClass",
+	"GoalWorstTenant":           "Goal.WorstTenant",
 	"OverQuotaPriority":         "OverShareWorth",
 	"CrossZonePrice":            "Prices.CrossZone",
 	"WastePrice":                "Prices.Waste",
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -7,7 +7,7 @@
 // agent. Within that time must fit:
 //
 //   - where the decision module subscribes and polls: a watch that fell silent or a poll that hung, the wait until
-//     the next call (PollSpread), and that call's time in discovery's queue;
+//     the next call (SubscribeSpread), and that call's time in discovery's queue;
 //   - where the client keeps the watch open by itself: two silent watches in a row, the backoff after each, and the
 //     next watch. Such calls fail on this machine and wait in no queue.
 const (
@@ -20,10 +20,10 @@
 	maxQueueTime = 2 * time.Second
 	// propagationLimit is how long a change may take to reach this agent.
 	propagationLimit = 6 * time.Second
-	// PollSpread is the time over which agents spread their calls after a start or a failure.
-	PollSpread = propagationLimit - max(defaultSilenceTimeout, defaultCallTimeout) - maxQueueTime
-	// RefusedPollSpread is the same after a refusal, which proves that discovery could not be reached until then.
-	RefusedPollSpread = propagationLimit - maxQueueTime
+	// SubscribeSpread is the time over which agents spread their calls after a start or a failure.
+	SubscribeSpread = propagationLimit - max(defaultSilenceTimeout, defaultCallTimeout) - maxQueueTime
+	// RefusedSubscribeSpread is the same after a refusal, which proves that discovery could not be reached until then.
+	RefusedSubscribeSpread = propagationLimit - maxQueueTime
 	// restartDelays is how many of the longest backoffs fit into what two silent watches leave of the limit. Two occur
 	// there, and half is left for the next watch.
 	restartDelays = 4
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -13,9 +13,10 @@
 		t.Errorf("calls end after %v, silent watches after %v: while they wait for their turn, or before a line is due",
 			client.callTimeout, client.silenceTimeout)
 	}
-	worst := max(client.silenceTimeout, client.callTimeout) + PollSpread + maxQueueTime
-	if worst > 6*time.Second || PollSpread <= 0 {
-		t.Errorf("a silent watch or a hung call, a delay of %v and the next call's turn take %v", PollSpread, worst)
+	worst := max(client.silenceTimeout, client.callTimeout) + SubscribeSpread + maxQueueTime
+	if worst > 6*time.Second || SubscribeSpread <= 0 {
+		t.Errorf("a silent watch or a hung call, a delay of %v and the next call's turn take %v",
+			SubscribeSpread, worst)
 	}
 }
 
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -43,13 +43,13 @@
 		LoadReportFields: balancer.FieldInFlight | balancer.FieldQueue,
 		MaxOpen:          20000, StreamsPerConn: 1, CPUPerSecond: 8 * ms, CPUPerRequest: 10 * time.Microsecond,
 		AllowHealthChecks: true, AllowCancel: true, SendRetryAfter: true, ConnectTimeout: 250 * ms,
-		RejectedMayHaveRun: true, KeyQuietPeriod: 200 * ms, WeightWorstTenant: 0.25,
+		RejectedMayHaveRun: true, KeyQuietPeriod: 200 * ms, GoalWorstTenant: 0.25,
 		WastePrice: 0.15, LateFailPrice: 0.08, HealthCheckPrice: 0.01, GossipPrice: 0.03, HandshakePrice: 0.04,
 		ConnectionPrice: 0.05, PollPrice: 0.06, MigrationPrice: 0.07, OriginPrice: 0.09, FleetPrice: 0.11,
 		MaxAttempts: 4, AllowHedging: true, AllowGossip: true, MaxRetryAfter: 1500 * ms, IdleClose: time.Minute,
 		DrainGrace: 500 * ms, ResponseGrace: 20 * ms, PollWithin: 10 * time.Second, SlowStartMinCapacity: 0.16,
 		SlowStartDuration: 20 * time.Second, SlowStartOverloadMultiple: 2.5, SlowStartOverloadWindow: time.Second,
-		WeightOverall: 0.55, WeightWorstWindow: 0.15, WeightWorstClass: 0.3, CrossZonePrice: 0.02,
+		GoalOverall: 0.55, GoalWorstWindow: 0.15, GoalWorstClass: 0.3, CrossZonePrice: 0.02,
 	}
 	if o := b.Events[0].Open; o == nil || o.Seed != 77 || !reflect.DeepEqual(o.Settings, want) {
 		t.Errorf("got %+v\nwant %+v", o, want)
