--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -93,6 +93,7 @@
 	return cmp.Or(busy, unhealthy)
 }
 
+// pickInfo works out what a pick for a request goes by.
 func (p *picker) pickInfo(r *request, now time.Duration, fleet fleetSummary, wantedSubset float64) pickInfo {
 	return pickInfo{
 		request:          r,
