--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// observeConnection learns whether the endpoint of an attempt is connected. After any other end of an
-// attempt, also one that was cancelled or not sent, the endpoint moves back in the order of weighted rank, so
-// that it leaves the subset.
+// observeConnection learns whether the endpoint of an attempt is connected: a response, also an error, leaves
+// a connection. After any other end, also of an attempt that was cancelled or not sent, the endpoint moves
+// back in the order of weighted rank, so that it leaves the subset.
 func (b *Balancer) observeConnection(a *attempt, result Result) {
 	answered := result == Served || result == ServerError
 	a.endpoint.connection.observe(b.now, a, answered)
