--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -55,9 +55,9 @@
 // send starts an attempt. It is the only place that does. The queue and the picker have checked the rules for
 // attempts; they are checked once more, so that a mistake there cannot break them.
 func (b *Balancer) send(r *request, ep *endpoint) {
-	allowed := b.attemptRules.allow(r, ep, b.now) && r.isNextOfKey(b.now)
+	allowed := b.attemptRules.allow(r, ep, b.now) && r.isNextForKey(b.now)
 	if ep.State != Serving || !allowed || b.now >= r.deadline {
-		b.answerUnserved(r)
+		b.rejectOrFail(r)
 		return
 	}
 	notAfter := r.repeatWindowEnd() // before this attempt counts
@@ -65,24 +65,24 @@
 	r.addAttempt(a)
 	b.endpoints.markObserved(ep)
 	ep.addAttempt(a)
-	b.attemptsInFlight++
+	b.inFlightCount++
 	if len(r.attempts) == 1 {
-		b.traffic.observeSent()
+		b.traffic.recordSent()
 	}
 	if ep.warmUp.active {
 		b.slowStart.scheduleNextPermit(ep, b.now, a.expectedLatencyNs, b.fleet)
 	}
-	b.act(Send{Request: r.id, Endpoint: ep.ID, NotAfter: notAfter})
-	r.timer = 0 // voids the timer that it was queued with
+	b.addAction(Send{Request: r.id, Endpoint: ep.ID, NotAfter: notAfter})
+	r.timerToken = 0 // voids the timer that it was queued with
 	b.scheduleHedge(r)
 }
 
 // endAttempt takes an attempt out of the counts of those in flight. One that may still be running starts the
 // quiet period of its request's key.
 func (b *Balancer) endAttempt(r *request, a *attempt, result Result) {
-	r.endAttempt(a, b.settings.MayHaveRun(result))
+	r.finishAttempt(a, b.settings.MayHaveRun(result))
 	a.endpoint.removeAttempt(a)
-	b.attemptsInFlight--
+	b.inFlightCount--
 	if result.MayStillRun() {
 		r.keyQuietUntil = b.now + b.settings.KeyQuietPeriod
 	}
--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -16,23 +16,23 @@
 	responseOf := faultAtA(response{balancer.TimedOut, 100 * ms}, response{balancer.Served, 100 * ms})
 	for i, endpoint := 0, ""; endpoint != "a"; i++ {
 		id := fmt.Sprint("late", i)
-		h.requestWithin(id, idempotent, 100*ms)
+		h.requestWithTimeout(id, idempotent, 100*ms)
 		endpoint = h.respond(id, responseOf)
 	}
-	if n := h.waves(4, 4, idempotent, 100*ms)["a"]; n != 1 {
+	if n := h.serveWaves(4, 4, idempotent, 100*ms)["a"]; n != 1 {
 		t.Errorf("after a time-out with little time left there, a got %d of 4 at once, want one", n)
 	}
 	for i := range 100 {
 		id := fmt.Sprint("fast", i)
-		h.requestWithin(id, idempotent, 100*ms)
+		h.requestWithTimeout(id, idempotent, 100*ms)
 		h.outcomeAfter(id, balancer.Served, 10*ms)
 	}
-	if h.requestWithin("short", idempotent, 50*ms); len(h.sent["short"]) > 0 {
+	if h.requestWithTimeout("short", idempotent, 50*ms); len(h.sent["short"]) > 0 {
 		t.Error("50 ms left: sent, as if the fast responses had lowered the mean latency")
 	}
 	// The mean latency does not hold for ever: nothing is learned from requests that are not sent.
 	h.now += time.Minute
-	if h.requestWithin("later", idempotent, 50*ms); len(h.sent["later"]) != 1 {
+	if h.requestWithTimeout("later", idempotent, 50*ms); len(h.sent["later"]) != 1 {
 		t.Error("a minute after the last response: not sent")
 	}
 }
@@ -48,7 +48,7 @@
 	unanswered := 0
 	for i := range 60 {
 		id := fmt.Sprint("q", i)
-		h.requestWithin(id, notIdempotent, 100*ms)
+		h.requestWithTimeout(id, notIdempotent, 100*ms)
 		if h.firstEndpoint(id) != "a" {
 			h.outcomeAfter(id, balancer.Served, 10*ms)
 			continue
--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -12,13 +12,13 @@
 // auditor checks all rules from events and actions alone. It does not model endpoints: it remembers what the balancer
 // was notified of and what it did.
 type auditor struct {
-	settings   balancer.Settings
-	now        time.Duration
-	requests   map[string]*auditedRequest
-	endpoints  map[string]*auditedEndpoint
-	keys       map[string][]*auditedRequest // ordered requests by key, in the order of their arrival
-	work       map[int]expectedWork         // by class
-	violations []string
+	settings      balancer.Settings
+	now           time.Duration
+	requests      map[string]*auditedRequest
+	endpoints     map[string]*auditedEndpoint
+	requestsByKey map[string][]*auditedRequest // ordered requests by key, in the order of their arrival
+	workByClass   map[int]expectedWork         // by class
+	violations    []string
 }
 
 // expectedWork sums up the requests that came with their expected work.
@@ -26,21 +26,21 @@
 
 // auditedRequest is a request and its attempts.
 type auditedRequest struct {
-	class       balancer.Class
-	deadline    time.Duration
-	work        float64 // its expected work over the mean of its class; 1 if unknown
-	attempts    []auditedAttempt
-	ended       bool
-	abandonedAt time.Duration // actions in the same step are allowed
-	streaming   bool
-	key         string        // of an ordered request
-	quietUntil  time.Duration // the quiet period of its key
+	class        balancer.Class
+	deadline     time.Duration
+	relativeWork float64 // its expected work over the mean of its class; 1 if unknown
+	attempts     []auditedAttempt
+	finished     bool
+	abandonedAt  time.Duration // actions in the same step are allowed
+	isStreaming  bool
+	key          string        // of an ordered request
+	quietUntil   time.Duration // the quiet period of its key
 }
 
 // auditedAttempt is one attempt of a request.
 type auditedAttempt struct {
 	endpoint   string
-	at         time.Duration
+	sentAt     time.Duration
 	inFlight   bool
 	mayHaveRun bool
 }
@@ -49,27 +49,27 @@
 type auditedEndpoint struct {
 	balancer.Endpoint
 	notServingSince time.Duration // when the list said that it was draining or removed; 0: serving
-	started         time.Duration // when the list said that it started; 0: warm
+	warmUpStartedAt time.Duration // when the list said that it started; 0: warm
 	sends           []sentWork
 }
 
 // sentWork is the work of one attempt, in mean requests.
 type sentWork struct {
-	at   time.Duration
-	work float64
+	sentAt time.Duration
+	work   float64
 }
 
 func newAuditor(s balancer.Settings) *auditor {
 	return &auditor{
-		settings:  s,
-		requests:  map[string]*auditedRequest{},
-		endpoints: map[string]*auditedEndpoint{},
-		keys:      map[string][]*auditedRequest{},
-		work:      map[int]expectedWork{},
+		settings:      s,
+		requests:      map[string]*auditedRequest{},
+		endpoints:     map[string]*auditedEndpoint{},
+		requestsByKey: map[string][]*auditedRequest{},
+		workByClass:   map[int]expectedWork{},
 	}
 }
 
-func (a *auditor) violation(format string, args ...any) {
+func (a *auditor) recordViolation(format string, args ...any) {
 	a.violations = append(a.violations, fmt.Sprintf("at %v: ", a.now)+fmt.Sprintf(format, args...))
 }
 
@@ -78,45 +78,45 @@
 	return strings.Join(a.violations[:min(3, len(a.violations))], "\n")
 }
 
-func (a *auditor) event(e balancer.Event) {
+func (a *auditor) handleEvent(e balancer.Event) {
 	switch e := e.(type) {
 	case balancer.Request:
-		a.request(e)
+		a.handleRequest(e)
 	case balancer.Outcome:
-		a.outcome(e)
+		a.handleOutcome(e)
 	case balancer.StreamStarted:
 		if r := a.requests[e.Request]; r != nil {
-			r.streaming = true
+			r.isStreaming = true
 		}
 	case balancer.Abandoned:
-		if r := a.requests[e.Request]; r != nil && !r.ended {
-			r.ended, r.abandonedAt = true, a.now
+		if r := a.requests[e.Request]; r != nil && !r.finished {
+			r.finished, r.abandonedAt = true, a.now
 		}
 	case balancer.EndpointList:
-		a.endpointList(e)
+		a.handleEndpointList(e)
 	}
 }
 
-func (a *auditor) request(e balancer.Request) {
+func (a *auditor) handleRequest(e balancer.Request) {
 	if e.Class < 0 || e.Class >= len(a.settings.Classes) || a.requests[e.ID] != nil {
 		return
 	}
-	r := &auditedRequest{class: a.settings.Classes[e.Class], deadline: a.now + e.Timeout, work: 1}
+	r := &auditedRequest{class: a.settings.Classes[e.Class], deadline: a.now + e.Timeout, relativeWork: 1}
 	if work := float64(e.Work); work > 0 {
-		total := a.work[e.Class]
+		total := a.workByClass[e.Class]
 		total.requests++
 		total.sum += work
-		a.work[e.Class] = total
-		r.work = work / (total.sum / total.requests)
+		a.workByClass[e.Class] = total
+		r.relativeWork = work / (total.sum / total.requests)
 	}
 	a.requests[e.ID] = r
 	if r.class.Ordered && e.Key != "" {
 		r.key = e.Key
-		a.keys[e.Key] = append(a.keys[e.Key], r)
+		a.requestsByKey[e.Key] = append(a.requestsByKey[e.Key], r)
 	}
 }
 
-func (a *auditor) outcome(e balancer.Outcome) {
+func (a *auditor) handleOutcome(e balancer.Outcome) {
 	r := a.requests[e.Request]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].inFlight {
 		return
@@ -128,17 +128,17 @@
 	if e.Result == balancer.TimedOut || e.Result == balancer.Reset || e.Result == balancer.Cancelled {
 		r.quietUntil = a.now + a.settings.KeyQuietPeriod
 	}
-	r.ended = r.ended || e.Done
+	r.finished = r.finished || e.Done
 }
 
-func (a *auditor) endpointList(e balancer.EndpointList) {
+func (a *auditor) handleEndpointList(e balancer.EndpointList) {
 	if e.Kind == balancer.ListFailed {
 		return
 	}
 	listed := map[string]bool{}
 	for _, entry := range e.Endpoints {
 		listed[entry.ID] = true
-		a.listEntry(entry)
+		a.handleListEntry(entry)
 	}
 	if e.Kind == balancer.ListDelta {
 		return
@@ -151,14 +151,14 @@
 	}
 }
 
-func (a *auditor) listEntry(entry balancer.Endpoint) {
+func (a *auditor) handleListEntry(entry balancer.Endpoint) {
 	ep := a.endpoints[entry.ID]
 	if ep == nil {
 		ep = &auditedEndpoint{}
 		a.endpoints[entry.ID] = ep
 	}
 	if entry.StartedAt > ep.StartedAt {
-		ep.started, ep.sends = entry.StartedAt, nil
+		ep.warmUpStartedAt, ep.sends = entry.StartedAt, nil
 	}
 	if entry.State == balancer.Serving {
 		ep.notServingSince = 0
@@ -168,27 +168,27 @@
 	ep.Endpoint = entry
 }
 
-func (a *auditor) action(act balancer.Action) {
+func (a *auditor) handleAction(act balancer.Action) {
 	switch act := act.(type) {
 	case balancer.Send:
-		a.send(act)
+		a.handleSend(act)
 	case balancer.Reject:
-		a.reject(act)
+		a.handleReject(act)
 	case balancer.Fail:
-		a.finalAnswer(act.Request)
+		a.handleFinalAnswer(act.Request)
 	case balancer.SetTimer:
 		if act.After < 0 {
-			a.violation("a timer in the past: %v", act.After)
+			a.recordViolation("a timer in the past: %v", act.After)
 		}
 	case balancer.Gossip:
 		if !a.settings.AllowGossip || len(act.Data) > 256 {
-			a.violation("%d bytes of gossip", len(act.Data))
+			a.recordViolation("%d bytes of gossip", len(act.Data))
 		}
 	}
 }
 
-func (a *auditor) reject(act balancer.Reject) {
-	r := a.finalAnswer(act.Request)
+func (a *auditor) handleReject(act balancer.Reject) {
+	r := a.handleFinalAnswer(act.Request)
 	if r == nil {
 		return
 	}
@@ -196,74 +196,74 @@
 		r.class.Idempotency == balancer.IdempotentWithKey && r.class.DedupScope == balancer.DedupEverywhere
 	for _, attempt := range r.attempts {
 		if (attempt.mayHaveRun || attempt.inFlight) && !mayBeRepeated {
-			a.violation("%s rejected though an attempt may have run", act.Request)
+			a.recordViolation("%s rejected though an attempt may have run", act.Request)
 		}
 	}
 }
 
-func (a *auditor) finalAnswer(id string) *auditedRequest {
+func (a *auditor) handleFinalAnswer(id string) *auditedRequest {
 	r := a.requests[id]
 	switch {
 	case r == nil:
-		a.violation("answer for the unknown request %s", id)
+		a.recordViolation("answer for the unknown request %s", id)
 		return nil
-	case r.ended && r.abandonedAt != a.now:
-		a.violation("%s answered twice", id)
-	case a.now > r.deadline+a.settings.ResponseGrace && !r.streaming:
-		a.violation("%s answered late", id)
+	case r.finished && r.abandonedAt != a.now:
+		a.recordViolation("%s answered twice", id)
+	case a.now > r.deadline+a.settings.ResponseGrace && !r.isStreaming:
+		a.recordViolation("%s answered late", id)
 	}
-	r.ended, r.abandonedAt = true, 0
+	r.finished, r.abandonedAt = true, 0
 	return r
 }
 
-func (a *auditor) send(act balancer.Send) {
+func (a *auditor) handleSend(act balancer.Send) {
 	r, ep := a.requests[act.Request], a.endpoints[act.Endpoint]
 	if r == nil || ep == nil {
-		a.violation("send of %q to %q, one of which is unknown", act.Request, act.Endpoint)
+		a.recordViolation("send of %q to %q, one of which is unknown", act.Request, act.Endpoint)
 		return
 	}
-	if r.ended && r.abandonedAt != a.now {
-		a.violation("%s sent after its end", act.Request)
+	if r.finished && r.abandonedAt != a.now {
+		a.recordViolation("%s sent after its end", act.Request)
 	}
 	if len(r.attempts) >= max(1, a.settings.MaxAttempts) {
-		a.violation("%s sent past the attempt limit", act.Request)
+		a.recordViolation("%s sent past the attempt limit", act.Request)
 	}
 	if ep.notServingSince > 0 && a.now > ep.notServingSince+a.settings.DrainGrace {
-		a.violation("%s sent to %s, which was draining or removed %v ago",
+		a.recordViolation("%s sent to %s, which was draining or removed %v ago",
 			act.Request, act.Endpoint, a.now-ep.notServingSince)
 	}
-	a.checkOrder(act.Request, r)
-	a.checkRepeat(act.Request, r, ep)
-	r.attempts = append(r.attempts, auditedAttempt{endpoint: act.Endpoint, at: a.now, inFlight: true})
-	ep.sends = append(ep.sends, sentWork{a.now, r.work})
-	a.checkSlowStart(ep)
+	a.auditKeyOrder(act.Request, r)
+	a.auditRepeat(act.Request, r, ep)
+	r.attempts = append(r.attempts, auditedAttempt{endpoint: act.Endpoint, sentAt: a.now, inFlight: true})
+	ep.sends = append(ep.sends, sentWork{a.now, r.relativeWork})
+	a.auditSlowStart(ep)
 }
 
-// checkOrder checks that all earlier requests of its key have ended before a request is sent.
-func (a *auditor) checkOrder(id string, r *auditedRequest) {
-	for _, earlier := range a.keys[r.key] {
+// auditKeyOrder checks that all earlier requests of its key have ended before a request is sent.
+func (a *auditor) auditKeyOrder(id string, r *auditedRequest) {
+	for _, earlier := range a.requestsByKey[r.key] {
 		if earlier == r {
 			break
 		}
-		open := !earlier.ended
+		open := !earlier.finished
 		for _, attempt := range earlier.attempts {
 			open = open || attempt.inFlight
 		}
 		if open {
-			a.violation("%s sent out of turn", id)
+			a.recordViolation("%s sent out of turn", id)
 		} else if a.now < earlier.quietUntil {
-			a.violation("%s sent in the quiet period of its key", id)
+			a.recordViolation("%s sent in the quiet period of its key", id)
 		}
 	}
 }
 
-// checkRepeat checks that a further attempt has no further effect.
-func (a *auditor) checkRepeat(id string, r *auditedRequest, ep *auditedEndpoint) {
+// auditRepeat checks that a further attempt has no further effect.
+func (a *auditor) auditRepeat(id string, r *auditedRequest, ep *auditedEndpoint) {
 	var first *auditedAttempt // of the attempts that may have run
 	for i := range r.attempts {
 		attempt := &r.attempts[i]
 		if attempt.inFlight && !a.settings.AllowHedging {
-			a.violation("%s has two attempts in flight", id)
+			a.recordViolation("%s has two attempts in flight", id)
 		}
 		if first == nil && (attempt.inFlight || attempt.mayHaveRun) {
 			first = attempt
@@ -272,92 +272,92 @@
 	if first == nil || r.class.Idempotency == balancer.Idempotent {
 		return
 	}
-	from := a.endpoints[first.endpoint]
+	firstEndpoint := a.endpoints[first.endpoint]
 	switch {
 	case r.class.Idempotency == balancer.NotIdempotent:
-		a.violation("%s is not idempotent and may have run, sent again", id)
-	case a.now-first.at > r.class.DedupWindow:
-		a.violation("%s sent again after its window", id)
-	case r.class.DedupScope == balancer.DedupInZone && from.Zone != ep.Zone,
-		r.class.DedupScope == balancer.DedupInCell && from.Cell != ep.Cell:
-		a.violation("%s sent again outside its scope", id)
+		a.recordViolation("%s is not idempotent and may have run, sent again", id)
+	case a.now-first.sentAt > r.class.DedupWindow:
+		a.recordViolation("%s sent again after its window", id)
+	case r.class.DedupScope == balancer.DedupInZone && firstEndpoint.Zone != ep.Zone,
+		r.class.DedupScope == balancer.DedupInCell && firstEndpoint.Cell != ep.Cell:
+		a.recordViolation("%s sent again outside its scope", id)
 	}
 }
 
-// checkSlowStart checks this agent's part of the load of an endpoint that warms up. The capacity of endpoints is
+// auditSlowStart checks this agent's part of the load of an endpoint that warms up. The capacity of endpoints is
 // unknown. The work that the busiest warm one was sent within three windows bounds the rate that a balancer may assume
 // of a warm one; the allowed multiple of the warm-up fraction of that bounds the load of the other. The slack is one
 // mean request, and one of twice the mean that may be sent on the last permit.
-func (a *auditor) checkSlowStart(ep *auditedEndpoint) {
+func (a *auditor) auditSlowStart(ep *auditedEndpoint) {
 	if a.isWarm(ep) || a.settings.SlowStartDuration == 0 {
 		return
 	}
 	window := max(a.settings.SlowStartOverloadWindow, 1)
-	most, warm := 0.0, false
+	maxWork, hasWarm := 0.0, false
 	for _, other := range a.endpoints {
 		if other != ep && a.isWarm(other) {
-			most = max(most, other.workWithin(a.now, 3*window))
-			warm = warm || other.notServingSince == 0
+			maxWork = max(maxWork, other.workWithin(a.now, 3*window))
+			hasWarm = hasWarm || other.notServingSince == 0
 		}
 	}
-	if !warm {
+	if !hasWarm {
 		return // nothing to compare with: a balancer goes by its part of the least limit
 	}
-	age := max(0, float64(a.now-ep.started)/float64(a.settings.SlowStartDuration))
+	age := max(0, float64(a.now-ep.warmUpStartedAt)/float64(a.settings.SlowStartDuration))
 	fraction := a.settings.SlowStartMinCapacity + (1-a.settings.SlowStartMinCapacity)*age
-	if got := ep.workWithin(a.now, window); got > a.settings.SlowStartOverloadMultiple*fraction*most+3 {
-		a.violation("%s is warming up (%v) and got the work of %.1f mean requests in %v, "+
-			"the busiest warm one %.1f in three times that", ep.ID, a.now-ep.started, got, window, most)
+	if got := ep.workWithin(a.now, window); got > a.settings.SlowStartOverloadMultiple*fraction*maxWork+3 {
+		a.recordViolation("%s is warming up (%v) and got the work of %.1f mean requests in %v, "+
+			"the busiest warm one %.1f in three times that", ep.ID, a.now-ep.warmUpStartedAt, got, window, maxWork)
 	}
 }
 
 func (a *auditor) isWarm(ep *auditedEndpoint) bool {
-	return ep.started == 0 || a.now-ep.started >= a.settings.SlowStartDuration
+	return ep.warmUpStartedAt == 0 || a.now-ep.warmUpStartedAt >= a.settings.SlowStartDuration
 }
 
 func (ep *auditedEndpoint) workWithin(now, span time.Duration) (sum float64) {
 	for _, sent := range ep.sends {
-		if now-sent.at < span {
+		if now-sent.sentAt < span {
 			sum += sent.work
 		}
 	}
 	return sum
 }
 
-// checkOverdue checks that no request is without its final answer after its deadline.
-func (a *auditor) checkOverdue() {
+// auditOverdue checks that no request is without its final answer after its deadline.
+func (a *auditor) auditOverdue() {
 	for id, r := range a.requests {
-		if !r.ended && !r.streaming && a.now > r.deadline+a.settings.ResponseGrace {
-			a.violation("%s got no answer in time", id)
-			r.ended = true
+		if !r.finished && !r.isStreaming && a.now > r.deadline+a.settings.ResponseGrace {
+			a.recordViolation("%s got no answer in time", id)
+			r.finished = true
 		}
 	}
 }
 
-// audit plays events, actions and durations that pass, after a request of a class.
-func audit(class int, play []any) *auditor {
+// runAuditor plays events, actions and durations that pass, after a request of a class.
+func runAuditor(class int, script []any) *auditor {
 	a := newAuditor(settings())
 	a.now = time.Hour
-	a.event(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(4)})
-	a.event(balancer.Request{ID: "q", Class: class, Timeout: 2000 * ms})
-	for _, p := range play {
+	a.handleEvent(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(4)})
+	a.handleEvent(balancer.Request{ID: "q", Class: class, Timeout: 2000 * ms})
+	for _, p := range script {
 		switch p := p.(type) {
 		case time.Duration:
 			a.now += p
 		case balancer.Event:
-			a.event(p)
+			a.handleEvent(p)
 		case balancer.Action:
-			a.action(p)
+			a.handleAction(p)
 		}
 	}
-	a.checkOverdue()
+	a.auditOverdue()
 	return a
 }
 
 // Each check of the auditor can fail: these recorded actions violate a rule.
-func TestAuditorRejects(t *testing.T) {
+func TestAuditorDetectsViolations(t *testing.T) {
 	send := func(endpoint string) balancer.Action { return balancer.Send{Request: "q", Endpoint: endpoint} }
-	ended := func(attempt int, result balancer.Result) balancer.Event {
+	outcome := func(attempt int, result balancer.Result) balancer.Event {
 		return balancer.Outcome{Request: "q", Attempt: attempt, Result: result, Done: result == balancer.Served}
 	}
 	reject, fail := balancer.Reject{Request: "q"}, balancer.Fail{Request: "q"}
@@ -367,48 +367,48 @@
 	restarted := balancer.EndpointList{Kind: balancer.ListDelta,
 		Endpoints: []balancer.Endpoint{{ID: "a", StartedAt: time.Hour}}}
 	tests := []struct {
-		name  string
-		class int
-		play  []any // events, actions, and durations that pass
-		want  string
+		name   string
+		class  int
+		script []any // events, actions, and durations that pass
+		want   string
 	}{
 		{"no answer", idempotent, []any{2021 * ms}, "got no answer in time"},
 		{"two answers", idempotent, []any{fail, fail}, "answered twice"},
-		{"answer after being served", idempotent, []any{send("a"), ended(0, balancer.Served), reject},
+		{"answer after being served", idempotent, []any{send("a"), outcome(0, balancer.Served), reject},
 			"answered twice"},
 		{"late answer", idempotent, []any{2020*ms + 1, fail}, "answered late"},
 		{"send after the answer", idempotent, []any{fail, send("a")}, "sent after its end"},
 		{"unknown endpoint", idempotent, []any{send("zz")}, "is unknown"},
-		{"past the limit", idempotent, []any{send("a"), ended(0, balancer.ServerError),
-			send("b"), ended(1, balancer.ServerError), send("a"), ended(2, balancer.ServerError),
-			send("b"), ended(3, balancer.ServerError), send("a")}, "past the attempt limit"},
+		{"past the limit", idempotent, []any{send("a"), outcome(0, balancer.ServerError),
+			send("b"), outcome(1, balancer.ServerError), send("a"), outcome(2, balancer.ServerError),
+			send("b"), outcome(3, balancer.ServerError), send("a")}, "past the attempt limit"},
 		{"hedged request", idempotent, []any{send("a"), send("b")}, "two attempts in flight"},
-		{"not idempotent, repeated", notIdempotent, []any{send("a"), ended(0, balancer.TimedOut), send("b")},
+		{"not idempotent, repeated", notIdempotent, []any{send("a"), outcome(0, balancer.TimedOut), send("b")},
 			"is not idempotent"},
-		{"not idempotent, rejected", notIdempotent, []any{send("a"), ended(0, balancer.Reset), reject},
+		{"not idempotent, rejected", notIdempotent, []any{send("a"), outcome(0, balancer.Reset), reject},
 			"rejected though"},
 		{"not idempotent, rejected while in flight", notIdempotent, []any{send("a"), reject},
 			"rejected though"},
-		{"zone rejected", keyedInZone, []any{send("a"), ended(0, balancer.ServerError), reject},
+		{"zone rejected", keyedInZone, []any{send("a"), outcome(0, balancer.ServerError), reject},
 			"rejected though"},
-		{"outside the zone", keyedInZone, []any{send("a"), ended(0, balancer.ServerError), send("c")},
+		{"outside the zone", keyedInZone, []any{send("a"), outcome(0, balancer.ServerError), send("c")},
 			"outside its scope"},
-		{"outside the cell", keyedInCell, []any{send("a"), ended(0, balancer.ServerError), send("d")},
+		{"outside the cell", keyedInCell, []any{send("a"), outcome(0, balancer.ServerError), send("d")},
 			"outside its scope"},
-		{"after the window", keyedEverywhere, []any{send("a"), 301 * ms, ended(0, balancer.ServerError),
+		{"after the window", keyedEverywhere, []any{send("a"), 301 * ms, outcome(0, balancer.ServerError),
 			send("b")}, "after its window"},
 		{"draining", idempotent, []any{draining, 501 * ms, send("a")}, "draining or removed"},
 		{"removed from the list", idempotent, []any{empty, 501 * ms, send("b")}, "draining or removed"},
-		{"slow start", idempotent, []any{restarted, send("a"), ended(0, balancer.Rejected),
-			send("a"), ended(1, balancer.Rejected),
-			send("a"), ended(2, balancer.Rejected), send("a")}, "is warming up"},
+		{"slow start", idempotent, []any{restarted, send("a"), outcome(0, balancer.Rejected),
+			send("a"), outcome(1, balancer.Rejected),
+			send("a"), outcome(2, balancer.Rejected), send("a")}, "is warming up"},
 		{"gossip where none is allowed", idempotent, []any{balancer.Gossip{Data: []byte{1}}},
 			"bytes of gossip"},
 		{"timer in the past", idempotent, []any{balancer.SetTimer{After: -1}}, "timer in the past"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got := strings.Join(audit(tt.class, tt.play).violations, "; ")
+			got := strings.Join(runAuditor(tt.class, tt.script).violations, "; ")
 			if !strings.Contains(got, tt.want) {
 				t.Errorf("violations %q, want one with %q", got, tt.want)
 			}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -20,8 +20,8 @@
 	actions  []Action      // of the current step
 
 	requests         map[string]*request // those that are open or have attempts in flight, by ID
-	openRequests     int                 // requests without a final answer
-	attemptsInFlight int                 // attempts without an outcome
+	openRequestCount int                 // requests without a final answer
+	inFlightCount    int                 // attempts without an outcome
 	timers           timerTable
 
 	classes   classList
@@ -43,7 +43,7 @@
 
 // New returns a balancer with no state. All its random choices come from seed. The error is a *SettingError.
 func New(settings Settings, seed uint64) (*Balancer, error) {
-	if err := settings.check(); err != nil {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
 	settings = settings.withDefaults()
@@ -91,37 +91,37 @@
 	b.traffic.decay(b.now)
 	b.measureFleet()
 	for _, event := range events {
-		b.apply(event)
+		b.handleEvent(event)
 	}
 	b.processQueue()
 	return b.actions
 }
 
-// apply applies one event. Health check results and gossip are ignored, since the balancer asks for
+// handleEvent applies one event. Health check results and gossip are ignored, since the balancer asks for
 // neither.
-func (b *Balancer) apply(event Event) {
+func (b *Balancer) handleEvent(event Event) {
 	switch event := event.(type) {
 	case Request:
-		b.onRequest(event)
+		b.handleRequest(event)
 	case Outcome:
 		b.onOutcome(event)
 	case TimerFired:
-		b.onTimer(event.Token)
+		b.handleTimerFired(event.Token)
 	case EndpointList:
 		b.onEndpointList(event)
 		b.measureFleet()
 	case StreamStarted:
-		b.onStreamStarted(event)
+		b.handleStreamStarted(event)
 	case Abandoned:
-		b.onAbandoned(event)
+		b.handleAbandoned(event)
 	}
 }
 
-// act adds an action to those of the current step.
-func (b *Balancer) act(action Action) { b.actions = append(b.actions, action) }
+// addAction adds an action to those of the current step.
+func (b *Balancer) addAction(action Action) { b.actions = append(b.actions, action) }
 
-// onRequest adds a new request. One with an unknown class, or whose ID is in use, is ignored.
-func (b *Balancer) onRequest(event Request) {
+// handleRequest adds a new request. One with an unknown class, or whose ID is in use, is ignored.
+func (b *Balancer) handleRequest(event Request) {
 	if event.Class < 0 || event.Class >= len(b.classes) || b.requests[event.ID] != nil {
 		return
 	}
@@ -137,38 +137,38 @@
 	if event.Key != "" {
 		r.keyHash = xxhash.Sum64String(event.Key)
 	}
-	if b.observeArrival(r, event) {
-		spent := class.Deadline - event.Timeout // by the client's earlier tries
+	if b.recordArrival(r, event) {
+		elapsed := class.Deadline - event.Timeout // by the client's earlier tries
 		r.isClientRetry = true
-		r.objectiveAt -= max(0, spent)
+		r.objectiveAt -= max(0, elapsed)
 	}
 	b.requests[r.id] = r
-	b.openRequests++
+	b.openRequestCount++
 	if event.Key != "" && class.Ordered {
-		b.keyQueues.join(r, event.Key)
+		b.keyQueues.add(r, event.Key)
 	}
 	b.queue.push(r)
 }
 
-// observeArrival lets the request's class learn from it, and reports whether the request is a client's retry
+// recordArrival lets the request's class learn from it, and reports whether the request is a client's retry
 // by its timeout.
-func (b *Balancer) observeArrival(r *request, event Request) (isRetry bool) {
-	isRetry = r.class.observeTimeout(event.Timeout, b.settings.Tick, event.ClientRetry)
-	r.class.observeWork(r.workNs)
-	b.classes.observeArrival(r.class)
+func (b *Balancer) recordArrival(r *request, event Request) (isRetry bool) {
+	isRetry = r.class.updateTimeout(event.Timeout, b.settings.Tick, event.ClientRetry)
+	r.class.updateWork(r.workNs)
+	b.classes.recordArrival(r.class)
 	return isRetry
 }
 
-// onStreamStarted notes that part of a response has reached the client.
-func (b *Balancer) onStreamStarted(event StreamStarted) {
-	if r := b.requests[event.Request]; r != nil && !r.hasEnded() {
+// handleStreamStarted notes that part of a response has reached the client.
+func (b *Balancer) handleStreamStarted(event StreamStarted) {
+	if r := b.requests[event.Request]; r != nil && !r.isFinished() {
 		r.isStreaming = true
 	}
 }
 
-// onAbandoned ends a request whose client has disconnected.
-func (b *Balancer) onAbandoned(event Abandoned) {
+// handleAbandoned ends a request whose client has disconnected.
+func (b *Balancer) handleAbandoned(event Abandoned) {
 	if r := b.requests[event.Request]; r != nil {
-		b.closeRequest(r)
+		b.finishRequest(r)
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -10,7 +10,7 @@
 )
 
 // Events about unknown requests, attempts, timers or endpoints, and late or repeated events, have no effect.
-func TestStrayEvents(t *testing.T) {
+func TestStrayEventsAreIgnored(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(2))
 	h.request("done", idempotent)
 	h.outcomeAfter("done", balancer.Served, 10*ms)
@@ -94,7 +94,7 @@
 }
 
 // A request that is abandoned in the step in which its backoff ends gets no retry.
-func TestAbandonedAtTheEndOfBackoff(t *testing.T) {
+func TestAbandonedWhenBackoffEnds(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(2))
 	h.failOnce("q")
 	h.now += time.Second
@@ -105,13 +105,13 @@
 }
 
 // Once a response is being streamed, the request is not retried and gets no other answer.
-func TestStream(t *testing.T) {
+func TestNoRetryWhileStreaming(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(2))
 	h.request("q", idempotent)
 	h.step(balancer.StreamStarted{Request: "q"})
 	h.now += 10 * ms
-	broken := balancer.Outcome{Request: "q", Endpoint: h.firstEndpoint("q"), Result: balancer.Reset, Done: true}
-	actions := h.step(broken)
+	reset := balancer.Outcome{Request: "q", Endpoint: h.firstEndpoint("q"), Result: balancer.Reset, Done: true}
+	actions := h.step(reset)
 	actions = append(actions, h.advance(3*time.Second)...)
 	if len(actions) != 0 || len(h.sent["q"]) != 1 {
 		t.Errorf("after a broken stream: %v", actions)
@@ -120,7 +120,7 @@
 
 // The same seed and events give the same actions.
 func TestDeterminism(t *testing.T) {
-	play := func(seed uint64) (actions []string) {
+	run := func(seed uint64) (actions []string) {
 		h := newHarness(t, settings(), seed, endpoints(6))
 		for i := range 400 {
 			id := fmt.Sprint("q", i)
@@ -133,10 +133,10 @@
 		}
 		return actions
 	}
-	if !slices.Equal(play(11), play(11)) {
+	if !slices.Equal(run(11), run(11)) {
 		t.Error("two runs with one seed differ")
 	}
-	if slices.Equal(play(11), play(12)) {
+	if slices.Equal(run(11), run(12)) {
 		t.Error("two seeds give the same run")
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -23,7 +23,7 @@
 	runtime.ReadMemStats(&before)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		playOne(lb, &now, i)
+		playRequest(lb, &now, i)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -31,8 +31,8 @@
 	runtime.KeepAlive(lb)
 }
 
-// playOne plays request i to its end.
-func playOne(lb *balancer.Balancer, now *time.Duration, i int) {
+// playRequest plays request i to its end.
+func playRequest(lb *balancer.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
 	events := []balancer.Event{balancer.Request{ID: id, Class: idempotent, Timeout: time.Second, Key: id}}
 	for attempts := 0; len(events) > 0; {
@@ -68,15 +68,15 @@
 	now := time.Hour
 	lb.Step(now, []balancer.Event{balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(14)}})
 	for i := range 20000 {
-		playOne(lb, &now, i)
+		playRequest(lb, &now, i)
 		if n := lb.StateSize(); n > 4 {
 			t.Fatalf("after %d requests, all ended, %d things are kept", i+1, n)
 		}
 	}
 }
 
-// largeFleet returns a balancer that has played some requests with a number of endpoints.
-func largeFleet(tb testing.TB, endpointCount int) (lb *balancer.Balancer, now time.Duration) {
+// newBalancerWithEndpoints returns a balancer that has played some requests with a number of endpoints.
+func newBalancerWithEndpoints(tb testing.TB, endpointCount int) (lb *balancer.Balancer, now time.Duration) {
 	tb.Helper()
 	lb, err := balancer.New(settings(), 1)
 	if err != nil {
@@ -89,7 +89,7 @@
 	now = time.Hour
 	lb.Step(now, []balancer.Event{list})
 	for i := range 300 {
-		playOne(lb, &now, i)
+		playRequest(lb, &now, i)
 	}
 	return lb, now
 }
@@ -97,10 +97,10 @@
 // With sixteen times the endpoints, a step and a pick look at little more of them. They are counted, since times vary
 // with the machine; BenchmarkManyEndpoints measures those.
 func TestCostWithManyEndpoints(t *testing.T) {
-	const mostGrowth = 2
-	few, _ := largeFleet(t, 200)
-	many, _ := largeFleet(t, 3200)
-	if n, m := few.EndpointsLookedAt(), many.EndpointsLookedAt(); m > mostGrowth*n {
+	const maxGrowth = 2
+	few, _ := newBalancerWithEndpoints(t, 200)
+	many, _ := newBalancerWithEndpoints(t, 3200)
+	if n, m := few.EndpointsLookedAt(), many.EndpointsLookedAt(); m > maxGrowth*n {
 		t.Errorf("with 3,200 endpoints a step and a pick look at %d, with 200 at %d", m, n)
 	}
 }
@@ -108,15 +108,15 @@
 // BenchmarkManyEndpoints plays requests with few and with many endpoints. The ratio metric is the time with many over
 // that with few.
 func BenchmarkManyEndpoints(b *testing.B) {
-	few, fewNow := largeFleet(b, 200)
-	many, manyNow := largeFleet(b, 3200)
+	few, fewNow := newBalancerWithEndpoints(b, 200)
+	many, manyNow := newBalancerWithEndpoints(b, 3200)
 	var fewTime, manyTime time.Duration
 	for i := 1000; b.Loop(); i++ {
-		begin := time.Now()
-		playOne(few, &fewNow, i)
+		start := time.Now()
+		playRequest(few, &fewNow, i)
 		middle := time.Now()
-		playOne(many, &manyNow, i)
-		fewTime += middle.Sub(begin)
+		playRequest(many, &manyNow, i)
+		fewTime += middle.Sub(start)
 		manyTime += time.Since(middle)
 	}
 	b.ReportMetric(float64(manyTime)/float64(fewTime), "ratio")
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -33,35 +33,35 @@
 // classStats is a class of requests and what has been learned of its requests.
 type classStats struct {
 	Class
-	index              int           // position in Settings.Classes
-	meanLatencyNs      float64       // of served requests
-	latencyObservedAt  time.Duration // when meanLatencyNs was last updated
-	meanWorkNs         float64       // of the requests that tell their expected work
-	medianTimeout      time.Duration // of clients' first tries
-	arrived            float64       // decayed count of requests
-	servedOnTime       float64       // decayed count of requests served within their objective
-	onTimeNewConn      float64       // share of attempts served on time over new connections
-	onTimeExistingConn float64       // share of attempts served on time over existing connections
-	priorityPerWork    float64       // what a unit of work adds to the operator's goal, in this step
+	index                   int           // position in Settings.Classes
+	meanLatencyNs           float64       // of served requests
+	latencyUpdatedAt        time.Duration // when meanLatencyNs was last updated
+	meanWorkNs              float64       // of the requests that tell their expected work
+	medianTimeout           time.Duration // of clients' first tries
+	arrivals                float64       // decayed count of requests
+	servedOnTime            float64       // decayed count of requests served within their objective
+	newConnOnTimeShare      float64       // share of attempts served on time over new connections
+	existingConnOnTimeShare float64       // share of attempts served on time over existing connections
+	goalGainPerWork         float64       // what a unit of work adds to the operator's goal, in this step
 }
 
 func newClassStats(class Class, index int) *classStats {
 	return &classStats{
-		Class:              class,
-		index:              index,
-		meanLatencyNs:      initialLatencyShare * float64(class.Objective),
-		onTimeNewConn:      1,
-		onTimeExistingConn: 1,
+		Class:                   class,
+		index:                   index,
+		meanLatencyNs:           initialLatencyShare * float64(class.Objective),
+		newConnOnTimeShare:      1,
+		existingConnOnTimeShare: 1,
 	}
 }
 
 // onTimeShare is the share of recent requests that were served within their objective.
-func (c *classStats) onTimeShare() float64 { return (c.servedOnTime + 1) / (c.arrived + 1) }
+func (c *classStats) onTimeShare() float64 { return (c.servedOnTime + 1) / (c.arrivals + 1) }
 
-// observeTimeout updates the median timeout with that of a new request, and reports whether the request is a
+// updateTimeout updates the median timeout with that of a new request, and reports whether the request is a
 // client's retry: clients give their first tries the same timeout, and their last try what is left of their
 // deadline.
-func (c *classStats) observeTimeout(timeout, tick time.Duration, markedRetry bool) (isRetry bool) {
+func (c *classStats) updateTimeout(timeout, tick time.Duration, markedRetry bool) (isRetry bool) {
 	c.medianTimeout = cmp.Or(c.medianTimeout, timeout)
 	difference := timeout - c.medianTimeout
 	if !markedRetry {
@@ -72,48 +72,48 @@
 	return difference.Abs() > retryTimeoutTicks*tick
 }
 
-// observeServedOnTime notes a request that was served within its objective.
-func (c *classStats) observeServedOnTime() { c.servedOnTime++ }
+// recordServedOnTime notes a request that was served within its objective.
+func (c *classStats) recordServedOnTime() { c.servedOnTime++ }
 
-// observeWork updates the mean work with that of a new request; 0: unknown.
-func (c *classStats) observeWork(workNs float64) {
+// updateWork updates the mean work with that of a new request; 0: unknown.
+func (c *classStats) updateWork(workNs float64) {
 	if workNs > 0 {
 		c.meanWorkNs = movingAverage(c.meanWorkNs, workNs)
 	}
 }
 
-// observeLatency updates the mean latency with that of a served request, scaled to a request of mean work. It
+// updateLatency updates the mean latency with that of a served request, scaled to a request of mean work. It
 // returns the deviation of the scaled latency from the mean, as a multiple of the mean.
-func (c *classStats) observeLatency(now, latency time.Duration, workNs float64) (deviation float64) {
+func (c *classStats) updateLatency(now, latency time.Duration, workNs float64) (deviation float64) {
 	sampleNs := float64(latency)
 	if workNs > 0 && c.meanWorkNs > 0 {
 		sampleNs *= c.meanWorkNs / workNs
 	}
 	deviation = sampleNs/c.meanLatencyNs - 1
 	c.meanLatencyNs = movingAverage(c.meanLatencyNs, max(sampleNs, 1))
-	c.latencyObservedAt = now
+	c.latencyUpdatedAt = now
 	return deviation
 }
 
-// observeAttempt updates the shares of attempts on time, over new connections and over existing ones.
-func (c *classStats) observeAttempt(onTime, newConnection bool) {
+// updateOnTimeShares updates the shares of attempts on time, over new connections and over existing ones.
+func (c *classStats) updateOnTimeShares(onTime, newConnection bool) {
 	sample := 0.0
 	if onTime {
 		sample = 1
 	}
 	if newConnection {
-		c.onTimeNewConn += smoothing * (sample - c.onTimeNewConn)
+		c.newConnOnTimeShare += smoothing * (sample - c.newConnOnTimeShare)
 		return
 	}
-	c.onTimeExistingConn += smoothing * (sample - c.onTimeExistingConn)
+	c.existingConnOnTimeShare += smoothing * (sample - c.existingConnOnTimeShare)
 	// New connections may be too rare to update their own share, which therefore follows the other slowly.
-	c.onTimeNewConn += slowSmoothing * (sample - c.onTimeNewConn)
+	c.newConnOnTimeShare += slowSmoothing * (sample - c.newConnOnTimeShare)
 }
 
-// newConnectionsAreOnTime reports whether attempts over new connections are served on time as often as
+// hasOnTimeNewConnections reports whether attempts over new connections are served on time as often as
 // others.
-func (c *classStats) newConnectionsAreOnTime() bool {
-	return c.onTimeNewConn >= c.onTimeExistingConn-significantOnTimeGap
+func (c *classStats) hasOnTimeNewConnections() bool {
+	return c.newConnOnTimeShare >= c.existingConnOnTimeShare-significantOnTimeGap
 }
 
 // expectedLatencyNs is the expected latency of a request with the given expected work (0: unknown).
@@ -129,9 +129,9 @@
 	return float64(latency) / float64(c.Objective)
 }
 
-// latencyIsRecent reports whether a latency was observed recently enough to predict the next ones.
-func (c *classStats) latencyIsRecent(now time.Duration) bool {
-	return now-c.latencyObservedAt <= time.Duration(trafficWindowObjectives*float64(c.Objective))
+// hasRecentLatency reports whether a latency was observed recently enough to predict the next ones.
+func (c *classStats) hasRecentLatency(now time.Duration) bool {
+	return now-c.latencyUpdatedAt <= time.Duration(trafficWindowObjectives*float64(c.Objective))
 }
 
 // classList holds all classes, in the order of the settings. There is at least one.
@@ -140,13 +140,13 @@
 // reference is the class whose objective and latency are the time scale of what concerns all classes.
 func (l classList) reference() *classStats { return l[0] }
 
-// observeArrival counts a request of a class.
-func (l classList) observeArrival(class *classStats) {
+// recordArrival counts a request of a class.
+func (l classList) recordArrival(class *classStats) {
 	for _, c := range l {
-		c.arrived *= 1 - arrivalDecay
+		c.arrivals *= 1 - arrivalDecay
 		c.servedOnTime *= 1 - arrivalDecay
 	}
-	class.arrived++
+	class.arrivals++
 }
 
 // worst is the class with the lowest share of requests on time.
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -9,15 +9,15 @@
 	// minLimitPerEndpoint is the least, and the first, limit for an endpoint: attempts in flight of all
 	// agents.
 	minLimitPerEndpoint = 4.0
-	// unlimitedBelow is the number of attempts: an agent whose part of the least limit is under it has no
+	// minLimitedShare is the number of attempts: an agent whose part of the least limit is under it has no
 	// limit.
-	unlimitedBelow = 0.6
+	minLimitedShare = 0.6
 	// limitDecreaseFactor multiplies the limit at each decrease.
 	limitDecreaseFactor = 0.9
 	// limitIncrease is added to the limit for an endpoint, in attempts, over one round of responses.
 	limitIncrease = 0.7
-	// bindingShare is the share of the limit that must be in flight for the limit to grow.
-	bindingShare = 0.9
+	// minUtilizationToGrow is the share of the limit that must be in flight for the limit to grow.
+	minUtilizationToGrow = 0.9
 
 	// maxTargetRatio is the objective ratio above which the limit falls in any case.
 	maxTargetRatio = 0.35
@@ -27,9 +27,9 @@
 	// between minTargetRatio and maxTargetRatio.
 	targetOverBaseline = 3.0
 
-	// unservedRatio is the objective ratio of an attempt that was shed by its endpoint, and the least one of
+	// failedAttemptRatio is the objective ratio of an attempt that was shed by its endpoint, and the least one of
 	// an attempt without a response.
-	unservedRatio = 1.0
+	failedAttemptRatio = 1.0
 	// maxRatioSample is the largest objective ratio that one response counts with.
 	maxRatioSample = 2.0
 	// maxSampleOverBaseline bounds the objective ratio of one response to a multiple of the baseline ratio.
@@ -72,24 +72,24 @@
 
 // isUnlimited reports whether this agent's part of the least limit is so small that it has no limit.
 func (l *concurrencyLimiter) isUnlimited(fleet fleetSummary) bool {
-	return l.leastLimitIsBelow(unlimitedBelow, fleet)
+	return l.isMinLimitBelow(minLimitedShare, fleet)
 }
 
-// partOfEndpointLimit is a multiple of this agent's part of the limit for one endpoint, in attempts. The
+// endpointLimitShare is a multiple of this agent's part of the limit for one endpoint, in attempts. The
 // multiple is multiplied first, which keeps the rounding.
-func (l *concurrencyLimiter) partOfEndpointLimit(multiple float64) float64 {
+func (l *concurrencyLimiter) endpointLimitShare(multiple float64) float64 {
 	return multiple * l.perEndpoint / l.agents
 }
 
-// leastLimitIsBelow reports whether this agent's part of the least limit is under a number of attempts.
-func (l *concurrencyLimiter) leastLimitIsBelow(attempts float64, fleet fleetSummary) bool {
+// isMinLimitBelow reports whether this agent's part of the least limit is under a number of attempts.
+func (l *concurrencyLimiter) isMinLimitBelow(attempts float64, fleet fleetSummary) bool {
 	return minLimitPerEndpoint*float64(fleet.serving) < attempts*l.agents
 }
 
-// observe adjusts the limit by the objective ratio of a response, or of an attempt that had none.
+// update adjusts the limit by the objective ratio of a response, or of an attempt that had none.
 // activeInFlight does not count the attempt that has just ended. Without a limit the ratios stay, but the
 // limit may still fall.
-func (l *concurrencyLimiter) observe(
+func (l *concurrencyLimiter) update(
 	now, minDecreaseInterval time.Duration, ratio, activeInFlight float64, fleet fleetSummary,
 ) {
 	l.samples++
@@ -105,7 +105,7 @@
 	case l.meanRatio > target && now-l.decreasedAt > minDecreaseInterval:
 		l.perEndpoint = max(minLimitPerEndpoint, l.perEndpoint*limitDecreaseFactor)
 		l.decreasedAt = now
-	case l.meanRatio < target && activeInFlight+1 >= limit*bindingShare:
+	case l.meanRatio < target && activeInFlight+1 >= limit*minUtilizationToGrow:
 		l.perEndpoint += limitIncrease / limit
 	}
 }
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -39,7 +39,7 @@
 }
 
 // Each of many agents takes its part of the limit by head count, also while the endpoints are idle.
-func TestLimitIsSharedOut(t *testing.T) {
+func TestLimitIsSharedAmongAgents(t *testing.T) {
 	inFlight := func(agents int) int {
 		s := settings()
 		s.Agents = agents
@@ -51,7 +51,7 @@
 }
 
 // The limit follows the number of endpoints down.
-func TestLimitFollowsTheList(t *testing.T) {
+func TestLimitScalesWithEndpoints(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(10))
 	h.replaceList(endpoints(2)...)
 	if n := total(h.burst("q", 100, idempotent)); n > 12 {
@@ -60,9 +60,9 @@
 }
 
 // The load of unreachable endpoints does not move to the others while the list still names them.
-func TestLimitLeavesOutUnreachable(t *testing.T) {
+func TestLimitExcludesUnreachableEndpoints(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(10))
-	h.waves(80, 20, idempotent, 5*ms)
+	h.serveWaves(80, 20, idempotent, 5*ms)
 	isReachable := func(endpoint string) bool { return endpoint >= "g" }
 	unreachable := map[string]bool{} // of a to f, those that have failed
 	for i := 0; len(unreachable) < 6 && i < 500; i++ {
@@ -85,7 +85,7 @@
 
 // Chance does not lower the limit of a busy agent whose mean latency is well within the objective, but varies
 // a lot.
-func TestBusyAgentIsNotCutByChance(t *testing.T) {
+func TestLatencyVarianceDoesNotLowerLimit(t *testing.T) {
 	s := settings()
 	s.Agents = 2
 	h := newHarness(t, s, 1, endpoints(30))
@@ -118,13 +118,13 @@
 func TestLimitFallsWithRisingLatency(t *testing.T) {
 	inFlight := func(usual time.Duration) int {
 		h := newHarness(t, settings(), 1, endpoints(2))
-		h.waves(400, 8, idempotent, usual)  // bound by the limit, which may grow
-		h.waves(400, 8, idempotent, 130*ms) // about a third of the objective
+		h.serveWaves(400, 8, idempotent, usual)  // bound by the limit, which may grow
+		h.serveWaves(400, 8, idempotent, 130*ms) // about a third of the objective
 		return total(h.burst("q", 40, idempotent))
 	}
-	if crowded, slow := inFlight(35*ms), inFlight(130*ms); crowded != 4*2 || slow <= 4*2 {
+	if risen, constant := inFlight(35*ms), inFlight(130*ms); risen != 4*2 || constant <= 4*2 {
 		t.Errorf("%d in flight after a rise, want the least limit of 8; "+
-			"%d where it was so from the start, want more", crowded, slow)
+			"%d where it was so from the start, want more", risen, constant)
 	}
 }
 
@@ -143,18 +143,18 @@
 	s.Agents = agents
 	h := newHarness(t, s, 1, endpoints(20))
 	var inFlight []string // requests, oldest first
-	note := func(actions []balancer.Action) {
+	recordSends := func(actions []balancer.Action) {
 		for _, send := range sendsOf(actions) {
 			inFlight = append(inFlight, send.Request)
 		}
 	}
 	for i := range 200 { // what exceeds the limit is queued
-		note(h.request(fmt.Sprint("q", i), idempotent))
+		recordSends(h.request(fmt.Sprint("q", i), idempotent))
 	}
 	for i := range 4 * len(inFlight) {
-		note(h.outcome(inFlight[0], balancer.Served, 20*ms))
+		recordSends(h.outcome(inFlight[0], balancer.Served, 20*ms))
 		inFlight = inFlight[1:]
-		note(h.request(fmt.Sprint("more", i), idempotent))
+		recordSends(h.request(fmt.Sprint("more", i), idempotent))
 	}
 	return len(inFlight) * agents
 }
@@ -164,7 +164,7 @@
 func TestBaselineFromFirstResponses(t *testing.T) {
 	inFlight := func(latencies ...time.Duration) int {
 		h := newHarness(t, settings(), 1, endpoints(2))
-		h.waves(80, 8, idempotent, 10*ms)
+		h.serveWaves(80, 8, idempotent, 10*ms)
 		for _, latency := range latencies {
 			h.serve(1, idempotent, latency)
 		}
@@ -181,7 +181,7 @@
 }
 
 // An agent whose part of the least limit is far under one attempt has no limit: a slow attempt delays no other.
-func TestSparseAgentHasNoLimit(t *testing.T) {
+func TestAgentWithSmallShareHasNoLimit(t *testing.T) {
 	s := settings()
 	s.Agents = 400
 	h := newHarness(t, s, 1, endpoints(4))
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -13,7 +13,7 @@
 	s := settings()
 	s.Classes = s.Classes[notIdempotent : notIdempotent+1]
 	h := newHarness(t, s, 4, endpoints(3))
-	h.exchangeUntil("a", 0, faultAtA(response{balancer.ServerError, 20 * ms}, response{balancer.Served, 20 * ms}))
+	h.exchangeUntilSentTo("a", 0, faultAtA(response{balancer.ServerError, 20 * ms}, response{balancer.Served, 20 * ms}))
 	h.advance(5 * time.Second)
 	if counts := h.serve(200, 0, 30*ms); counts["a"] == 0 {
 		t.Error("an ejected endpoint never got traffic again")
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -99,9 +99,9 @@
 // onEndpointList applies an endpoint list, or the failure to get one.
 func (b *Balancer) onEndpointList(list EndpointList) {
 	if wait, ok := b.subscriber.next(list.Kind); ok {
-		b.timers.registerSubscribe(b.setTimer(wait))
+		b.timers.setSubscribe(b.setTimer(wait))
 	}
-	if list.Kind.hasFailed() {
+	if list.Kind.isFailure() {
 		return
 	}
 	for _, entry := range list.Endpoints {
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -41,7 +41,7 @@
 		h.request("q", idempotent)
 		other := map[string]string{"a": "b", "b": "a"}[h.firstEndpoint("q")]
 		h.outcomeAfter("q", balancer.ServerError, ms)
-		h.changeList(balancer.Endpoint{ID: other, State: balancer.Draining})
+		h.updateList(balancer.Endpoint{ID: other, State: balancer.Draining})
 		h.advance(time.Second)
 		if slices.Contains(h.sent["q"][1:], other) {
 			t.Fatalf("seed %d: a retry went to the draining endpoint", seed)
@@ -53,8 +53,8 @@
 func TestRemovedEndpointReturns(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(2))
 	h.serve(50, idempotent, 20*ms)
-	h.changeList(balancer.Endpoint{ID: "a", State: balancer.Removed})
-	h.changeList(balancer.Endpoint{ID: "a", StartedAt: h.now})
+	h.updateList(balancer.Endpoint{ID: "a", State: balancer.Removed})
+	h.updateList(balancer.Endpoint{ID: "a", StartedAt: h.now})
 	h.serve(400, idempotent, 20*ms)
 	h.advance(10 * time.Second)
 	if n := h.serve(200, idempotent, 20*ms)["a"]; n < 50 {
@@ -72,7 +72,7 @@
 		if len(h.sent[id]) > 0 {
 			h.outcome(id, balancer.Served, 10*ms)
 		}
-		h.changeList(balancer.Endpoint{ID: "never listed", State: balancer.Removed})
+		h.updateList(balancer.Endpoint{ID: "never listed", State: balancer.Removed})
 	}
 	if n := h.balancer.EndpointCount(); n != 1 {
 		t.Errorf("%d endpoints are kept, want 1", n)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -47,8 +47,8 @@
 	ListRefused                  // the poll was refused; the old list holds
 )
 
-// hasFailed reports whether a list of this kind carries no endpoints: the one before holds.
-func (k ListKind) hasFailed() bool { return k == ListFailed || k == ListRefused }
+// isFailure reports whether a list of this kind carries no endpoints: the one before holds.
+func (k ListKind) isFailure() bool { return k == ListFailed || k == ListRefused }
 
 // EndpointList carries endpoints, or the failure to get them.
 type EndpointList struct {
--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -40,4 +40,4 @@
 // activeInFlight is the number of attempts in flight that may still be served: those that the concurrency
 // limit bounds. It is too low, even under zero, once stalled attempts have ended since the fleet was
 // measured.
-func (b *Balancer) activeInFlight() float64 { return float64(b.attemptsInFlight - b.fleet.stalled) }
+func (b *Balancer) activeInFlight() float64 { return float64(b.inFlightCount - b.fleet.stalled) }
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -51,7 +51,7 @@
 // and lets that count as a time-out of the class there.
 func (b *Balancer) suspectLatestEndpoint(r *request) {
 	ep := r.attempts[len(r.attempts)-1].endpoint
-	r.lastFailed = ep
+	r.lastFailedEndpoint = ep
 	ep.connection.markDisconnected()
 	b.outliers.ejectForClassIfWorse(ep, r.class, b.now)
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -62,8 +62,8 @@
 
 // pendingTimer is a timer that a balancer has set.
 type pendingTimer struct {
-	at    time.Duration
-	token int64
+	firesAt time.Duration
+	token   int64
 }
 
 // newHarness returns a harness whose balancer has a cached list, at an hour on its clock.
@@ -98,16 +98,16 @@
 	for len(h.timers) > 0 {
 		next := 0
 		for i, timer := range h.timers {
-			if timer.at < h.timers[next].at {
+			if timer.firesAt < h.timers[next].firesAt {
 				next = i
 			}
 		}
 		timer := h.timers[next]
-		if timer.at > end {
+		if timer.firesAt > end {
 			break
 		}
 		h.timers = slices.Delete(h.timers, next, next+1)
-		h.now = max(h.now, timer.at)
+		h.now = max(h.now, timer.firesAt)
 		all = append(all, h.step(balancer.TimerFired{Token: timer.token})...)
 	}
 	h.now = end
@@ -119,17 +119,17 @@
 	h.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: entries})
 }
 
-// changeList brings changed entries of the endpoint list.
-func (h *harness) changeList(entries ...balancer.Endpoint) {
+// updateList brings changed entries of the endpoint list.
+func (h *harness) updateList(entries ...balancer.Endpoint) {
 	h.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: entries})
 }
 
 func (h *harness) request(id string, class int) []balancer.Action {
-	return h.requestWithin(id, class, 2000*ms)
+	return h.requestWithTimeout(id, class, 2000*ms)
 }
 
-// requestWithin submits a request of a client that waits for the timeout.
-func (h *harness) requestWithin(id string, class int, timeout time.Duration) []balancer.Action {
+// requestWithTimeout submits a request of a client that waits for the timeout.
+func (h *harness) requestWithTimeout(id string, class int, timeout time.Duration) []balancer.Action {
 	return h.step(balancer.Request{ID: id, Class: class, Timeout: timeout})
 }
 
@@ -185,8 +185,8 @@
 	return h.respond(id, responseOf)
 }
 
-// exchangeUntil submits requests one after the other until one was sent to the endpoint.
-func (h *harness) exchangeUntil(endpoint string, class int, responseOf func(endpoint string) response) {
+// exchangeUntilSentTo submits requests one after the other until one was sent to the endpoint.
+func (h *harness) exchangeUntilSentTo(endpoint string, class int, responseOf func(endpoint string) response) {
 	h.t.Helper()
 	for h.exchange(fmt.Sprint("until", len(h.sent)), class, responseOf) != endpoint {
 	}
@@ -237,9 +237,9 @@
 	return counts
 }
 
-// waves sends n requests, width at a time, and serves each wave after the latency. Waves as wide as the list open a
+// serveWaves sends n requests, width at a time, and serves each wave after the latency. Waves as wide as the list open a
 // connection to every endpoint. It returns the requests that each endpoint gets.
-func (h *harness) waves(n, width, class int, latency time.Duration) map[string]int {
+func (h *harness) serveWaves(n, width, class int, latency time.Duration) map[string]int {
 	h.t.Helper()
 	counts := map[string]int{}
 	for range n / width {
@@ -259,14 +259,14 @@
 	return counts
 }
 
-// fleetShares returns how many of 400 requests, eight from each of fifty balancers, each endpoint gets. One balancer
+// fleetRequestCounts returns how many of 400 requests, eight from each of fifty balancers, each endpoint gets. One balancer
 // keeps to its subset; together they use all endpoints.
-func fleetShares(t *testing.T, s balancer.Settings, list []balancer.Endpoint) map[string]int {
+func fleetRequestCounts(t *testing.T, s balancer.Settings, list []balancer.Endpoint) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
 	for seed := range uint64(50) {
 		h := newHarness(t, s, seed, list)
-		h.waves(16, 8, idempotent, 50*ms)
+		h.serveWaves(16, 8, idempotent, 50*ms)
 		for id, n := range h.serve(8, idempotent, 50*ms) {
 			counts[id] += n
 		}
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -12,7 +12,7 @@
 
 // allow reports whether an attempt of r may go to an endpoint now.
 func (rules *attemptRules) allow(r *request, ep *endpoint, now time.Duration) bool {
-	if r.hasEnded() || r.isStreaming || len(r.attempts) >= rules.maxAttempts {
+	if r.isFinished() || r.isStreaming || len(r.attempts) >= rules.maxAttempts {
 		return false
 	}
 	if r.inFlight > 0 && !rules.allowHedging {
--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -12,13 +12,13 @@
 func TestTimerTable(t *testing.T) {
 	timers := newTimerTable()
 	add := func(r *request) int64 {
-		r.timer = timers.nextToken()
-		timers.register(r)
-		return r.timer
+		r.timerToken = timers.nextToken()
+		timers.add(r)
+		return r.timerToken
 	}
-	open, ended := &request{}, &request{phase: phaseEnded}
+	open, ended := &request{}, &request{phase: phaseFinished}
 	voided, latest, ofEnded, subscribe := add(open), add(open), add(ended), timers.nextToken()
-	timers.registerSubscribe(subscribe)
+	timers.setSubscribe(subscribe)
 	tests := []struct {
 		name        string
 		token       int64
@@ -77,21 +77,21 @@
 	first, second, third := &request{}, &request{}, &request{}
 	queues := newKeyQueues()
 	for _, r := range []*request{first, second, third} {
-		queues.join(r, "k")
+		queues.add(r, "k")
 	}
-	if !first.isNextOfKey(now) || second.isNextOfKey(now) {
+	if !first.isNextForKey(now) || second.isNextForKey(now) {
 		t.Error("of three requests not the first alone is next")
 	}
-	queues.leave(second, now) // before its turn
+	queues.remove(second, now) // before its turn
 	first.keyQuietUntil = quietUntil
-	if wait := queues.leave(first, now); wait < quietUntil-now {
+	if wait := queues.remove(first, now); wait < quietUntil-now {
 		t.Errorf("a wait of %v for a quiet period of %v", wait, quietUntil-now)
 	}
-	if queues.expire(quietUntil); third.isNextOfKey(quietUntil-1) || !third.isNextOfKey(quietUntil) {
+	if queues.expire(quietUntil); third.isNextForKey(quietUntil-1) || !third.isNextForKey(quietUntil) {
 		t.Error("the third is not next when the quiet period ends")
 	}
 	third.keyQuietUntil = quietUntil + time.Second
-	queues.leave(third, quietUntil)
+	queues.remove(third, quietUntil)
 	if queues.expire(third.keyQuietUntil - 1); len(queues.byKey) != 1 {
 		t.Errorf("%d queues in the quiet period, want 1", len(queues.byKey))
 	}
@@ -120,11 +120,11 @@
 	for _, tt := range tests {
 		limiter := newConcurrencyLimiter(1)
 		for range int(initialRatioSamples) {
-			limiter.observe(0, meanLatency, 0.05, 0, fleet)
+			limiter.update(0, meanLatency, 0.05, 0, fleet)
 		}
 		limiter.perEndpoint = start
 		for i := range 300 {
-			limiter.observe(time.Hour+time.Duration(i)*tt.step, meanLatency, tt.ratio, tt.inFlight, fleet)
+			limiter.update(time.Hour+time.Duration(i)*tt.step, meanLatency, tt.ratio, tt.inFlight, fleet)
 		}
 		if got := limiter.perEndpoint; got < tt.low || got > tt.high {
 			t.Errorf("%s: limit %v, want %v to %v", tt.name, got, tt.low, tt.high)
@@ -142,8 +142,8 @@
 		want         bool
 	}{
 		{"allowance used up", 40, excessAllowance, 0, true},
-		{"enough served on time", 40, excessAllowance + 9*throttledSentPerOnTime, 10, false},
-		{"too few served on time", 40, excessAllowance + 11*throttledSentPerOnTime, 10, true},
+		{"enough served on time", 40, excessAllowance + 9*maxSentPerOnTime, 10, false},
+		{"too few served on time", 40, excessAllowance + 11*maxSentPerOnTime, 10, true},
 		{"part of one attempt", 8, 100, 0, false},
 	}
 	for _, tt := range tests {
--- a/balancer/keyqueue.go
+++ b/balancer/keyqueue.go
@@ -20,8 +20,8 @@
 	return len(q.requests) == 0 && q.quietUntil <= now
 }
 
-// isNextOfKey reports whether all earlier requests of its key have ended, and its quiet period is over.
-func (r *request) isNextOfKey(now time.Duration) bool {
+// isNextForKey reports whether all earlier requests of its key have ended, and its quiet period is over.
+func (r *request) isNextForKey(now time.Duration) bool {
 	return r.keyQueue == nil || r.keyQueue.requests[0] == r && now >= r.keyQueue.quietUntil
 }
 
@@ -33,8 +33,8 @@
 
 func newKeyQueues() keyQueues { return keyQueues{byKey: map[string]*keyQueue{}} }
 
-// join puts a new request behind all others of its key.
-func (qs *keyQueues) join(r *request, key string) {
+// add puts a new request behind all others of its key.
+func (qs *keyQueues) add(r *request, key string) {
 	queue := qs.byKey[key]
 	if queue == nil {
 		queue = &keyQueue{key: key}
@@ -44,14 +44,14 @@
 	r.keyQueue = queue
 }
 
-// leave takes out a request that has ended. The next one of its key may go at once, or after the returned
+// remove takes out a request that has ended. The next one of its key may go at once, or after the returned
 // wait if that is over 0.
-func (qs *keyQueues) leave(r *request, now time.Duration) (wait time.Duration) {
+func (qs *keyQueues) remove(r *request, now time.Duration) (wait time.Duration) {
 	queue := r.keyQueue
 	r.keyQueue = nil
 	queue.requests = slices.DeleteFunc(queue.requests, func(other *request) bool { return other == r })
 	if r.keyQuietUntil <= now {
-		qs.dropIfUnused(queue, now)
+		qs.removeIfUnused(queue, now)
 		return 0
 	}
 	// The request has had an attempt, so that it was the head of the queue and no other quiet period is
@@ -67,24 +67,24 @@
 	for len(qs.quiet) > 0 && qs.quiet[0].quietUntil <= now {
 		queue := qs.quiet[0]
 		qs.quiet = qs.quiet[1:]
-		qs.dropIfUnused(queue, now)
+		qs.removeIfUnused(queue, now)
 	}
 }
 
-// dropIfUnused drops a queue that is empty and rests no more, unless another one has taken its place.
-func (qs *keyQueues) dropIfUnused(queue *keyQueue, now time.Duration) {
+// removeIfUnused drops a queue that is empty and rests no more, unless another one has taken its place.
+func (qs *keyQueues) removeIfUnused(queue *keyQueue, now time.Duration) {
 	if queue.isUnused(now) && qs.byKey[queue.key] == queue {
 		delete(qs.byKey, queue.key)
 	}
 }
 
-// leaveKeyQueue lets the next request of a key go once r has ended. If it has to wait, a timer makes the step
+// removeFromKeyQueue lets the next request of a key go once r has ended. If it has to wait, a timer makes the step
 // in which it goes.
-func (b *Balancer) leaveKeyQueue(r *request) {
+func (b *Balancer) removeFromKeyQueue(r *request) {
 	if r.keyQueue == nil {
 		return
 	}
-	if wait := b.keyQueues.leave(r, b.now); wait > 0 {
+	if wait := b.keyQueues.remove(r, b.now); wait > 0 {
 		b.setTimer(wait)
 	}
 }
--- a/balancer/keyqueue_test.go
+++ b/balancer/keyqueue_test.go
@@ -16,7 +16,7 @@
 }
 
 // Requests of one key run one at a time, over all ordered classes; others do not wait.
-func TestOrderOfAKey(t *testing.T) {
+func TestOrderedRequests(t *testing.T) {
 	h := newOrderedHarness(t)
 	tests := []struct {
 		id    string
@@ -71,7 +71,7 @@
 }
 
 // An abandoned request still blocks its key while its attempt is in flight.
-func TestKeyWaitsForTheOutcome(t *testing.T) {
+func TestAbandonedRequestBlocksItsKey(t *testing.T) {
 	h := newOrderedHarness(t)
 	h.requestWithKey("first", notIdempotent, "k")
 	h.requestWithKey("second", notIdempotent, "k")
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -17,15 +17,15 @@
 	}
 	b.endAttempt(r, a, event.Result)
 	b.learnFromOutcome(r, a, &event)
-	if event.Result == Served && !r.hasEnded() {
+	if event.Result == Served && !r.isFinished() {
 		b.onServed(r)
 	}
 	b.endpoints.removeIfGone(a.endpoint)
-	if event.Done || event.Result == Served || r.hasEnded() {
-		b.closeRequest(r)
+	if event.Done || event.Result == Served || r.isFinished() {
+		b.finishRequest(r)
 		return
 	}
-	r.lastFailed = a.endpoint
+	r.lastFailedEndpoint = a.endpoint
 	// A second attempt that is backing off or queued goes on by itself.
 	if r.inFlight == 0 && r.phase == phaseActive {
 		b.retry(r, event.Result)
@@ -36,15 +36,15 @@
 func (b *Balancer) onServed(r *request) {
 	b.retryTokens.refill()
 	if r.isOnTime(b.now) {
-		r.class.observeServedOnTime()
-		b.traffic.observeServedOnTime()
+		r.class.recordServedOnTime()
+		b.traffic.recordServedOnTime()
 	}
 	if !b.settings.AllowCancel {
 		return
 	}
 	for number, other := range r.attempts {
 		if other.inFlight {
-			b.act(Cancel{Request: r.id, Attempt: number})
+			b.addAction(Cancel{Request: r.id, Attempt: number})
 		}
 	}
 }
@@ -58,14 +58,14 @@
 		b.onLocalFailure(r, a, outcome)
 		return
 	}
-	r.class.observeAttempt(outcome.Result == Served && r.isOnTime(b.now), a.newConnection)
+	r.class.updateOnTimeShares(outcome.Result == Served && r.isOnTime(b.now), a.newConnection)
 	b.observeConnection(a, outcome.Result)
 	switch outcome.Result {
 	case Served:
 		b.onAttemptServed(r, a, outcome.Latency)
 	case Rejected:
 		b.outliers.avoid(a.endpoint, r.class, b.now)
-		b.adjustLimit(unservedRatio)
+		b.adjustLimit(failedAttemptRatio)
 	case TimedOut:
 		b.onAttemptTimedOut(r, a, outcome.Latency)
 	case ServerError, Reset, ConnectFailed:
@@ -102,7 +102,7 @@
 		return // only fast responses reach such a client, so that their latency is not typical
 	}
 	ep.responses.observeRatio(a.latencyRatio(latency))
-	deviation := r.class.observeLatency(b.now, latency, r.workNs)
+	deviation := r.class.updateLatency(b.now, latency, r.workNs)
 	b.hedger.observe(math.Abs(deviation))
 	b.adjustLimit(r.class.objectiveRatio(latency))
 }
@@ -116,7 +116,7 @@
 		b.outliers.eject(a, r.class, b.now)
 		return
 	}
-	b.adjustLimit(max(unservedRatio, r.class.objectiveRatio(latency)))
+	b.adjustLimit(max(failedAttemptRatio, r.class.objectiveRatio(latency)))
 	ep.responses.observeRatio(a.latencyRatio(latency)) // a lower bound of its latency
 }
 
@@ -149,7 +149,7 @@
 func (b *Balancer) onLocalFailure(r *request, a *attempt, outcome *Outcome) {
 	b.outliers.avoid(a.endpoint, r.class, b.now)
 	if len(r.attempts) == 1 {
-		b.traffic.undoSend() // nothing was sent that may have been wasted; nor does a retry count as sent
+		b.traffic.revertSent() // nothing was sent that may have been wasted; nor does a retry count as sent
 	}
 	b.onAttemptFailed(r, a, outcome)
 }
@@ -157,5 +157,5 @@
 // adjustLimit lets the concurrency limit learn from a latency over its objective.
 func (b *Balancer) adjustLimit(ratio float64) {
 	minDecreaseInterval := time.Duration(b.classes.reference().meanLatencyNs)
-	b.limiter.observe(b.now, minDecreaseInterval, ratio, b.activeInFlight(), b.fleet)
+	b.limiter.update(b.now, minDecreaseInterval, ratio, b.activeInFlight(), b.fleet)
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -23,7 +23,7 @@
 	}
 	// Once it has recovered it gets traffic again, at first idempotent requests.
 	h.advance(20 * time.Second)
-	if counts := h.waves(408, 12, idempotent, 30*ms); counts["a"] < 20 {
+	if counts := h.serveWaves(408, 12, idempotent, 30*ms); counts["a"] < 20 {
 		t.Errorf("after its recovery it got %d of 400", counts["a"])
 	}
 }
@@ -85,12 +85,12 @@
 	responseOf := faultAtA(response{balancer.Reset, 10 * ms}, response{balancer.Served, 10 * ms})
 	servedAfter := func(resets int) int {
 		h := newHarness(t, settings(), 1, endpoints(2))
-		h.waves(400, 2, notIdempotent, 10*ms)
+		h.serveWaves(400, 2, notIdempotent, 10*ms)
 		for range resets {
-			h.exchangeUntil("a", notIdempotent, responseOf)
+			h.exchangeUntilSentTo("a", notIdempotent, responseOf)
 		}
 		h.advance(2 * time.Second)
-		return h.waves(400, 4, notIdempotent, 10*ms)["a"]
+		return h.serveWaves(400, 4, notIdempotent, 10*ms)["a"]
 	}
 	if one, three := servedAfter(1), servedAfter(3); one < 150 || three > one/2 {
 		t.Errorf("a got %d of 400 after one reset, %d after three in a row; want about half, and far less",
@@ -102,7 +102,7 @@
 // others stay in use.
 func TestEjectionForErrorsIsBounded(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(8))
-	h.waves(400, 8, notIdempotent, 10*ms)
+	h.serveWaves(400, 8, notIdempotent, 10*ms)
 	for i := range 300 {
 		h.exchange(fmt.Sprint("q", i), notIdempotent, func(endpoint string) response {
 			if endpoint < "e" {
@@ -124,7 +124,7 @@
 			s := settings()
 			s.Agents = agents
 			h := newHarness(t, s, 4, endpoints(6))
-			h.waves(60, 6, idempotent, 30*ms)
+			h.serveWaves(60, 6, idempotent, 30*ms)
 			for i := range 40 {
 				h.failLocally(fmt.Sprint("local", i))
 			}
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -102,7 +102,7 @@
 		wantedSubset:     wantedSubset,
 		crossZoneDivisor: p.crossZoneDivisor(now, fleet),
 		newEndpointLoad:  p.meanLoad(now),
-		maxLoad:          max(minMaxLoad, p.limiter.partOfEndpointLimit(maxEndpointShares)),
+		maxLoad:          max(minMaxLoad, p.limiter.endpointLimitShare(maxEndpointShares)),
 	}
 }
 
@@ -178,7 +178,7 @@
 // start permit that has lapsed.
 func (p *picker) isEligible(info *pickInfo, ep *endpoint) bool {
 	r := info.request
-	failedLast := ep == r.lastFailed && info.fleet.serving > 1
+	failedLast := ep == r.lastFailedEndpoint && info.fleet.serving > 1
 	if ep.State != Serving || failedLast || info.now < ep.ejection.avoidedUntil {
 		return false
 	}
@@ -246,7 +246,7 @@
 // tier is the tier of an idle candidate at a position in the order of weighted rank. With cache affinity the
 // subset does not matter while requests over new connections are served on time as often as others.
 func (p *picker) tier(info *pickInfo, c *candidate, position int) int {
-	ignoresSubset := p.settings.CacheAffinity && info.request.class.newConnectionsAreOnTime()
+	ignoresSubset := p.settings.CacheAffinity && info.request.class.hasOnTimeNewConnections()
 	warmingJoins := (c.endpoint.warmUp.active && c.connected) || info.warmingJoinsSubset(c.endpoint)
 	switch {
 	case float64(position) < info.wantedSubset || ignoresSubset || warmingJoins:
@@ -327,8 +327,8 @@
 // isCrowded reports whether the fleet is short of capacity: the concurrency limit has fallen within the time
 // of a slow start or, where the throttle stands in for the limit, too few requests are served on time.
 func (p *picker) isCrowded(now time.Duration, fleet fleetSummary) bool {
-	if p.limiter.leastLimitIsBelow(1, fleet) {
-		return p.traffic.excessSent(crowdedSentPerOnTime) > 0
+	if p.limiter.isMinLimitBelow(1, fleet) {
+		return p.traffic.excessRequests(crowdedSentPerOnTime) > 0
 	}
 	return now-p.limiter.decreasedAt <= p.settings.SlowStartDuration
 }
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -10,7 +10,7 @@
 
 // Idle endpoints are drawn alike.
 func TestPickIdleAtRandom(t *testing.T) {
-	for id, n := range fleetShares(t, settings(), endpoints(4)) {
+	for id, n := range fleetRequestCounts(t, settings(), endpoints(4)) {
 		if n < 60 || n > 140 {
 			t.Errorf("%s got %d of 400, want about 100", id, n)
 		}
@@ -21,7 +21,7 @@
 func newConnectedHarness(t *testing.T) *harness {
 	t.Helper()
 	h := newHarness(t, settings(), 2, endpoints(4))
-	h.waves(80, 8, idempotent, 50*ms)
+	h.serveWaves(80, 8, idempotent, 50*ms)
 	return h
 }
 
@@ -46,7 +46,7 @@
 	h := newHarness(t, settings(), 2, endpoints(4))
 	h.serve(80, idempotent, 50*ms)
 	h.burst("q", 8, idempotent)
-	h.changeList(balancer.Endpoint{ID: "new"})
+	h.updateList(balancer.Endpoint{ID: "new"})
 	if n := h.burst("n", 4, idempotent)["new"]; n > 2 {
 		t.Errorf("the new endpoint got %d of 4, want 2 at most", n)
 	}
@@ -57,7 +57,7 @@
 	s := settings()
 	s.CrossZonePrice = 0.02
 	h := newHarness(t, s, 2, endpoints(4))
-	h.waves(16, 8, idempotent, 50*ms)
+	h.serveWaves(16, 8, idempotent, 50*ms)
 	counts := h.serve(400, idempotent, 50*ms)
 	if own := counts["a"] + counts["b"]; own < 260 || own == 400 {
 		t.Errorf("own zone got %d of 400, want most but not all", own)
@@ -144,7 +144,7 @@
 	for i, size := range []float64{3, 1, 3, 1} {
 		list[i].Weight = size
 	}
-	counts := fleetShares(t, settings(), list)
+	counts := fleetRequestCounts(t, settings(), list)
 	large, small := counts["a"]+counts["c"], counts["b"]+counts["d"]
 	if large < 2*small || small < 40 {
 		t.Errorf("the large ones got %d and the small ones %d of 400, want about three to one", large, small)
--- a/balancer/priority.go
+++ b/balancer/priority.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// clientRetryFactor is the priority of a client's retry against a first try: most of its objective has
+	// clientRetryPriorityFactor is the priority of a client's retry against a first try: most of its objective has
 	// passed.
-	clientRetryFactor = 0.1
-	// lateLatencyShare is the share of the expected latency that must be left for a response to count as on
+	clientRetryPriorityFactor = 0.1
+	// minRemainingLatencyShare is the share of the expected latency that must be left for a response to count as on
 	// time.
-	lateLatencyShare = 0.5
+	minRemainingLatencyShare = 0.5
 	// minDemand keeps a division by the demand of all classes finite.
 	minDemand = 1e-9
 )
@@ -19,21 +19,21 @@
 func updatePriorities(classes classList, settings *Settings) {
 	demand := 0.0 // priority that arrived recently
 	for _, class := range classes {
-		demand += class.arrived * class.Priority * priorityUnit(class, settings)
+		demand += class.arrivals * class.Priority * unitsPerRequest(class, settings)
 	}
 	worst := classes.worst()
 	goalWeight := settings.GoalOverall + settings.GoalWorstWindow
 	for _, class := range classes {
-		gain := goalWeight * class.Priority * priorityUnit(class, settings)
-		class.priorityPerWork = gain / class.meanLatencyNs / max(demand, minDemand)
+		gain := goalWeight * class.Priority * unitsPerRequest(class, settings)
+		class.goalGainPerWork = gain / class.meanLatencyNs / max(demand, minDemand)
 		if class == worst { // one more request on time raises its share by one over those that arrived
-			class.priorityPerWork += settings.GoalWorstClass / (max(class.arrived, 1) * class.meanLatencyNs)
+			class.goalGainPerWork += settings.GoalWorstClass / (max(class.arrivals, 1) * class.meanLatencyNs)
 		}
 	}
 }
 
-// priorityUnit is what a request counts for in its class's priority: its work in nanoseconds, or 1.
-func priorityUnit(class *classStats, settings *Settings) float64 {
+// unitsPerRequest is what a request counts for in its class's priority: its work in nanoseconds, or 1.
+func unitsPerRequest(class *classStats, settings *Settings) float64 {
 	if settings.PriorityByWork {
 		return class.meanLatencyNs
 	}
@@ -42,11 +42,11 @@
 
 // priority is what a unit of work that is spent on a queued request adds to the operator's goal.
 func (r *request) priority(now time.Duration) float64 {
-	priority := r.class.priorityPerWork
+	priority := r.class.goalGainPerWork
 	if r.isClientRetry {
-		priority *= clientRetryFactor
+		priority *= clientRetryPriorityFactor
 	}
-	if r.objectiveAt-now < time.Duration(lateLatencyShare*r.expectedLatencyNs()) {
+	if r.objectiveAt-now < time.Duration(minRemainingLatencyShare*r.expectedLatencyNs()) {
 		priority *= r.class.LatePriority
 	}
 	return priority
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -9,8 +9,8 @@
 const (
 	// expiryLatencies is how many expected latencies before its objective a queued request is given up.
 	expiryLatencies = 2.0
-	// openReserve is the share of Settings.MaxOpen that is kept free for new requests.
-	openReserve = 0.125
+	// reservedOpenShare is the share of Settings.MaxOpen that is kept free for new requests.
+	reservedOpenShare = 0.125
 )
 
 // admissionQueue holds the requests that wait for an attempt, in the order in which they were queued, which
@@ -42,7 +42,7 @@
 	var next *request
 	highest := 0.0
 	for _, r := range q.requests {
-		if r.hasNoEndpoint || !r.isNextOfKey(now) || r.isTooLate(now, now) {
+		if r.hasNoEndpoint || !r.isNextForKey(now) || r.isTooLate(now, now) {
 			continue
 		}
 		if priority := r.priority(now); next == nil || priority >= highest {
@@ -52,20 +52,20 @@
 	return next
 }
 
-// lowest is the request of the lowest priority, of equals the one queued first. The queue is not empty.
-func (q *admissionQueue) lowest(now time.Duration) *request {
+// lowestPriority is the request of the lowestPriority priority, of equals the one queued first. The queue is not empty.
+func (q *admissionQueue) lowestPriority(now time.Duration) *request {
 	return slices.MinFunc(q.requests, func(x, y *request) int {
 		return cmp.Compare(x.priority(now), y.priority(now))
 	})
 }
 
-// expiry is when a queued request has too little time left to be served well. Clients' retries do not wait at
+// expiresAt is when a queued request has too little time left to be served well. Clients' retries do not wait at
 // all.
-func (r *request) expiry(now time.Duration) time.Duration {
+func (r *request) expiresAt(now time.Duration) time.Duration {
 	if r.isClientRetry {
 		return now
 	}
-	return r.objectiveAt - r.responseTime(expiryLatencies)
+	return r.objectiveAt - r.responseBudget(expiryLatencies)
 }
 
 // processQueue sends what the limits allow, gives up what can wait no longer, and sheds load near the limit
@@ -80,7 +80,7 @@
 		if r == nil {
 			break
 		}
-		b.traffic.observeInFlight(b.activeInFlight())
+		b.traffic.recordInFlight(b.activeInFlight())
 		ep := b.picker.pick(r, b.now, b.fleet)
 		if ep == nil {
 			r.hasNoEndpoint = true
@@ -102,11 +102,11 @@
 func (b *Balancer) expireQueue() {
 	for _, r := range slices.Backward(b.queue.requests) { // backward, since an answer removes its request
 		r.hasNoEndpoint = false // that was for this step
-		expiry := r.expiry(b.now)
-		if expiry <= b.now {
-			b.answerUnlessInFlight(r)
-		} else if r.timer == 0 {
-			b.setRequestTimer(r, expiry)
+		expiresAt := r.expiresAt(b.now)
+		if expiresAt <= b.now {
+			b.rejectOrFailUnlessInFlight(r)
+		} else if r.timerToken == 0 {
+			b.setRequestTimer(r, expiresAt)
 		}
 	}
 }
@@ -116,8 +116,8 @@
 	if b.settings.MaxOpen == 0 {
 		return
 	}
-	mostOpen := (1 - openReserve) * float64(b.settings.MaxOpen)
-	for float64(b.openRequests) > mostOpen && b.queue.len() > 0 {
-		b.answerUnlessInFlight(b.queue.lowest(b.now))
+	maxQueuedOpen := (1 - reservedOpenShare) * float64(b.settings.MaxOpen)
+	for float64(b.openRequestCount) > maxQueuedOpen && b.queue.len() > 0 {
+		b.rejectOrFailUnlessInFlight(b.queue.lowestPriority(b.now))
 	}
 }
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -9,7 +9,7 @@
 )
 
 // Requests wait while the list is empty, and are rejected within their objective.
-func TestNoEndpoint(t *testing.T) {
+func TestRequestWaitsForEndpoints(t *testing.T) {
 	for _, class := range []int{idempotent, notIdempotent, keyedInZone} {
 		h := newHarness(t, settings(), 1, nil)
 		actions := h.request("q", class)
@@ -57,12 +57,12 @@
 	h.serve(200, idempotent, 100*ms)
 	for _, timeout := range []time.Duration{5 * ms, 20 * ms, 40 * ms} {
 		id := fmt.Sprint("short", timeout)
-		actions := h.requestWithin(id, idempotent, timeout)
+		actions := h.requestWithTimeout(id, idempotent, timeout)
 		if len(actions) != 1 || actions[0] != (balancer.Reject{Request: id}) {
 			t.Errorf("%v left: %v, want a rejection at once and nothing else", timeout, actions)
 		}
 	}
-	h.requestWithin("likely", idempotent, 80*ms)
+	h.requestWithTimeout("likely", idempotent, 80*ms)
 	if len(h.sent["likely"]) != 1 {
 		t.Error("80 ms left: not sent")
 	}
@@ -73,7 +73,7 @@
 		t.Error("a heavy request with all its time: not sent")
 	}
 	// A retry that would come too late is not made.
-	h.requestWithin("retried", idempotent, 400*ms)
+	h.requestWithTimeout("retried", idempotent, 400*ms)
 	h.outcomeAfter("retried", balancer.ConnectFailed, 360*ms)
 	if got := h.actions[len(h.actions)-1]; got != (balancer.Reject{Request: "retried"}) {
 		t.Errorf("failed with 40 ms left: %v, want a rejection at once", got)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -10,7 +10,7 @@
 	phaseActive     requestPhase = iota // the outcome of its attempts, if any; also before it is queued
 	phaseQueued                         // the admission queue lets it go
 	phaseBackingOff                     // the backoff before its retry is over
-	phaseEnded                          // nothing: it has its final answer, or is owed none any longer
+	phaseFinished                       // nothing: it has its final answer, or is owed none any longer
 )
 
 // request is a client's request that is open, or still has attempts in flight.
@@ -32,24 +32,24 @@
 	mayHaveRunCount int // attempts that may have run, those in flight included
 	// firstMayHaveRun sets the scope and window of deduplication: the first attempt since none may have run.
 	// It stays if it turns out not to have run while another one may have, which only shortens the window.
-	firstMayHaveRun *attempt
-	retries         int
-	lastFailed      *endpoint // the endpoint of the latest attempt that failed, or was hedged
+	firstMayHaveRun    *attempt
+	retries            int
+	lastFailedEndpoint *endpoint // the endpoint of the latest attempt that failed, or was hedged
 
 	keyQueue      *keyQueue
 	keyQuietUntil time.Duration // end of its key's quiet period, after an attempt whose end is unknown
-	timer         int64         // token of its latest timer, which voids earlier ones; 0: none
+	timerToken    int64         // token of its latest timer, which voids earlier ones; 0: none
 }
 
-func (r *request) hasEnded() bool { return r.phase == phaseEnded }
+func (r *request) isFinished() bool { return r.phase == phaseFinished }
 
 // expectedLatencyNs is the expected latency of an attempt.
 func (r *request) expectedLatencyNs() float64 { return r.class.expectedLatencyNs(r.workNs) }
 
-// responseTime is the time of a number of expected latencies, bounded by a share of the objective.
-func (r *request) responseTime(latencies float64) time.Duration {
-	longest := maxResponseShare * float64(r.class.Objective)
-	return time.Duration(min(latencies*r.expectedLatencyNs(), longest))
+// responseBudget is the time of a number of expected latencies, bounded by a share of the objective.
+func (r *request) responseBudget(latencies float64) time.Duration {
+	maxNs := maxResponseShare * float64(r.class.Objective)
+	return time.Duration(min(latencies*r.expectedLatencyNs(), maxNs))
 }
 
 // isTooLate reports whether an attempt that is sent at the time sendAt is more likely to miss the deadline
@@ -58,7 +58,7 @@
 	if sendAt >= r.deadline {
 		return true
 	}
-	return r.class.latencyIsRecent(now) && sendAt+r.responseTime(medianOverMeanLatency) >= r.deadline
+	return r.class.hasRecentLatency(now) && sendAt+r.responseBudget(medianOverMeanLatency) >= r.deadline
 }
 
 // isOnTime reports whether a response that is served now is within the objective.
@@ -74,8 +74,8 @@
 	}
 }
 
-// endAttempt notes the end of an attempt.
-func (r *request) endAttempt(a *attempt, mayHaveRun bool) {
+// finishAttempt notes the end of an attempt.
+func (r *request) finishAttempt(a *attempt, mayHaveRun bool) {
 	a.inFlight = false
 	r.inFlight--
 	if mayHaveRun {
@@ -87,39 +87,39 @@
 	}
 }
 
-// answerUnserved gives a request its final answer without a response; it is the only place that does. The
+// rejectOrFail gives a request its final answer without a response; it is the only place that does. The
 // answer is a rejection, after which any client may retry, only if no attempt may have run.
-func (b *Balancer) answerUnserved(r *request) {
-	if r.hasEnded() {
+func (b *Balancer) rejectOrFail(r *request) {
+	if r.isFinished() {
 		return
 	}
 	if r.mayHaveRunCount == 0 {
-		b.act(Reject{Request: r.id, RetryAfter: b.drawRetryAfter(r)})
+		b.addAction(Reject{Request: r.id, RetryAfter: b.drawRetryAfter(r)})
 	} else {
-		b.act(Fail{Request: r.id})
+		b.addAction(Fail{Request: r.id})
 	}
-	b.closeRequest(r)
+	b.finishRequest(r)
 }
 
-// answerUnlessInFlight makes no further attempts for a request. It answers the request, unless an attempt in
+// rejectOrFailUnlessInFlight makes no further attempts for a request. It answers the request, unless an attempt in
 // flight may still be served.
-func (b *Balancer) answerUnlessInFlight(r *request) {
+func (b *Balancer) rejectOrFailUnlessInFlight(r *request) {
 	b.queue.remove(r)
 	if r.inFlight == 0 {
-		b.answerUnserved(r)
+		b.rejectOrFail(r)
 	}
 }
 
-// closeRequest ends a request, and removes it once its attempts have ended too.
-func (b *Balancer) closeRequest(r *request) {
-	if !r.hasEnded() {
-		b.openRequests--
+// finishRequest ends a request, and removes it once its attempts have ended too.
+func (b *Balancer) finishRequest(r *request) {
+	if !r.isFinished() {
+		b.openRequestCount--
 	}
 	b.queue.remove(r)
-	r.phase = phaseEnded
-	b.timers.drop(r.timer)
+	r.phase = phaseFinished
+	b.timers.remove(r.timerToken)
 	if r.inFlight == 0 {
 		delete(b.requests, r.id)
-		b.leaveKeyQueue(r)
+		b.removeFromKeyQueue(r)
 	}
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -65,7 +65,7 @@
 	// more.
 	possible := result != NotSent && b.someEndpointMayTake(r) && !r.isTooLate(b.now, at)
 	if !possible || !b.retryTokens.take(retryCost(result)) {
-		b.answerUnlessInFlight(r)
+		b.rejectOrFailUnlessInFlight(r)
 		return
 	}
 	r.retries++
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -12,15 +12,15 @@
 	"ashshunt/balancer"
 )
 
-// distortion keeps a fact from the balancer, which then breaks the rule that rests on it.
-type distortion struct {
+// mutation keeps a fact from the balancer, which then breaks the rule that rests on it.
+type mutation struct {
 	settings func(*balancer.Settings)            // nil: they stay
 	event    func(balancer.Event) balancer.Event // nil: they stay
 }
 
-// distortEndpoints edits each entry of each endpoint list.
-func distortEndpoints(edit func(*balancer.Endpoint)) distortion {
-	return distortion{event: func(event balancer.Event) balancer.Event {
+// mutateEndpoints edits each entry of each endpoint list.
+func mutateEndpoints(edit func(*balancer.Endpoint)) mutation {
+	return mutation{event: func(event balancer.Event) balancer.Event {
 		list, ok := event.(balancer.EndpointList)
 		if !ok {
 			return event
@@ -33,49 +33,49 @@
 	}}
 }
 
-// distortClasses edits the settings of each class.
-func distortClasses(edit func(*balancer.Class)) distortion {
-	return distortion{settings: func(s *balancer.Settings) {
+// mutateClasses edits the settings of each class.
+func mutateClasses(edit func(*balancer.Class)) mutation {
+	return mutation{settings: func(s *balancer.Settings) {
 		for i := range s.Classes {
 			edit(&s.Classes[i])
 		}
 	}}
 }
 
-// ignoreTimers voids all timers.
-func ignoreTimers(event balancer.Event) balancer.Event {
+// voidTimers voids all timers.
+func voidTimers(event balancer.Event) balancer.Event {
 	if _, ok := event.(balancer.TimerFired); ok {
 		return balancer.TimerFired{Token: -1}
 	}
 	return event
 }
 
-// hostileDriver feeds a balancer a legal but unfavorable order of events, and audits it.
-type hostileDriver struct {
-	rng         *rand.Rand
-	balancer    *balancer.Balancer
-	auditor     *auditor
-	distortions []distortion
+// randomDriver feeds a balancer a legal but unfavorable order of events, and audits it.
+type randomDriver struct {
+	rng       *rand.Rand
+	balancer  *balancer.Balancer
+	auditor   *auditor
+	mutations []mutation
 
-	timers    []pendingTimer
-	inFlight  []balancer.Outcome // one for each attempt, without its result
-	deadlines map[string]time.Duration
-	list      []balancer.Endpoint
-	keys      int // different ones
-	requests  int // so far
+	timers       []pendingTimer
+	inFlight     []balancer.Outcome // one for each attempt, without its result
+	deadlines    map[string]time.Duration
+	list         []balancer.Endpoint
+	keyCount     int // different ones
+	requestCount int // so far
 }
 
-// playHostile plays a number of steps under settings, requests, outcomes and lists that the seed draws.
-func playHostile(t *testing.T, seed uint64, steps int, distortions ...distortion) *auditor {
+// runRandomEvents plays a number of steps under settings, requests, outcomes and lists that the seed draws.
+func runRandomEvents(t *testing.T, seed uint64, steps int, mutations ...mutation) *auditor {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
-	s := hostileSettings(rng)
-	d := &hostileDriver{rng: rng, auditor: newAuditor(s), distortions: distortions,
-		deadlines: map[string]time.Duration{}, list: endpoints(8), keys: 1 + rng.IntN(40)}
+	s := randomSettings(rng)
+	d := &randomDriver{rng: rng, auditor: newAuditor(s), mutations: mutations,
+		deadlines: map[string]time.Duration{}, list: endpoints(8), keyCount: 1 + rng.IntN(40)}
 	s.Classes = slices.Clone(s.Classes)
-	for _, distortion := range distortions {
-		if distortion.settings != nil {
-			distortion.settings(&s)
+	for _, mutation := range mutations {
+		if mutation.settings != nil {
+			mutation.settings(&s)
 		}
 	}
 	b, err := balancer.New(s, seed)
@@ -90,8 +90,8 @@
 	return d.auditor
 }
 
-// hostileSettings draws the settings of a play.
-func hostileSettings(rng *rand.Rand) balancer.Settings {
+// randomSettings draws the settings of a play.
+func randomSettings(rng *rand.Rand) balancer.Settings {
 	s := settings()
 	s.Agents = 1 + rng.IntN(9)
 	s.AgentIndex = rng.IntN(s.Agents)
@@ -116,18 +116,18 @@
 }
 
 // step plays one step of the balancer and audits it.
-func (d *hostileDriver) step() {
+func (d *randomDriver) step() {
 	d.auditor.now += time.Duration(d.rng.IntN(30)) * ms / 4
 	events := d.dueTimers()
 	events = append(events, d.newRequests()...)
 	events = append(events, d.outcomes()...)
-	events = append(events, d.disturbance()...)
+	events = append(events, d.randomDisturbance()...)
 	d.rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
 	for _, event := range events {
-		d.auditor.event(event)
+		d.auditor.handleEvent(event)
 	}
-	for _, action := range d.balancer.Step(d.auditor.now, d.distorted(events)) {
-		d.auditor.action(action)
+	for _, action := range d.balancer.Step(d.auditor.now, d.mutateEvents(events)) {
+		d.auditor.handleAction(action)
 		switch action := action.(type) {
 		case balancer.SetTimer:
 			d.timers = append(d.timers, pendingTimer{d.auditor.now + action.After, action.Token})
@@ -137,15 +137,15 @@
 				Attempt:  len(d.auditor.requests[action.Request].attempts) - 1})
 		}
 	}
-	d.auditor.checkOverdue()
+	d.auditor.auditOverdue()
 }
 
-// distorted returns the events as the balancer is notified of them.
-func (d *hostileDriver) distorted(events []balancer.Event) []balancer.Event {
-	for _, distortion := range d.distortions {
+// mutateEvents returns the events as the balancer is notified of them.
+func (d *randomDriver) mutateEvents(events []balancer.Event) []balancer.Event {
+	for _, mutation := range d.mutations {
 		for i := range events {
-			if distortion.event != nil {
-				events[i] = distortion.event(events[i])
+			if mutation.event != nil {
+				events[i] = mutation.event(events[i])
 			}
 		}
 	}
@@ -153,10 +153,10 @@
 }
 
 // dueTimers fires the timers that are due.
-func (d *hostileDriver) dueTimers() (events []balancer.Event) {
+func (d *randomDriver) dueTimers() (events []balancer.Event) {
 	pending := d.timers[:0]
 	for _, timer := range d.timers {
-		if timer.at <= d.auditor.now {
+		if timer.firesAt <= d.auditor.now {
 			events = append(events, balancer.TimerFired{Token: timer.token})
 		} else {
 			pending = append(pending, timer)
@@ -167,27 +167,27 @@
 }
 
 // newRequests are up to two requests of any class, with any time left.
-func (d *hostileDriver) newRequests() (events []balancer.Event) {
+func (d *randomDriver) newRequests() (events []balancer.Event) {
 	for range d.rng.IntN(3) {
-		d.requests++
-		id := fmt.Sprint("q", d.requests)
-		left := time.Duration(1+d.rng.IntN(1500)) * ms
-		d.deadlines[id] = d.auditor.now + left
+		d.requestCount++
+		id := fmt.Sprint("q", d.requestCount)
+		timeout := time.Duration(1+d.rng.IntN(1500)) * ms
+		d.deadlines[id] = d.auditor.now + timeout
 		events = append(events, balancer.Request{
 			ID:          id,
 			Class:       d.rng.IntN(len(d.auditor.settings.Classes)),
-			Timeout:     left,
+			Timeout:     timeout,
 			Work:        time.Duration(d.rng.IntN(3)*d.rng.IntN(200)) * ms,
 			ClientRetry: d.rng.IntN(5) == 0,
 			Tenant:      d.rng.IntN(3),
-			Key:         []string{"", fmt.Sprint("k", d.rng.IntN(d.keys))}[min(1, d.rng.IntN(9))],
+			Key:         []string{"", fmt.Sprint("k", d.rng.IntN(d.keyCount))}[min(1, d.rng.IntN(9))],
 		})
 	}
 	return events
 }
 
 // outcomes ends every attempt by the deadline of its request, some earlier, with any result.
-func (d *hostileDriver) outcomes() (events []balancer.Event) {
+func (d *randomDriver) outcomes() (events []balancer.Event) {
 	inFlight := d.inFlight[:0]
 	for _, outcome := range d.inFlight {
 		switch {
@@ -200,7 +200,7 @@
 			continue
 		}
 		outcome.Latency = time.Duration(d.rng.IntN(900)) * ms
-		outcome.Done = outcome.Result == balancer.Served || d.auditor.requests[outcome.Request].ended
+		outcome.Done = outcome.Result == balancer.Served || d.auditor.requests[outcome.Request].finished
 		events = append(events, outcome)
 		if d.rng.IntN(10) == 0 {
 			events = append(events, outcome) // repeated
@@ -210,8 +210,8 @@
 	return events
 }
 
-// disturbance is now and then a change or a failure of the list, a client that leaves, or stray events.
-func (d *hostileDriver) disturbance() []balancer.Event {
+// randomDisturbance is now and then a change or a failure of the list, a client that leaves, or stray events.
+func (d *randomDriver) randomDisturbance() []balancer.Event {
 	switch d.rng.IntN(25) {
 	case 0:
 		return []balancer.Event{d.listDelta()}
@@ -220,12 +220,12 @@
 	case 2:
 		return []balancer.Event{balancer.EndpointList{Kind: balancer.ListFailed}}
 	case 3:
-		if d.requests > 0 {
-			return []balancer.Event{balancer.Abandoned{Request: fmt.Sprint("q", 1+d.rng.IntN(d.requests))}}
+		if d.requestCount > 0 {
+			return []balancer.Event{balancer.Abandoned{Request: fmt.Sprint("q", 1+d.rng.IntN(d.requestCount))}}
 		}
 	case 4:
 		return []balancer.Event{balancer.TimerFired{Token: d.rng.Int64N(1 << 20)},
-			balancer.Outcome{Request: fmt.Sprint("q", d.rng.IntN(d.requests+2)),
+			balancer.Outcome{Request: fmt.Sprint("q", d.rng.IntN(d.requestCount+2)),
 				Attempt: d.rng.IntN(2)*99 - 1},
 			balancer.HealthCheckResult{Endpoint: "x"}, balancer.GossipMessage{From: 70}}
 	case 5:
@@ -236,7 +236,7 @@
 }
 
 // listDelta changes the state of an endpoint, or restarts it.
-func (d *hostileDriver) listDelta() balancer.EndpointList {
+func (d *randomDriver) listDelta() balancer.EndpointList {
 	entry := &d.list[d.rng.IntN(len(d.list))]
 	entry.State = balancer.EndpointState(d.rng.IntN(3))
 	if d.rng.IntN(2) == 0 {
@@ -246,7 +246,7 @@
 }
 
 // completeList has any number of the endpoints, down to none at all.
-func (d *hostileDriver) completeList() balancer.EndpointList {
+func (d *randomDriver) completeList() balancer.EndpointList {
 	var serving []balancer.Endpoint
 	for _, entry := range d.list[:d.rng.IntN(len(d.list)+1)] {
 		entry.State = balancer.Serving
@@ -258,7 +258,7 @@
 // No rule is broken, whatever the settings and the order of events.
 func TestRulesUnderAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
-		a := playHostile(t, seed, 600)
+		a := runRandomEvents(t, seed, 600)
 		if len(a.violations) > 0 {
 			t.Fatalf("seed %d: %s", seed, a.firstViolations())
 		}
@@ -266,37 +266,37 @@
 }
 
 // A balancer that does not know of a rule breaks it under the same events, and the auditor finds that.
-func TestAuditorFindsEachDistortion(t *testing.T) {
+func TestAuditorDetectsMutations(t *testing.T) {
 	tests := []struct {
-		name       string
-		distortion distortion
-		want       string
+		name     string
+		mutation mutation
+		want     string
 	}{
-		{"no request lost", distortion{event: ignoreTimers}, "got no answer in time"},
+		{"no request lost", mutation{event: voidTimers}, "got no answer in time"},
 		{"no effect twice, not idempotent",
-			distortClasses(func(c *balancer.Class) { c.Idempotency = balancer.Idempotent }),
+			mutateClasses(func(c *balancer.Class) { c.Idempotency = balancer.Idempotent }),
 			"is not idempotent"},
 		{"no effect twice, scope",
-			distortClasses(func(c *balancer.Class) { c.DedupScope = balancer.DedupEverywhere }),
+			mutateClasses(func(c *balancer.Class) { c.DedupScope = balancer.DedupEverywhere }),
 			"outside its scope"},
 		{"no effect twice, window",
-			distortClasses(func(c *balancer.Class) { c.DedupWindow = time.Hour }),
+			mutateClasses(func(c *balancer.Class) { c.DedupWindow = time.Hour }),
 			"after its window"},
-		{"draining", distortEndpoints(func(e *balancer.Endpoint) { e.State = balancer.Serving }),
+		{"draining", mutateEndpoints(func(e *balancer.Endpoint) { e.State = balancer.Serving }),
 			"draining or removed"},
-		{"slow start", distortEndpoints(func(e *balancer.Endpoint) { e.StartedAt = 0 }), "is warming up"},
-		{"order", distortClasses(func(c *balancer.Class) { c.Ordered = false }), "sent out of turn"},
+		{"slow start", mutateEndpoints(func(e *balancer.Endpoint) { e.StartedAt = 0 }), "is warming up"},
+		{"order", mutateClasses(func(c *balancer.Class) { c.Ordered = false }), "sent out of turn"},
 		{"order, quiet period",
-			distortion{settings: func(s *balancer.Settings) { s.KeyQuietPeriod = 0 }},
+			mutation{settings: func(s *balancer.Settings) { s.KeyQuietPeriod = 0 }},
 			"in the quiet period of its key"},
 		{"rejected may have run",
-			distortion{settings: func(s *balancer.Settings) { s.RejectedMayHaveRun = false }},
+			mutation{settings: func(s *balancer.Settings) { s.RejectedMayHaveRun = false }},
 			"is not idempotent and may have run"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 60; seed++ {
-				violations := playHostile(t, seed, 600, tt.distortion).violations
+				violations := runRandomEvents(t, seed, 600, tt.mutation).violations
 				if strings.Contains(strings.Join(violations, "\n"), tt.want) {
 					return
 				}
@@ -310,7 +310,7 @@
 func FuzzRulesUnderAnyOrder(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if a := playHostile(t, seed, 400); len(a.violations) > 0 {
+		if a := runRandomEvents(t, seed, 400); len(a.violations) > 0 {
 			t.Fatal(a.firstViolations())
 		}
 	})
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -14,7 +14,7 @@
 	list := endpoints(5)
 	list[0].StartedAt = time.Hour // the harness's clock starts here
 	h := newHarness(t, settings(), 9, list)
-	counts := h.waves(1000, 10, idempotent, 20*ms) // the first 4 s of 10: fractions of 0.2 to 0.52
+	counts := h.serveWaves(1000, 10, idempotent, 20*ms) // the first 4 s of 10: fractions of 0.2 to 0.52
 	if warm := (1000 - counts["a"]) / 4; float64(counts["a"]) > 0.52*float64(warm)+2 {
 		t.Errorf("the warming endpoint got %d against %d for a warm one", counts["a"], warm)
 	}
@@ -22,7 +22,7 @@
 		t.Error("the warming endpoint got nothing")
 	}
 	h.advance(10 * time.Second)
-	if n := h.waves(200, 10, idempotent, 20*ms)["a"]; n < 25 {
+	if n := h.serveWaves(200, 10, idempotent, 20*ms)["a"]; n < 25 {
 		t.Errorf("once warm it got %d of 200", n)
 	}
 }
@@ -52,7 +52,7 @@
 	}
 	o.play(400)
 	list[0].StartedAt = o.now
-	o.changeList(list[0])
+	o.updateList(list[0])
 	o.warming = "a"
 	clear(o.served)
 	o.play(400)
@@ -114,7 +114,7 @@
 	for i := range 100 {
 		send(fmt.Sprint("before", i), 20*ms)
 	}
-	h.changeList(balancer.Endpoint{ID: "new", StartedAt: h.now})
+	h.updateList(balancer.Endpoint{ID: "new", StartedAt: h.now})
 	h.burst("busy", 6, idempotent) // the warm ones are not idle
 	light := 0
 	for i := range 100 {
@@ -135,9 +135,9 @@
 	h := newHarness(t, settings(), 3, endpoints(3))
 	h.serve(60, idempotent, 20*ms)
 	responseOf := faultAtA(response{balancer.ConnectFailed, 20 * ms}, response{balancer.Served, 20 * ms})
-	h.exchangeUntil("a", idempotent, responseOf)
+	h.exchangeUntilSentTo("a", idempotent, responseOf)
 	h.advance(2 * time.Second)
-	if n := h.waves(300, 6, idempotent, 20*ms)["a"]; n == 0 || n > 52 {
+	if n := h.serveWaves(300, 6, idempotent, 20*ms)["a"]; n == 0 || n > 52 {
 		t.Errorf("after its return it got %d of 300, want a warming endpoint's share", n)
 	}
 }
@@ -173,7 +173,7 @@
 		s.Agents = 100
 		h := newHarness(t, s, seed, endpoints(2))
 		h.serve(20, idempotent, 20*ms)
-		h.changeList(balancer.Endpoint{ID: "new", StartedAt: h.now})
+		h.updateList(balancer.Endpoint{ID: "new", StartedAt: h.now})
 		h.now += 20 * ms
 		if h.burst("q", 7, idempotent)["new"] > 0 {
 			agents++
@@ -265,10 +265,10 @@
 func TestStartInTheFuture(t *testing.T) {
 	s := settings()
 	h := newHarness(t, s, 1, endpoints(4))
-	h.waves(40, 4, idempotent, 30*ms)
-	h.changeList(balancer.Endpoint{ID: "a", StartedAt: h.now + time.Hour})
+	h.serveWaves(40, 4, idempotent, 30*ms)
+	h.updateList(balancer.Endpoint{ID: "a", StartedAt: h.now + time.Hour})
 	h.advance(s.SlowStartDuration)
-	if counts := h.waves(400, 4, idempotent, 30*ms); counts["a"] < 50 {
+	if counts := h.serveWaves(400, 4, idempotent, 30*ms); counts["a"] < 50 {
 		t.Errorf("after its slow start it got %d of 400", counts["a"])
 	}
 }
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -27,7 +27,7 @@
 
 // next learns from a list and reports whether, and after which wait, to subscribe.
 func (s *subscriber) next(kind ListKind) (wait time.Duration, ok bool) {
-	failed := kind.hasFailed()
+	failed := kind.isFailure()
 	s.failures++
 	if !failed {
 		s.failures = 0
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -25,7 +25,7 @@
 	waits := map[time.Duration]bool{}
 	for seed := range uint64(10) {
 		h := newHarness(t, s, seed, endpoints(2))
-		waits[h.timers[0].at-h.now] = true
+		waits[h.timers[0].firesAt-h.now] = true
 		if n := polls(h.advance(s.PollWithin / 10)); n != 1 {
 			t.Fatalf("polled %d times at the start, want once", n)
 		}
--- a/balancer/throttle_test.go
+++ b/balancer/throttle_test.go
@@ -9,16 +9,16 @@
 )
 
 // Where an agent's part of the limit is under one attempt, it sends about as much as is served on time.
-func TestSmallAgentIsThrottledWhenCrowded(t *testing.T) {
-	calm, crowded := sentBySmallAgent(t, 80*ms), sentBySmallAgent(t, 600*ms)
-	if calm < 30 || crowded > 14 || crowded == 0 {
-		t.Errorf("%d of 30 requests were sent at 80 ms, %d at 600 ms, want all and under half", calm, crowded)
+func TestThrottleLimitsLateResponses(t *testing.T) {
+	sentFast, sentSlow := sentAtLatency(t, 80*ms), sentAtLatency(t, 600*ms)
+	if sentFast < 30 || sentSlow > 14 || sentSlow == 0 {
+		t.Errorf("%d of 30 requests were sent at 80 ms, %d at 600 ms, want all and under half", sentFast, sentSlow)
 	}
 }
 
-// sentBySmallAgent returns how many of the last 30 of 60 requests are sent, each with the latency of the responses
+// sentAtLatency returns how many of the last 30 of 60 requests are sent, each with the latency of the responses
 // between it and the next. This agent's part of the least limit is a fifth of an attempt.
-func sentBySmallAgent(t *testing.T, latency time.Duration) (sent int) {
+func sentAtLatency(t *testing.T, latency time.Duration) (sent int) {
 	t.Helper()
 	s := settings()
 	s.Agents = 40
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -4,9 +4,9 @@
 
 // timerTable knows what the pending timers are for. A token of 0 stands for no timer.
 type timerTable struct {
-	lastToken int64
-	requests  map[int64]*request // by token
-	subscribe int64              // token of the latest timer for a Subscribe, which voids earlier ones
+	lastToken      int64
+	requests       map[int64]*request // by token
+	subscribeToken int64              // token of the latest timer for a Subscribe, which voids earlier ones
 }
 
 func newTimerTable() timerTable { return timerTable{requests: map[int64]*request{}} }
@@ -17,21 +17,21 @@
 	return t.lastToken
 }
 
-// register notes the latest timer of a request. One that is voided by it stays in the table until it fires.
-func (t *timerTable) register(r *request) { t.requests[r.timer] = r }
+// add notes the latest timer of a request. One that is voided by it stays in the table until it fires.
+func (t *timerTable) add(r *request) { t.requests[r.timerToken] = r }
 
-// registerSubscribe notes the timer for the next Subscribe.
-func (t *timerTable) registerSubscribe(token int64) { t.subscribe = token }
+// setSubscribe notes the timer for the next Subscribe.
+func (t *timerTable) setSubscribe(token int64) { t.subscribeToken = token }
 
-// drop forgets a timer of a request.
-func (t *timerTable) drop(token int64) { delete(t.requests, token) }
+// remove forgets a timer of a request.
+func (t *timerTable) remove(token int64) { delete(t.requests, token) }
 
 // takeSubscribe reports whether a timer that fired is the one for the next Subscribe, and forgets it.
 func (t *timerTable) takeSubscribe(token int64) bool {
-	if token == 0 || token != t.subscribe {
+	if token == 0 || token != t.subscribeToken {
 		return false
 	}
-	t.subscribe = 0
+	t.subscribeToken = 0
 	return true
 }
 
@@ -39,32 +39,32 @@
 // none.
 func (t *timerTable) takeRequest(token int64) *request {
 	r := t.requests[token]
-	t.drop(token)
-	if r == nil || r.hasEnded() || token != r.timer {
+	t.remove(token)
+	if r == nil || r.isFinished() || token != r.timerToken {
 		return nil
 	}
-	r.timer = 0
+	r.timerToken = 0
 	return r
 }
 
 // setTimer asks for a step after a wait and returns the timer's token.
 func (b *Balancer) setTimer(wait time.Duration) int64 {
 	token := b.timers.nextToken()
-	b.act(SetTimer{After: wait, Token: token})
+	b.addAction(SetTimer{After: wait, Token: token})
 	return token
 }
 
 // setRequestTimer sets the timer of a request, which voids its earlier ones.
 func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
-	r.timer = b.setTimer(at - b.now)
-	b.timers.register(r)
+	r.timerToken = b.setTimer(at - b.now)
+	b.timers.add(r)
 }
 
-// onTimer continues what has waited for a timer. A request that stays queued gets another timer by
+// handleTimerFired continues what has waited for a timer. A request that stays queued gets another timer by
 // expireQueue.
-func (b *Balancer) onTimer(token int64) {
+func (b *Balancer) handleTimerFired(token int64) {
 	if b.timers.takeSubscribe(token) {
-		b.act(Subscribe{})
+		b.addAction(Subscribe{})
 		return
 	}
 	r := b.timers.takeRequest(token)
@@ -78,6 +78,6 @@
 		if r.inFlight > 0 && !r.isStreaming {
 			b.hedge(r)
 		}
-	case phaseQueued, phaseEnded:
+	case phaseQueued, phaseFinished:
 	}
 }
--- a/balancer/traffic.go
+++ b/balancer/traffic.go
@@ -15,42 +15,42 @@
 
 // trafficStats are counts of this agent's recent traffic, which decay exponentially.
 type trafficStats struct {
-	windowNs     float64 // time constant of the decay
-	decayedAt    time.Duration
-	sent         float64 // requests with a first attempt
-	servedOnTime float64 // requests served within their objective
-	peakInFlight float64 // decayed peak of the active attempts in flight, before each pick
+	timeConstantNs float64 // time constant of the decay
+	decayedAt      time.Duration
+	sent           float64 // requests with a first attempt
+	servedOnTime   float64 // requests served within their objective
+	peakInFlight   float64 // decayed peak of the active attempts in flight, before each pick
 }
 
 func newTrafficStats(objective time.Duration) trafficStats {
-	return trafficStats{windowNs: trafficWindowObjectives * float64(objective)}
+	return trafficStats{timeConstantNs: trafficWindowObjectives * float64(objective)}
 }
 
 // decay brings the counts up to the time now.
 func (t *trafficStats) decay(now time.Duration) {
-	factor := math.Exp(-float64(now-t.decayedAt) / t.windowNs)
+	factor := math.Exp(-float64(now-t.decayedAt) / t.timeConstantNs)
 	t.sent *= factor
 	t.servedOnTime *= factor
 	t.peakInFlight *= factor
 	t.decayedAt = now
 }
 
-// observeInFlight notes the attempts in flight.
-func (t *trafficStats) observeInFlight(attempts float64) {
+// recordInFlight notes the attempts in flight.
+func (t *trafficStats) recordInFlight(attempts float64) {
 	t.peakInFlight = max(t.peakInFlight, attempts)
 }
 
-// observeSent notes a request whose first attempt is being sent.
-func (t *trafficStats) observeSent() { t.sent++ }
+// recordSent notes a request whose first attempt is being sent.
+func (t *trafficStats) recordSent() { t.sent++ }
 
-// observeServedOnTime notes a request that was served within its objective.
-func (t *trafficStats) observeServedOnTime() { t.servedOnTime++ }
+// recordServedOnTime notes a request that was served within its objective.
+func (t *trafficStats) recordServedOnTime() { t.servedOnTime++ }
 
-// undoSend takes back a request whose first attempt never left this machine.
-func (t *trafficStats) undoSend() { t.sent = max(0, t.sent-1) }
+// revertSent takes back a request whose first attempt never left this machine.
+func (t *trafficStats) revertSent() { t.sent = max(0, t.sent-1) }
 
-// excessSent is the number of requests sent beyond a multiple of those served on time, and beyond the
+// excessRequests is the number of requests sent beyond a multiple of those served on time, and beyond the
 // allowance; negative: so many less.
-func (t *trafficStats) excessSent(sentPerOnTime float64) float64 {
+func (t *trafficStats) excessRequests(sentPerOnTime float64) float64 {
 	return t.sent - (sentPerOnTime*t.servedOnTime + excessAllowance)
 }
--- a/balancer/validation.go
+++ b/balancer/validation.go
@@ -24,24 +24,24 @@
 	return s
 }
 
-// check returns a *SettingError for the first setting that makes no sense.
-func (s *Settings) check() error {
-	groups := []func() error{s.checkBounds, s.checkCounts, s.checkPrices, s.checkTenants, s.checkTimes}
-	for _, check := range groups {
-		if err := check(); err != nil {
+// validate returns a *SettingError for the first setting that makes no sense.
+func (s *Settings) validate() error {
+	validators := []func() error{s.validateBounds, s.validateCounts, s.validatePrices, s.validateTenants, s.validateTimes}
+	for _, validate := range validators {
+		if err := validate(); err != nil {
 			return err
 		}
 	}
 	for i := range s.Classes {
-		if err := s.Classes[i].check(fmt.Sprintf("Classes[%d].", i)); err != nil {
+		if err := s.Classes[i].validate(fmt.Sprintf("Classes[%d].", i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkBounds checks the settings that have bounds of their own.
-func (s *Settings) checkBounds() error {
+// validateBounds checks the settings that have bounds of their own.
+func (s *Settings) validateBounds() error {
 	switch {
 	case len(s.Classes) == 0:
 		return &SettingError{"Classes", "none"}
@@ -63,15 +63,15 @@
 	return nil
 }
 
-func (s *Settings) checkCounts() error {
-	return checkNotNegative([]namedValue[int]{
+func (s *Settings) validateCounts() error {
+	return validateNotNegative([]namedValue[int]{
 		{"Zones", s.Zones}, {"Kinds", s.Kinds}, {"Tier", s.Tier}, {"Tiers", s.Tiers}, {"Zone", s.Zone},
 		{"MaxOpen", s.MaxOpen}, {"StreamsPerConn", s.StreamsPerConn},
 	})
 }
 
-func (s *Settings) checkPrices() error {
-	return checkNotNegative([]namedValue[float64]{
+func (s *Settings) validatePrices() error {
+	return validateNotNegative([]namedValue[float64]{
 		{"GoalOverall", s.GoalOverall}, {"GoalWorstWindow", s.GoalWorstWindow},
 		{"GoalWorstClass", s.GoalWorstClass}, {"GoalWorstTenant", s.GoalWorstTenant},
 		{"OverQuotaPriority", s.OverQuotaPriority}, {"CrossZonePrice", s.CrossZonePrice},
@@ -83,7 +83,7 @@
 	})
 }
 
-func (s *Settings) checkTenants() error {
+func (s *Settings) validateTenants() error {
 	for i, tenant := range s.Tenants {
 		if !isNotNegative(tenant.Share) {
 			return &SettingError{fmt.Sprintf("Tenants[%d].Share", i), tenant.Share}
@@ -95,8 +95,8 @@
 	return nil
 }
 
-func (s *Settings) checkTimes() error {
-	return checkNotNegative([]namedValue[time.Duration]{
+func (s *Settings) validateTimes() error {
+	return validateNotNegative([]namedValue[time.Duration]{
 		{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
 		{"IdleClose", s.IdleClose}, {"DrainGrace", s.DrainGrace}, {"ResponseGrace", s.ResponseGrace},
 		{"PollWithin", s.PollWithin}, {"SubscribeSpread", s.SubscribeSpread},
@@ -107,8 +107,8 @@
 	})
 }
 
-// check returns a *SettingError whose field is under the path.
-func (c *Class) check(path string) error {
+// validate returns a *SettingError whose field is under the path.
+func (c *Class) validate(path string) error {
 	switch {
 	case c.Objective <= 0:
 		return &SettingError{path + "Objective", c.Objective}
@@ -136,8 +136,8 @@
 	value T
 }
 
-// checkNotNegative returns a *SettingError for the first value that is negative or not a number.
-func checkNotNegative[T int | float64 | time.Duration](values []namedValue[T]) error {
+// validateNotNegative returns a *SettingError for the first value that is negative or not a number.
+func validateNotNegative[T int | float64 | time.Duration](values []namedValue[T]) error {
 	for _, v := range values {
 		if !isNotNegative(v.value) {
 			return &SettingError{v.field, v.value}
