--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -102,8 +102,8 @@
 	before := runtime.NumGoroutine()
 	a := startAgent(t, c)
 	testutil.Receive(t, service.Watches)
-	service.Say <- `{"version":2,"full":true,"servers":[` + strings.Join(entriesFrom(size), ",") + `]}`
-	testutil.Eventually(t, "the list", func() bool { return isServing(a, fmt.Sprint("s", 2*size-1)) })
+	service.Lines <- `{"version":2,"full":true,"servers":[` + strings.Join(entriesFrom(size), ",") + `]}`
+	testutil.WaitFor(t, "the list", func() bool { return isServing(a, fmt.Sprint("s", 2*size-1)) })
 	if status := requestStatus(t, a, "POST", "/settle", id, "7000"); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -85,16 +85,16 @@
 		t.Errorf("event %+v", list)
 	}
 	expectWatch(t, service, "follow=1&since=1")
-	service.Say <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DELETED") + `]}`
+	service.Lines <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DELETED") + `]}`
 	list := testutil.Receive(t, lists)
 	if list.Kind != balancer.ListDelta || list.Endpoints[0].State != balancer.Removed {
 		t.Errorf("event %+v", list)
 	}
 	for range 3 {
-		service.Cut <- struct{}{}
+		service.EndWatch <- struct{}{}
 		expectWatch(t, service, "follow=1&since=2")
 	}
-	service.Say <- "}" // malformed
+	service.Lines <- "}" // malformed
 	expectWatch(t, service, "follow=1&since=2")
 	moved := testutil.NewDiscovery(t)
 	a.Reload(&config.Config{Discovery: moved.Addr})
@@ -120,7 +120,7 @@
 		}
 		if i > 0 {
 			testutil.Write(t, conn, chunk)
-			testutil.Eventually(t, "the line", func() bool { return !isServing(a, "s0") })
+			testutil.WaitFor(t, "the line", func() bool { return !isServing(a, "s0") })
 		}
 		if err := reset(conn); err != nil {
 			t.Fatal(err)
@@ -136,7 +136,7 @@
 	a, logged := startPrepared(t, c, func(a *Agent) {
 		changeDiscovery(a, c, func(o *discovery.Options) { o.WatchSilence = testutil.Timeout }) // the old watch stays
 	})
-	testutil.Eventually(t, "the old watch", func() bool { return logged.Contains("watch established") })
+	testutil.WaitFor(t, "the old watch", func() bool { return logged.Contains("watch established") })
 	a.Reload(&config.Config{Discovery: listener.Addr().String()})
 	for range 3 {
 		if err := acceptTCP(t, listener).Close(); err != nil {
@@ -148,7 +148,7 @@
 	readRequest(t, conn)
 	list := `{"version":1,"full":true,"servers":[` + testutil.EntryJSON("s7", "127.0.0.1:7", "SERVING") + `]}`
 	testutil.Respond(conn, 200, "", list)
-	testutil.Eventually(t, "the list of the new address", func() bool { return isServing(a, "s7") })
+	testutil.WaitFor(t, "the list of the new address", func() bool { return isServing(a, "s7") })
 }
 
 // failedCalls are what discovery may do to a call.
@@ -213,7 +213,7 @@
 						o.WatchSilence, o.CallTimeout = 50*time.Millisecond, 50*time.Millisecond
 					})
 				})
-				testutil.Eventually(t, "the list", func() bool { return isServing(a, "s7") })
+				testutil.WaitFor(t, "the list", func() bool { return isServing(a, "s7") })
 			})
 		}
 	}
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -49,7 +49,7 @@
 func (p *holdingPair) send(t *testing.T) int {
 	t.Helper()
 	p.sent++
-	id := testutil.ID(p.sent)
+	id := testutil.NumberedRequestID(p.sent)
 	go func() { p.statuses <- requestStatus(t, p.agent, "POST", "/settle", id, "7900") }()
 	server := 0
 	select {
@@ -122,7 +122,7 @@
 	rejected := make(chan string, 20)
 	send := func(method, path string) {
 		sent++
-		id := testutil.ID(sent)
+		id := testutil.NumberedRequestID(sent)
 		go func() {
 			if requestStatus(t, a, method, path, id, "190000") == http.StatusServiceUnavailable {
 				rejected <- path
@@ -170,19 +170,19 @@
 	sent := 0
 	send := func() {
 		sent++
-		if status := requestStatus(t, a, "POST", "/settle", testutil.ID(sent), "60000"); status != http.StatusOK {
+		if status := requestStatus(t, a, "POST", "/settle", testutil.NumberedRequestID(sent), "60000"); status != http.StatusOK {
 			t.Fatalf("status %d", status)
 		}
 	}
 	for i := range lost { // their clients disconnect at the end of the test
 		testutil.Dial(t, a.Addr(), fmt.Sprintf("POST /settle HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\n"+
-			"X-Budget-Ms: 60000\r\nContent-Length: 0\r\n\r\n", testutil.ID(1000000+i)))
+			"X-Budget-Ms: 60000\r\nContent-Length: 0\r\n\r\n", testutil.NumberedRequestID(1000000+i)))
 		testutil.Receive(t, first.Received)
 	}
 	send()
 	testutil.Receive(t, first.Received)
-	service.Say <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s1", second.Addr(), "SERVING") + `]}`
-	testutil.Eventually(t, "the second endpoint", func() bool { return isServing(a, "s1") })
+	service.Lines <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s1", second.Addr(), "SERVING") + `]}`
+	testutil.WaitFor(t, "the second endpoint", func() bool { return isServing(a, "s1") })
 	used := false // the second endpoint; from then on the first is not the only one
 	for range 1000 {
 		send()
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -28,7 +28,7 @@
 	go func() { first <- requestStatus(t, a.Agent, method, path, id, timeoutMs) }()
 	testutil.Receive(t, server.Received)
 	a.stop()
-	testutil.Eventually(t, "the shutdown", func() bool { return a.logged.Contains(shutdownLine) })
+	testutil.WaitFor(t, "the shutdown", func() bool { return a.logged.Contains(shutdownLine) })
 	return a, first
 }
 
@@ -98,16 +98,16 @@
 		return testutil.Echo(conn, r, body)
 	})
 	a := startStoppable(t, newConfig(t, server), func(a *Agent) { a.acceptPeriod = 3 * time.Second })
-	kept := bufio.NewReader(testutil.Dial(t, a.Addr(), testutil.Get(otherID)))
+	kept := bufio.NewReader(testutil.Dial(t, a.Addr(), testutil.GetRequest(otherID)))
 	if response := testutil.ReadResponse(t, kept); response.StatusCode != http.StatusOK || response.Close {
 		t.Fatalf("before the shutdown: status %d, close %v", response.StatusCode, response.Close)
 	}
-	busy := testutil.Dial(t, a.Addr(), testutil.Get(id))
+	busy := testutil.Dial(t, a.Addr(), testutil.GetRequest(id))
 	unused := testutil.Dial(t, a.Addr(), "")
 	for range 2 {
 		testutil.Receive(t, server.Received)
 	}
-	testutil.Eventually(t, "the connections to be accepted", func() bool {
+	testutil.WaitFor(t, "the connections to be accepted", func() bool {
 		open, idle := a.frontend.Connections()
 		return open == 3 && idle == 2
 	})
@@ -115,10 +115,10 @@
 	if _, err := kept.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("a kept connection: %v, want its end", err)
 	}
-	testutil.Eventually(t, "the shutdown", func() bool { return a.logged.Contains(shutdownLine) })
+	testutil.WaitFor(t, "the shutdown", func() bool { return a.logged.Contains(shutdownLine) })
 	close(gate)
 	expectLastResponse(t, busy, "in flight as the shutdown began")
-	testutil.Write(t, unused, testutil.Get(thirdID)) // connected before the shutdown, and still on its way
+	testutil.Write(t, unused, testutil.GetRequest(thirdID)) // connected before the shutdown, and still on its way
 	expectLastResponse(t, unused, "on a connection that had had no request")
 	a.expectEnd(t)
 }
@@ -158,7 +158,7 @@
 	}
 	a := startStoppable(t, newConfig(t, server), func(a *Agent) { a.loop.module = scriptedModule(module) })
 	stopped = func() bool { return a.logged.Contains(shutdownLine) }
-	client := testutil.Dial(t, a.Addr(), testutil.Get(id))
+	client := testutil.Dial(t, a.Addr(), testutil.GetRequest(id))
 	testutil.Receive(t, failed)
 	a.stop()
 	expectLastResponse(t, client, "during backoff as the shutdown began")
@@ -197,11 +197,11 @@
 	for name, text := range map[string]string{
 		"a byte":      "P",
 		"half a head": "POST /settle HTTP/1.1\r\nHo",
-		"half a body": testutil.Post(id, "Content-Length: 10\r\n") + "half",
+		"half a body": testutil.PostRequestHead(id, "Content-Length: 10\r\n") + "half",
 	} {
 		clients[name] = testutil.Dial(t, a.Addr(), text)
 	}
-	testutil.Eventually(t, "the connections", func() bool {
+	testutil.WaitFor(t, "the connections", func() bool {
 		open, idle := a.frontend.Connections()
 		return open == 3 && idle == 0
 	})
@@ -242,10 +242,10 @@
 		a.frontend = frontend.NewServer(closeFails{listener}, config, a.loop.clock, a.loop, a.log)
 		a.acceptPeriod = 10 * time.Millisecond
 	})
-	client := testutil.Dial(t, a.Addr(), testutil.Get(id))
+	client := testutil.Dial(t, a.Addr(), testutil.GetRequest(id))
 	testutil.Receive(t, server.Received)
 	a.stop()
-	testutil.Eventually(t, "the listener to be closed", func() bool {
+	testutil.WaitFor(t, "the listener to be closed", func() bool {
 		conn, err := net.Dial("tcp", a.Addr().String())
 		if err == nil {
 			_ = conn.Close()
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -19,9 +19,9 @@
 // Settings with numbers beyond all measure are accepted, or rejected as out of range; nothing panics.
 func TestExtremeSettings(t *testing.T) {
 	for _, number := range []string{"0", "1e-9", "1e12", "1e15", "1e18", "1e300"} {
-		for _, match := range hugeNumbers.FindAllStringSubmatchIndex(testutil.Settings, -1) {
-			key := testutil.Settings[match[2]:match[3]]
-			text := testutil.Settings[:match[4]] + number + testutil.Settings[match[5]:]
+		for _, match := range hugeNumbers.FindAllStringSubmatchIndex(testutil.SettingsJSON, -1) {
+			key := testutil.SettingsJSON[match[2]:match[3]]
+			text := testutil.SettingsJSON[:match[4]] + number + testutil.SettingsJSON[match[5]:]
 			settings, _, err := config.ParseSettings([]byte(text))
 			if err != nil {
 				continue // a whole number is wanted
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -35,7 +35,7 @@
 			options.CachedList.Version = tt.since
 			options.WatchSilence, options.CallTimeout = tt.silence, testutil.Timeout
 			client := New(options)
-			server.Say <- tt.text
+			server.Lines <- tt.text
 			err := client.runWatch(context.Background(), client.source.addWatch(func() {}))
 			if !errors.Is(err, tt.want) {
 				t.Errorf("error %v, want %v", err, tt.want)
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -11,7 +11,7 @@
 
 func TestPoll(t *testing.T) {
 	server := testutil.NewDiscovery(t)
-	server.Complete = func() string { return completeList(9, entry("s7", "SERVING")) }
+	server.CompleteList = func() string { return completeList(9, entry("s7", "SERVING")) }
 	client, events := subscribed(t, server, testutil.Timeout)
 	client.Poll(context.Background())
 	if event := expectEvent(t, events, balancer.ListComplete, 1); event.Endpoints[0].ID != "s7" {
@@ -33,10 +33,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := testutil.NewDiscovery(t)
-			server.Complete = func() string { return text }
+			server.CompleteList = func() string { return text }
 			client, events := subscribed(t, server, testutil.Timeout)
 			testutil.Receive(t, server.Watches)
-			server.Say <- text
+			server.Lines <- text
 			expectFailure(t, events) // of the watch
 			client.Poll(context.Background())
 			expectFailure(t, events)
@@ -50,7 +50,7 @@
 func TestOutdatedListIsIgnored(t *testing.T) {
 	server := testutil.NewDiscovery(t)
 	polled, gate := make(chan struct{}), make(chan struct{})
-	server.Complete = func() string {
+	server.CompleteList = func() string {
 		close(polled)
 		<-gate
 		return completeList(1, entry("s0", "SERVING"))
@@ -59,17 +59,17 @@
 	testutil.Receive(t, server.Watches)
 	client.Poll(context.Background())
 	testutil.Receive(t, polled)
-	server.Say <- changes(2, entry("s0", "DRAINING"))
+	server.Lines <- changes(2, entry("s0", "DRAINING"))
 	testutil.Receive(t, events)
 	close(gate)
 	expectEvent(t, events, balancer.ListDelta, 0) // a poll always has an event
-	server.Say <- completeList(1, entry("s0", "SERVING"))
+	server.Lines <- completeList(1, entry("s0", "SERVING"))
 	if event := testutil.Receive(t, events); len(event.Endpoints) != 0 {
 		t.Errorf("event %+v of an outdated line", event)
 	}
 	expectServing(t, client, "s0", false)
 	expectServing(t, client, "s1", true) // which the outdated list does not know
-	server.Cut <- struct{}{}
+	server.EndWatch <- struct{}{}
 	testutil.Receive(t, events)
 	client.Subscribe(context.Background())
 	expectWatch(t, server, "follow=1&since=2")
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -67,11 +67,11 @@
 		t.Run(offset.String(), func(t *testing.T) {
 			server := testutil.NewDiscovery(t)
 			client, events := subscribed(t, server, testutil.Timeout)
-			server.Say <- changes(2, startedEntry("s0", unixMs(-time.Minute)))
+			server.Lines <- changes(2, startedEntry("s0", unixMs(-time.Minute)))
 			first := startedOf(t, expectEvent(t, events, balancer.ListDelta, 1), "s0")
 			before := client.converter.starts.clock.Now()
 			restarted := startedEntry("s0", unixMs(offset))
-			server.Say <- changes(3, restarted)
+			server.Lines <- changes(3, restarted)
 			second := startedOf(t, expectEvent(t, events, balancer.ListDelta, 1), "s0")
 			if second <= first || second > client.converter.starts.clock.Now() {
 				t.Errorf("started at %v, restarted at %v", first, second)
@@ -79,7 +79,7 @@
 			if offset < 0 && second < before {
 				t.Errorf("restarted %v before it was listed", before-second)
 			}
-			server.Say <- completeList(4, restarted)
+			server.Lines <- completeList(4, restarted)
 			if again := startedOf(t, expectEvent(t, events, balancer.ListComplete, 1), "s0"); again != second {
 				t.Errorf("restarted at %v, and at %v when it was listed again", second, again)
 			}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -14,17 +14,17 @@
 	server := testutil.NewDiscovery(t)
 	client, events := subscribed(t, server, testutil.Timeout)
 	expectWatch(t, server, "follow=1&since=1")
-	server.Say <- ""
-	server.Say <- changes(2, entry("s0", "DRAINING"))
+	server.Lines <- ""
+	server.Lines <- changes(2, entry("s0", "DRAINING"))
 	event := expectEvent(t, events, balancer.ListDelta, 1)
 	if event.Endpoints[0].State != balancer.Draining || event.Endpoints[0].Zone != 0 {
 		t.Errorf("event %+v", event)
 	}
 	expectServing(t, client, "s0", false)
-	server.Say <- completeList(3, entry("s0", "SERVING"))
+	server.Lines <- completeList(3, entry("s0", "SERVING"))
 	expectEvent(t, events, balancer.ListComplete, 1)
 	expectServing(t, client, "s1", false)
-	server.Cut <- struct{}{}
+	server.EndWatch <- struct{}{}
 	expectFailure(t, events)
 	client.Subscribe(context.Background())
 	expectWatch(t, server, "follow=1&since=3")
@@ -50,12 +50,12 @@
 // The end of a line is not the end of a list.
 func TestIndentedLists(t *testing.T) {
 	server := testutil.NewDiscovery(t)
-	server.Complete = func() string { return strings.Replace(indentedList, `"version": 2`, `"version": 4`, 1) }
+	server.CompleteList = func() string { return strings.Replace(indentedList, `"version": 2`, `"version": 4`, 1) }
 	client, events := subscribed(t, server, testutil.Timeout)
 	testutil.Receive(t, server.Watches)
-	server.Say <- ""
-	server.Say <- indentedList
-	server.Say <- `  {"version":3,"full":false,"servers":[]} {"version":4,"full":false,` + "\n\n" + `"servers":[]}`
+	server.Lines <- ""
+	server.Lines <- indentedList
+	server.Lines <- `  {"version":3,"full":false,"servers":[]} {"version":4,"full":false,` + "\n\n" + `"servers":[]}`
 	for _, entries := range []int{1, 0, 0} {
 		expectEvent(t, events, balancer.ListDelta, entries)
 	}
@@ -80,10 +80,10 @@
 			server := testutil.NewDiscovery(t)
 			client, events := subscribed(t, server, tt.silence)
 			testutil.Receive(t, server.Watches)
-			server.Say <- tt.text
+			server.Lines <- tt.text
 			if tt.cut {
-				testutil.Eventually(t, "the half list to be sent", func() bool { return len(server.Say) == 0 })
-				server.Cut <- struct{}{}
+				testutil.WaitFor(t, "the half list to be sent", func() bool { return len(server.Lines) == 0 })
+				server.EndWatch <- struct{}{}
 			}
 			expectFailure(t, events)
 			client.Subscribe(context.Background())
@@ -98,13 +98,13 @@
 	stopped := make(chan struct{})
 	t.Cleanup(func() { close(stopped) })
 	go func() {
-		server.Say <- indentedList[:len(indentedList)/2]
+		server.Lines <- indentedList[:len(indentedList)/2]
 		for {
 			select {
 			case <-stopped:
 				return
 			case <-time.After(every):
-				server.Say <- ""
+				server.Lines <- ""
 			}
 		}
 	}()
@@ -132,7 +132,7 @@
 	testutil.Receive(t, server.Watches)
 	for line := range strings.SplitSeq(indentedList, "\n") {
 		time.Sleep(200 * time.Millisecond)
-		server.Say <- line
+		server.Lines <- line
 	}
 	expectEvent(t, events, balancer.ListDelta, 1)
 	expectServing(t, client, "s0", false)
@@ -144,21 +144,21 @@
 	oldServer, newServer := testutil.NewDiscovery(t), testutil.NewDiscovery(t)
 	client, events := subscribed(t, oldServer, testutil.Timeout)
 	testutil.Receive(t, oldServer.Watches)
-	oldServer.Say <- changes(2)
+	oldServer.Lines <- changes(2)
 	testutil.Receive(t, events)
 	client.SetAddress(context.Background(), "127.0.0.1:1") // refused: the module is notified, and subscribes again
 	expectFailure(t, events)
-	oldServer.Say <- changes(3, entry("s0", "DRAINING"))
+	oldServer.Lines <- changes(3, entry("s0", "DRAINING"))
 	expectEvent(t, events, balancer.ListDelta, 1) // from the old address, which is still watched
 	client.SetAddress(context.Background(), newServer.Addr)
 	client.SetAddress(context.Background(), newServer.Addr) // once more changes nothing
 	expectWatch(t, newServer, "follow=1")                   // for the complete list
-	oldServer.Cut <- struct{}{}                             // no failure: the new one is under way
-	newServer.Say <- ""
-	newServer.Say <- completeList(1, entry("s1", "SERVING"))
+	oldServer.EndWatch <- struct{}{}                        // no failure: the new one is under way
+	newServer.Lines <- ""
+	newServer.Lines <- completeList(1, entry("s1", "SERVING"))
 	expectEvent(t, events, balancer.ListComplete, 1)
 	expectServing(t, client, "s0", false) // which only the old address knew
-	newServer.Cut <- struct{}{}
+	newServer.EndWatch <- struct{}{}
 	expectFailure(t, events)
 	client.Subscribe(context.Background())
 	expectWatch(t, newServer, "follow=1&since=1")
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -42,7 +42,7 @@
 					testutil.Dial(t, server.Addr(), "")
 					continue
 				}
-				client := testutil.Dial(t, server.Addr(), testutil.Post(testutil.ID(i), ""))
+				client := testutil.Dial(t, server.Addr(), testutil.PostRequestHead(testutil.NumberedRequestID(i), ""))
 				if status := testutil.ReadStatus(t, client); status != http.StatusOK {
 					t.Fatalf("request %d: status %d", i, status)
 				}
@@ -65,9 +65,9 @@
 		<-gate
 		echo(r)
 	}, reclaimAtOnce)
-	first := testutil.Dial(t, server.Addr(), testutil.Post(id, ""))
+	first := testutil.Dial(t, server.Addr(), testutil.PostRequestHead(id, ""))
 	testutil.Receive(t, submitted)
-	second := testutil.Dial(t, server.Addr(), testutil.Post(otherID, "")) // waits in the system's queue
+	second := testutil.Dial(t, server.Addr(), testutil.PostRequestHead(otherID, "")) // waits in the system's queue
 	if wait, ok := server.connections.ensureSlot(time.Now().Add(time.Hour)); ok {
 		t.Errorf("a slot was freed under an open request (wait %v)", wait)
 	}
@@ -91,7 +91,7 @@
 		s.Timeouts.Idle = time.Hour
 	})
 	for i := range 6 {
-		client := testutil.Dial(t, server.Addr(), testutil.Post(testutil.ID(i), ""))
+		client := testutil.Dial(t, server.Addr(), testutil.PostRequestHead(testutil.NumberedRequestID(i), ""))
 		if status := testutil.ReadStatus(t, client); status != http.StatusOK {
 			t.Fatalf("request %d: status %d", i, status)
 		}
@@ -135,7 +135,7 @@
 
 	client, conn := listenerClient(t, listener)
 	testutil.Write(t, client, "request")
-	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(conn.Conn) })
+	testutil.WaitFor(t, "its bytes", func() bool { return socket.HasUnread(conn.Conn) })
 	listener.table.closeAllIdle()
 	if n, err := conn.Read(buffer); n != len("request") || err != nil {
 		t.Fatalf("a request that waits to be read: %d bytes, %v", n, err)
@@ -155,7 +155,7 @@
 	client, conn = listenerClient(t, listener)
 	previous := conn.beginClose() // it was about to be closed as the request came
 	testutil.Write(t, client, "request")
-	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(conn.Conn) })
+	testutil.WaitFor(t, "its bytes", func() bool { return socket.HasUnread(conn.Conn) })
 	if n, err := conn.Read(buffer); n != 0 || err == nil {
 		t.Errorf("read %d bytes of a closing connection, %v", n, err)
 	}
@@ -205,7 +205,7 @@
 				failing.Listener = s.listener.Listener
 				s.listener.Listener = failing
 			})
-			client := testutil.Dial(t, server.Addr(), testutil.Post(id, ""))
+			client := testutil.Dial(t, server.Addr(), testutil.PostRequestHead(id, ""))
 			if status := testutil.ReadStatus(t, client); status != http.StatusOK {
 				t.Errorf("status %d after accept failed", status)
 			}
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -54,7 +54,7 @@
 		t.Errorf("before any byte: state %d, want Quiet", state)
 	}
 	send(t, peer, "x")
-	testutil.Eventually(t, "the byte", func() bool { return socket.Peek(local) == socket.Readable })
+	testutil.WaitFor(t, "the byte", func() bool { return socket.Peek(local) == socket.Readable })
 	if !socket.HasUnread(local) {
 		t.Error("a byte that was not read is not reported")
 	}
@@ -62,7 +62,7 @@
 		t.Errorf("Peek has taken the byte: %v", err)
 	}
 	closeWrite(t, peer)
-	testutil.Eventually(t, "the end", func() bool { return socket.Peek(local) == socket.Ended })
+	testutil.WaitFor(t, "the end", func() bool { return socket.Peek(local) == socket.Ended })
 }
 
 func TestPeekAtUnusableConnections(t *testing.T) {
@@ -128,7 +128,7 @@
 			if tt.closes {
 				closeWrite(t, peer)
 			}
-			testutil.Eventually(t, "the state", func() bool { return socket.Peer(local) == tt.want })
+			testutil.WaitFor(t, "the state", func() bool { return socket.Peer(local) == tt.want })
 			if got, want := socket.Peer(local).Gone(), tt.want != (socket.PeerState{}); got != want {
 				t.Errorf("gone %v, want %v", got, want)
 			}
--- a/internal/socket/transient_test.go
+++ b/internal/socket/transient_test.go
@@ -26,7 +26,7 @@
 				t.Errorf("before any byte: state %d, want Quiet", state)
 			}
 			send(t, peer, strings.Repeat("x", 17<<10))
-			testutil.Eventually(t, "the bytes", func() bool { return socket.Peer(local).Flooded })
+			testutil.WaitFor(t, "the bytes", func() bool { return socket.Peer(local).Flooded })
 			socket.FailCalls(t, 3, cause)
 			if !socket.HasUnread(local) {
 				t.Error("unread bytes are not reported")
@@ -35,7 +35,7 @@
 				t.Error("so many unread bytes are not reported")
 			}
 			closeWrite(t, peer)
-			testutil.Eventually(t, "the end", func() bool { return socket.Peer(local).Closed })
+			testutil.WaitFor(t, "the end", func() bool { return socket.Peer(local).Closed })
 			socket.FailCalls(t, 3, cause)
 			if !socket.Peer(local).Closed {
 				t.Error("the other side's end is not reported")
@@ -48,7 +48,7 @@
 func TestExaminationThatKeepsFailing(t *testing.T) {
 	local, peer := connect(t)
 	send(t, peer, "x")
-	testutil.Eventually(t, "the byte", func() bool { return socket.HasUnread(local) })
+	testutil.WaitFor(t, "the byte", func() bool { return socket.HasUnread(local) })
 	socket.FailCalls(t, 1<<30, syscall.ENOBUFS)
 	if !socket.HasUnread(local) {
 		t.Error("a connection that can't be examined counts as idle")
--- a/internal/testutil/config.go
+++ b/internal/testutil/config.go
@@ -8,8 +8,8 @@
 	"ashshunt/internal/config"
 )
 
-// Settings is a settings object with one class of each kind of idempotency, and wide time bounds.
-const Settings = `{"Balancers":1,"Me":0,"TickMs":1,"Dcs":["dc"],"Kinds":["std"],"MembershipMode":"subscribe",
+// SettingsJSON is a settings object with one class of each kind of idempotency, and wide time bounds.
+const SettingsJSON = `{"Balancers":1,"Me":0,"TickMs":1,"Dcs":["dc"],"Kinds":["std"],"MembershipMode":"subscribe",
  "Profiles":[
   {"Name":"look","AimMs":5000,"DeadlineMs":8000,"Worth":1,"Semantics":"repeatable"},
   {"Name":"hold","AimMs":5000,"DeadlineMs":8000,"Worth":1,"Semantics":"by_key","Group":"cell","WindowMs":6000},
@@ -26,7 +26,7 @@
 // that the agent knows at its start.
 func Config(t *testing.T, discovery string, entries ...string) *config.Config {
 	t.Helper()
-	c, err := config.Parse([]byte(fmt.Sprintf(configFormat, discovery, strings.Join(entries, ","), Settings)))
+	c, err := config.Parse([]byte(fmt.Sprintf(configFormat, discovery, strings.Join(entries, ","), SettingsJSON)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testutil/discovery.go
+++ b/internal/testutil/discovery.go
@@ -9,21 +9,21 @@
 // Discovery is a stand-in for the discovery service. It reports each watch to the test and sends the lines that the
 // test gives it.
 type Discovery struct {
-	Addr     string
-	Watches  chan string   // the query of each watch, as it begins
-	Say      chan string   // lines for the current watch; "" is an empty one
-	Cut      chan struct{} // ends the current watch
-	Complete func() string // returns the response to a poll of the complete list
+	Addr         string
+	Watches      chan string   // the query of each watch, as it begins
+	Lines        chan string   // lines for the current watch; "" is an empty one
+	EndWatch     chan struct{} // ends the current watch
+	CompleteList func() string // returns the response to a poll of the complete list
 }
 
 // NewDiscovery starts a discovery service, which ends with the test.
 func NewDiscovery(t *testing.T) *Discovery {
 	t.Helper()
 	d := &Discovery{
-		Watches:  make(chan string, eventCapacity),
-		Say:      make(chan string, eventCapacity),
-		Cut:      make(chan struct{}, 1),
-		Complete: func() string { return "" },
+		Watches:      make(chan string, eventBuffer),
+		Lines:        make(chan string, eventBuffer),
+		EndWatch:     make(chan struct{}, 1),
+		CompleteList: func() string { return "" },
 	}
 	listener := Listen(t)
 	d.Addr = listener.Addr().String()
@@ -36,7 +36,7 @@
 // ServeHTTP implements http.Handler.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("follow") == "" {
-		_, _ = io.WriteString(w, d.Complete()) // an error means that the client has gone
+		_, _ = io.WriteString(w, d.CompleteList()) // an error means that the client has gone
 		return
 	}
 	connection := http.NewResponseController(w)
@@ -44,10 +44,10 @@
 	d.Watches <- r.URL.RawQuery
 	for {
 		select {
-		case line := <-d.Say:
+		case line := <-d.Lines:
 			_, _ = io.WriteString(w, line+"\n")
 			_ = connection.Flush()
-		case <-d.Cut:
+		case <-d.EndWatch:
 			return
 		case <-r.Context().Done():
 			return
--- a/internal/testutil/listen.go
+++ b/internal/testutil/listen.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// eventCapacity is how many events of a stand-in fit into a channel before the test takes one.
-const eventCapacity = 100
+// eventBuffer is how many events of a stand-in fit into a channel before the test takes one.
+const eventBuffer = 100
 
 // Listen listens on a loopback port that the system chooses, until the test ends.
 func Listen(t *testing.T) net.Listener {
--- a/internal/testutil/server.go
+++ b/internal/testutil/server.go
@@ -27,8 +27,8 @@
 	s := &Server{
 		Listener: Listen(t),
 		handle:   handle,
-		Received: make(chan *http.Request, eventCapacity),
-		Closed:   make(chan struct{}, eventCapacity),
+		Received: make(chan *http.Request, eventBuffer),
+		Closed:   make(chan struct{}, eventBuffer),
 	}
 	go s.acceptAll()
 	return s
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -22,8 +22,8 @@
 	return value
 }
 
-// Eventually waits for a condition that no event announces; what names it if the test fails.
-func Eventually(t *testing.T, what string, ok func() bool) {
+// WaitFor waits for a condition that no event announces; what names it if the test fails.
+func WaitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -158,7 +158,7 @@
 				}
 				if tt.late {
 					sendMore <- struct{}{}
-					testutil.Eventually(t, "the extra response", hasUnread)
+					testutil.WaitFor(t, "the extra response", hasUnread)
 				}
 			}
 		})
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -40,7 +40,7 @@
 	})
 	client := newTestClient(t, server.Addr())
 	client.mustServe(t)
-	testutil.Eventually(t, "the close", func() bool { return socket.Peek(client.firstIdle()) != socket.Quiet })
+	testutil.WaitFor(t, "the close", func() bool { return socket.Peek(client.firstIdle()) != socket.Quiet })
 	client.mustServe(t) // on a new connection
 }
 
@@ -51,7 +51,7 @@
 	client.pool.maxIdle = 10 * time.Millisecond
 	client.mustServe(t)
 	testutil.Receive(t, server.Closed)
-	testutil.Eventually(t, "the pool to forget it", func() bool { return client.OpenConnections() == 0 })
+	testutil.WaitFor(t, "the pool to forget it", func() bool { return client.OpenConnections() == 0 })
 }
 
 func TestIdleTimeoutFollowsSettings(t *testing.T) {
