--- a/cmd/ashshunt/helpers_test.go
+++ b/cmd/ashshunt/helpers_test.go
@@ -170,5 +170,5 @@
 // requestText returns the text of a request whose client waits for timeoutMs.
 func requestText(number, timeoutMs int) string {
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Budget-Ms: %d\r\n\r\n",
-		testutil.NumberedRequestID(number), timeoutMs)
+		testutil.NthID(number), timeoutMs)
 }
--- a/cmd/ashshunt/soak_client_test.go
+++ b/cmd/ashshunt/soak_client_test.go
@@ -101,7 +101,7 @@
 	}
 	shareOfDeadline := 0.7 + 0.3*rng.float()
 	request.timeout = time.Duration(shareOfDeadline * float64(class.deadline)).Truncate(time.Millisecond)
-	request.id = testutil.NumberedRequestID(int(lastRequestNumber.Add(1)))
+	request.id = testutil.NthID(int(lastRequestNumber.Add(1)))
 	return request, class
 }
 
--- a/internal/agent/attempts_test.go
+++ b/internal/agent/attempts_test.go
@@ -61,7 +61,7 @@
 	a := startAgent(t, c)
 	var from []string
 	for i := range 2 {
-		if status := requestStatus(t, a, "GET", "/look", testutil.NumberedRequestID(i), "7000"); status != http.StatusOK {
+		if status := requestStatus(t, a, "GET", "/look", testutil.NthID(i), "7000"); status != http.StatusOK {
 			t.Fatalf("status %d", status)
 		}
 		from = append(from, testutil.Receive(t, server.Received).RemoteAddr)
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -28,8 +28,8 @@
 	{"reset", "", reset},
 	{"end of sending", "", (*net.TCPConn).CloseWrite},
 	{"close, a byte behind", "G", (*net.TCPConn).Close},
-	{"close, requests behind", testutil.GetRequest(otherID) + testutil.GetRequest(thirdID) + "GET /lo", (*net.TCPConn).Close},
-	{"reset, requests behind", testutil.GetRequest(otherID) + testutil.GetRequest(thirdID), reset},
+	{"close, requests behind", testutil.RawGet(otherID) + testutil.RawGet(thirdID) + "GET /lo", (*net.TCPConn).Close},
+	{"reset, requests behind", testutil.RawGet(otherID) + testutil.RawGet(thirdID), reset},
 	{"close, a flood behind", strings.Repeat("x", 1<<18), (*net.TCPConn).Close},
 }
 
@@ -152,7 +152,7 @@
 // submit connects a client and waits until the module knows its request.
 func (s *lateSender) submit(t *testing.T) net.Conn {
 	t.Helper()
-	client := testutil.Dial(t, s.Addr(), testutil.GetRequest(id))
+	client := testutil.Dial(t, s.Addr(), testutil.RawGet(id))
 	testutil.Receive(t, s.submitted)
 	return client
 }
@@ -218,7 +218,7 @@
 				return recorder.sendAtOnce(now, event)
 			}
 			a, _ := startScripted(t, newConfig(t, server), module)
-			client := testutil.Dial(t, a.Addr(), testutil.GetRequest(id))
+			client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 			testutil.Receive(t, busy)
 			way.of(t, client)
 			// The loop is held, and nothing else is in its table.
@@ -248,7 +248,7 @@
 				a.loop.upstream = upstream.New(options)
 				a.loop.module = scriptedModule(recorder.sendAtOnce)
 			})
-			client := testutil.Dial(t, a.Addr(), testutil.GetRequest(id))
+			client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 			testutil.Receive(t, dialling)
 			way.of(t, client)
 			testutil.Receive(t, recorder.abandoned)
@@ -274,16 +274,16 @@
 			c := newConfig(t, server)
 			c.Descriptors = 2 // one for clients
 			a := startAgent(t, c)
-			first := testutil.Dial(t, a.Addr(), testutil.GetRequest(testutil.NumberedRequestID(1)))
+			first := testutil.Dial(t, a.Addr(), testutil.RawGet(testutil.NthID(1)))
 			testutil.Receive(t, server.Received)
-			second := testutil.Dial(t, a.Addr(), testutil.GetRequest(id))
+			second := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 			way.of(t, second) // which its system passes on at once, to a connection that the agent has not accepted yet
 			close(gate)
 			if status := testutil.ReadStatus(t, first); status != http.StatusOK {
 				t.Errorf("first request: status %d", status)
 			}
 			_ = first.Close() // the agent may have closed it already
-			if status := requestStatus(t, a, "GET", "/look", testutil.NumberedRequestID(3), "7000"); status != http.StatusOK {
+			if status := requestStatus(t, a, "GET", "/look", testutil.NthID(3), "7000"); status != http.StatusOK {
 				t.Errorf("third request: status %d", status)
 			}
 			for len(server.Received) > 0 {
@@ -325,9 +325,9 @@
 	t.Helper()
 	server := testutil.NewServer(t, testutil.Echo)
 	a := startAgent(t, newConfig(t, server))
-	head := testutil.PostRequestHead(id, fmt.Sprintf("Content-Length: %d\r\n", bodyLength))
+	head := testutil.RawPost(id, fmt.Sprintf("Content-Length: %d\r\n", bodyLength))
 	way.of(t, testutil.Dial(t, a.Addr(), head+"half"))
-	if status := requestStatus(t, a, "GET", "/look", testutil.NumberedRequestID(1), "7000"); status != http.StatusOK {
+	if status := requestStatus(t, a, "GET", "/look", testutil.NthID(1), "7000"); status != http.StatusOK {
 		t.Errorf("next request: status %d", status)
 	}
 	if r := testutil.Receive(t, server.Received); r.Header.Get("X-Call-Id") == id {
@@ -350,7 +350,7 @@
 			a, _ := startPrepared(t, newConfig(t, server), func(a *Agent) {
 				a.loop.module = observedModule{a.loop.module, recorder.record}
 			})
-			client := testutil.Dial(t, a.Addr(), testutil.GetRequest(id))
+			client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 			testutil.Receive(t, server.Received)
 			way.of(t, client)
 			testutil.Receive(t, recorder.abandoned)
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -49,7 +49,7 @@
 func (p *holdingPair) send(t *testing.T) int {
 	t.Helper()
 	p.sent++
-	id := testutil.NumberedRequestID(p.sent)
+	id := testutil.NthID(p.sent)
 	go func() { p.statuses <- requestStatus(t, p.agent, "POST", "/settle", id, "7900") }()
 	server := 0
 	select {
@@ -122,7 +122,7 @@
 	rejected := make(chan string, 20)
 	send := func(method, path string) {
 		sent++
-		id := testutil.NumberedRequestID(sent)
+		id := testutil.NthID(sent)
 		go func() {
 			if requestStatus(t, a, method, path, id, "190000") == http.StatusServiceUnavailable {
 				rejected <- path
@@ -170,13 +170,13 @@
 	sent := 0
 	send := func() {
 		sent++
-		if status := requestStatus(t, a, "POST", "/settle", testutil.NumberedRequestID(sent), "60000"); status != http.StatusOK {
+		if status := requestStatus(t, a, "POST", "/settle", testutil.NthID(sent), "60000"); status != http.StatusOK {
 			t.Fatalf("status %d", status)
 		}
 	}
 	for i := range lost { // their clients disconnect at the end of the test
 		testutil.Dial(t, a.Addr(), fmt.Sprintf("POST /settle HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\n"+
-			"X-Budget-Ms: 60000\r\nContent-Length: 0\r\n\r\n", testutil.NumberedRequestID(1000000+i)))
+			"X-Budget-Ms: 60000\r\nContent-Length: 0\r\n\r\n", testutil.NthID(1000000+i)))
 		testutil.Receive(t, first.Received)
 	}
 	send()
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -54,7 +54,7 @@
 	const requests = 4
 	served := 0
 	for i := range requests {
-		if requestStatus(t, a, "POST", "/settle", testutil.NumberedRequestID(i), "7000") == http.StatusOK {
+		if requestStatus(t, a, "POST", "/settle", testutil.NthID(i), "7000") == http.StatusOK {
 			served++
 		}
 	}
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -98,11 +98,11 @@
 		return testutil.Echo(conn, r, body)
 	})
 	a := startStoppable(t, newConfig(t, server), func(a *Agent) { a.acceptPeriod = 3 * time.Second })
-	kept := bufio.NewReader(testutil.Dial(t, a.Addr(), testutil.GetRequest(otherID)))
+	kept := bufio.NewReader(testutil.Dial(t, a.Addr(), testutil.RawGet(otherID)))
 	if response := testutil.ReadResponse(t, kept); response.StatusCode != http.StatusOK || response.Close {
 		t.Fatalf("before the shutdown: status %d, close %v", response.StatusCode, response.Close)
 	}
-	busy := testutil.Dial(t, a.Addr(), testutil.GetRequest(id))
+	busy := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 	unused := testutil.Dial(t, a.Addr(), "")
 	for range 2 {
 		testutil.Receive(t, server.Received)
@@ -118,7 +118,7 @@
 	testutil.WaitFor(t, "the shutdown", func() bool { return a.logged.Contains(shutdownLine) })
 	close(gate)
 	expectLastResponse(t, busy, "in flight as the shutdown began")
-	testutil.Write(t, unused, testutil.GetRequest(thirdID)) // connected before the shutdown, and still on its way
+	testutil.Write(t, unused, testutil.RawGet(thirdID)) // connected before the shutdown, and still on its way
 	expectLastResponse(t, unused, "on a connection that had had no request")
 	a.expectEnd(t)
 }
@@ -158,7 +158,7 @@
 	}
 	a := startStoppable(t, newConfig(t, server), func(a *Agent) { a.loop.module = scriptedModule(module) })
 	stopped = func() bool { return a.logged.Contains(shutdownLine) }
-	client := testutil.Dial(t, a.Addr(), testutil.GetRequest(id))
+	client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 	testutil.Receive(t, failed)
 	a.stop()
 	expectLastResponse(t, client, "during backoff as the shutdown began")
@@ -197,7 +197,7 @@
 	for name, text := range map[string]string{
 		"a byte":      "P",
 		"half a head": "POST /settle HTTP/1.1\r\nHo",
-		"half a body": testutil.PostRequestHead(id, "Content-Length: 10\r\n") + "half",
+		"half a body": testutil.RawPost(id, "Content-Length: 10\r\n") + "half",
 	} {
 		clients[name] = testutil.Dial(t, a.Addr(), text)
 	}
@@ -242,7 +242,7 @@
 		a.frontend = frontend.NewServer(closeFails{listener}, config, a.loop.clock, a.loop, a.log)
 		a.acceptPeriod = 10 * time.Millisecond
 	})
-	client := testutil.Dial(t, a.Addr(), testutil.GetRequest(id))
+	client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 	testutil.Receive(t, server.Received)
 	a.stop()
 	testutil.WaitFor(t, "the listener to be closed", func() bool {
--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), silent, nil)
-			client := testutil.Dial(t, server.Addr(), testutil.GetRequest(id)+behind)
+			client := testutil.Dial(t, server.Addr(), testutil.RawGet(id)+behind)
 			request := testutil.Receive(t, loop.received)
 			if request.ClientGone() {
 				t.Error("gone while its client waits")
@@ -68,7 +68,7 @@
 func TestFloodedConnection(t *testing.T) {
 	t.Parallel()
 	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), silent, nil)
-	client := testutil.Dial(t, server.Addr(), testutil.GetRequest(id))
+	client := testutil.Dial(t, server.Addr(), testutil.RawGet(id))
 	request := testutil.Receive(t, loop.received)
 	go func() { _, _ = io.WriteString(client, strings.Repeat("x", 1<<16)) }() // ends with the connection
 	if abandoned := testutil.Receive(t, loop.abandoned); abandoned != request {
@@ -83,7 +83,7 @@
 func TestLoopHasEnded(t *testing.T) {
 	t.Parallel()
 	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), silent, nil)
-	client := testutil.Dial(t, server.Addr(), testutil.GetRequest(id))
+	client := testutil.Dial(t, server.Addr(), testutil.RawGet(id))
 	testutil.Receive(t, loop.received)
 	close(loop.done)
 	if status := testutil.ReadStatus(t, client); status != http.StatusBadGateway {
--- a/internal/frontend/incomplete_test.go
+++ b/internal/frontend/incomplete_test.go
@@ -14,13 +14,13 @@
 	"a byte":      "G",
 	"three bytes": "GET",
 	"half a head": "POST /settle HTTP/1.1\r\nHo",
-	"half a body": testutil.PostRequestHead(id, "Content-Length: 10\r\n") + "half",
+	"half a body": testutil.RawPost(id, "Content-Length: 10\r\n") + "half",
 }
 
 // A client that begins a request and stops gets an error, on a new connection and on one that it has kept.
 func TestIncompleteRequestsAreAnswered(t *testing.T) {
 	for name, text := range incompleteRequests {
-		for kept, before := range map[string]string{"new connection": "", "kept connection": testutil.GetRequest(otherID)} {
+		for kept, before := range map[string]string{"new connection": "", "kept connection": testutil.RawGet(otherID)} {
 			t.Run(name+", "+kept, func(t *testing.T) {
 				t.Parallel()
 				expectRequestTimeout(t, before, text)
@@ -57,12 +57,12 @@
 			server, _ := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, func(s *Server) {
 				s.Timeouts.Idle = time.Second
 			})
-			client := testutil.Dial(t, server.Addr(), testutil.GetRequest(otherID))
+			client := testutil.Dial(t, server.Addr(), testutil.RawGet(otherID))
 			in := bufio.NewReader(client)
 			testutil.ReadResponse(t, in)
-			whole := testutil.GetRequest(id)
+			whole := testutil.RawGet(id)
 			if text[0] == 'P' {
-				whole = testutil.PostRequestHead(id, "Content-Length: 10\r\n") + "half whole"
+				whole = testutil.RawPost(id, "Content-Length: 10\r\n") + "half whole"
 			}
 			testutil.Write(t, client, whole[:len(text)])
 			time.Sleep(1200 * time.Millisecond) // past the idle time
@@ -80,7 +80,7 @@
 	server, _ := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, func(s *Server) {
 		s.Timeouts.ReadRequest, s.Timeouts.ReadSlowRequest = 2*time.Second, testutil.Timeout
 	})
-	text := testutil.PostRequestHead(id, "Content-Length: 10\r\n") + "half whole"
+	text := testutil.RawPost(id, "Content-Length: 10\r\n") + "half whole"
 	client := testutil.Dial(t, server.Addr(), text[:10])
 	for _, part := range []string{text[10:20], text[20:60], text[60 : len(text)-10], text[len(text)-10 : len(text)-3]} {
 		time.Sleep(500 * time.Millisecond)
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -42,7 +42,7 @@
 					testutil.Dial(t, server.Addr(), "")
 					continue
 				}
-				client := testutil.Dial(t, server.Addr(), testutil.PostRequestHead(testutil.NumberedRequestID(i), ""))
+				client := testutil.Dial(t, server.Addr(), testutil.RawPost(testutil.NthID(i), ""))
 				if status := testutil.ReadStatus(t, client); status != http.StatusOK {
 					t.Fatalf("request %d: status %d", i, status)
 				}
@@ -65,9 +65,9 @@
 		<-gate
 		echo(r)
 	}, reclaimAtOnce)
-	first := testutil.Dial(t, server.Addr(), testutil.PostRequestHead(id, ""))
+	first := testutil.Dial(t, server.Addr(), testutil.RawPost(id, ""))
 	testutil.Receive(t, submitted)
-	second := testutil.Dial(t, server.Addr(), testutil.PostRequestHead(otherID, "")) // waits in the system's queue
+	second := testutil.Dial(t, server.Addr(), testutil.RawPost(otherID, "")) // waits in the system's queue
 	if wait, ok := server.connections.ensureSlot(time.Now().Add(time.Hour)); ok {
 		t.Errorf("a slot was freed under an open request (wait %v)", wait)
 	}
@@ -91,7 +91,7 @@
 		s.Timeouts.Idle = time.Hour
 	})
 	for i := range 6 {
-		client := testutil.Dial(t, server.Addr(), testutil.PostRequestHead(testutil.NumberedRequestID(i), ""))
+		client := testutil.Dial(t, server.Addr(), testutil.RawPost(testutil.NthID(i), ""))
 		if status := testutil.ReadStatus(t, client); status != http.StatusOK {
 			t.Fatalf("request %d: status %d", i, status)
 		}
@@ -205,7 +205,7 @@
 				failing.Listener = s.listener.Listener
 				s.listener.Listener = failing
 			})
-			client := testutil.Dial(t, server.Addr(), testutil.PostRequestHead(id, ""))
+			client := testutil.Dial(t, server.Addr(), testutil.RawPost(id, ""))
 			if status := testutil.ReadStatus(t, client); status != http.StatusOK {
 				t.Errorf("status %d after accept failed", status)
 			}
--- a/internal/frontend/parse_test.go
+++ b/internal/frontend/parse_test.go
@@ -61,31 +61,31 @@
 func TestFraming(t *testing.T) {
 	t.Parallel()
 	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, nil)
-	hidden := testutil.PostRequestHead(otherID, "Content-Length: 0\r\n")
+	hidden := testutil.RawPost(otherID, "Content-Length: 0\r\n")
 	chunks := "0\r\n\r\n" + hidden
 	length := fmt.Sprintf("Content-Length: %d\r\n", len(chunks))
 	const chunked = "Transfer-Encoding: chunked\r\n"
-	keepAlive := testutil.PostRequestHead(id, "Connection: keep-alive\r\nContent-Length: 5\r\n"+chunked)
+	keepAlive := testutil.RawPost(id, "Connection: keep-alive\r\nContent-Length: 5\r\n"+chunked)
 	oldVersion := strings.Replace(keepAlive, "/1.1", "/1.0", 1)
-	unknownClass := strings.Replace(testutil.PostRequestHead(id, "Content-Length: 100\r\n"), "settle", "x", 1)
+	unknownClass := strings.Replace(testutil.RawPost(id, "Content-Length: 100\r\n"), "settle", "x", 1)
 	for _, test := range []struct {
 		name, text string
 		want       int
 	}{
-		{"length and encoding", testutil.PostRequestHead(id, length+chunked) + chunks, 411},
-		{"encoding and length", testutil.PostRequestHead(id, chunked+length) + chunks, 411},
-		{"encoding alone", testutil.PostRequestHead(id, chunked) + chunks, 411},
+		{"length and encoding", testutil.RawPost(id, length+chunked) + chunks, 411},
+		{"encoding and length", testutil.RawPost(id, chunked+length) + chunks, 411},
+		{"encoding alone", testutil.RawPost(id, chunked) + chunks, 411},
 		{"encoding in HTTP/1.0", oldVersion + chunks, 505},
-		{"an unknown encoding", testutil.PostRequestHead(id, "Transfer-Encoding: gzip\r\n") + hidden, 501},
-		{"two lengths", testutil.PostRequestHead(id, "Content-Length: 4\r\nContent-Length: 9\r\n") + hidden, 400},
-		{"a negative length", testutil.PostRequestHead(id, "Content-Length: -1\r\n") + hidden, 400},
-		{"a signed length", testutil.PostRequestHead(id, "Content-Length: +4\r\n") + hidden, 400},
-		{"a huge length", testutil.PostRequestHead(id, "Content-Length: 3000000000\r\n") + hidden, 413},
-		{"a length beyond numbers", testutil.PostRequestHead(id, "Content-Length: 99999999999999999999\r\n") + hidden, 400},
-		{"an endless head", testutil.PostRequestHead(id, strings.Repeat("A: b\r\n", 1<<13)), 431},
-		{"two ids", testutil.PostRequestHead(id, "X-Call-Id: "+otherID+"\r\nContent-Length: 0\r\n") + hidden, 400},
-		{"two timeouts", testutil.PostRequestHead(id, "X-Budget-Ms: 1\r\n") + hidden, 400},
-		{"a class without keys, with a key", testutil.PostRequestHead(id, "Idempotency-Key: k\r\n") + hidden, 400},
+		{"an unknown encoding", testutil.RawPost(id, "Transfer-Encoding: gzip\r\n") + hidden, 501},
+		{"two lengths", testutil.RawPost(id, "Content-Length: 4\r\nContent-Length: 9\r\n") + hidden, 400},
+		{"a negative length", testutil.RawPost(id, "Content-Length: -1\r\n") + hidden, 400},
+		{"a signed length", testutil.RawPost(id, "Content-Length: +4\r\n") + hidden, 400},
+		{"a huge length", testutil.RawPost(id, "Content-Length: 3000000000\r\n") + hidden, 413},
+		{"a length beyond numbers", testutil.RawPost(id, "Content-Length: 99999999999999999999\r\n") + hidden, 400},
+		{"an endless head", testutil.RawPost(id, strings.Repeat("A: b\r\n", 1<<13)), 431},
+		{"two ids", testutil.RawPost(id, "X-Call-Id: "+otherID+"\r\nContent-Length: 0\r\n") + hidden, 400},
+		{"two timeouts", testutil.RawPost(id, "X-Budget-Ms: 1\r\n") + hidden, 400},
+		{"a class without keys, with a key", testutil.RawPost(id, "Idempotency-Key: k\r\n") + hidden, 400},
 		{"an unknown class with a body that never comes", unknownClass, 404},
 	} {
 		in := bufio.NewReader(testutil.Dial(t, server.Addr(), test.text))
@@ -111,7 +111,7 @@
 func TestIncompleteRequests(t *testing.T) {
 	t.Parallel()
 	server, _ := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, nil)
-	texts := []string{"", "POST /settle HTTP/1.1\r\nHo", testutil.PostRequestHead(id, "Content-Length: 10\r\n") + "half"}
+	texts := []string{"", "POST /settle HTTP/1.1\r\nHo", testutil.RawPost(id, "Content-Length: 10\r\n") + "half"}
 	var clients []net.Conn
 	for _, text := range texts {
 		clients = append(clients, testutil.Dial(t, server.Addr(), text))
--- a/internal/testutil/client.go
+++ b/internal/testutil/client.go
@@ -14,17 +14,17 @@
 // RequestID is a well-formed X-Call-Id.
 const RequestID = "00000000000000a1"
 
-// NumberedRequestID returns a well-formed X-Call-Id, a different one for each number.
-func NumberedRequestID(number int) string { return fmt.Sprintf("%016x", number) }
+// NthID returns a well-formed X-Call-Id, a different one for each number.
+func NthID(number int) string { return fmt.Sprintf("%016x", number) }
 
-// GetRequest returns the text of a request of the idempotent class of Settings.
-func GetRequest(id string) string {
+// RawGet returns the text of a request of the idempotent class of Settings.
+func RawGet(id string) string {
 	return "GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 7000\r\n\r\n"
 }
 
-// PostRequestHead returns the head of a request of the class of Settings that is not idempotent, with further header lines, each
+// RawPost returns the head of a request of the class of Settings that is not idempotent, with further header lines, each
 // terminated by CRLF.
-func PostRequestHead(id, headers string) string {
+func RawPost(id, headers string) string {
 	return "POST /settle HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 7000\r\n" + headers + "\r\n"
 }
 
