--- a/cmd/ashshunt-sim/host.go
+++ b/cmd/ashshunt-sim/host.go
@@ -29,12 +29,12 @@
 
 func (e *notOpenError) Error() string { return fmt.Sprintf("instance %d is not open", e.agent) }
 
-// reply gives each instance its events of the batch and writes the actions of all of them.
-func (h *host) reply(batch *simwire.Batch) error {
+// handleBatch gives each instance its events of the batch and writes the actions of all of them.
+func (h *host) handleBatch(batch *simwire.Batch) error {
 	queue := newEventQueue()
 	for _, event := range batch.Events {
-		queue.register(event.Agent)
-		if err := h.accept(batch.Now, event, queue); err != nil {
+		queue.addAgent(event.Agent)
+		if err := h.handleEvent(batch.Now, event, queue); err != nil {
 			return err
 		}
 	}
@@ -46,8 +46,8 @@
 	return h.out.End()
 }
 
-// accept opens or retires an instance, or queues the event for it.
-func (h *host) accept(now time.Duration, event simwire.InstanceEvent, queue *eventQueue) error {
+// handleEvent opens or retires an instance, or queues the event for it.
+func (h *host) handleEvent(now time.Duration, event simwire.InstanceEvent, queue *eventQueue) error {
 	switch {
 	case event.Open != nil:
 		// Events of the same batch for the instance that this one replaces are a step of their own.
@@ -82,15 +82,15 @@
 	if len(events) == 0 {
 		return nil
 	}
-	actions, err := stepSafely(h.instances[agent], now, events)
+	actions, err := stepWithRecover(h.instances[agent], now, events)
 	if err != nil {
 		return h.out.Broken(agent, err.Error())
 	}
 	return h.out.Actions(agent, actions)
 }
 
-// stepSafely steps an instance. A panic of the decision module becomes an error.
-func stepSafely(instance decisionModule, now time.Duration, events []balancer.Event) (actions []balancer.Action,
+// stepWithRecover steps an instance. A panic of the decision module becomes an error.
+func stepWithRecover(instance decisionModule, now time.Duration, events []balancer.Event) (actions []balancer.Action,
 	err error) {
 	defer func() {
 		if value := recover(); value != nil {
@@ -110,8 +110,8 @@
 	return &eventQueue{events: map[int][]balancer.Event{}}
 }
 
-// register notes that the batch names an agent.
-func (q *eventQueue) register(agent int) {
+// addAgent notes that the batch names an agent.
+func (q *eventQueue) addAgent(agent int) {
 	if _, known := q.events[agent]; !known {
 		q.agents = append(q.agents, agent)
 		q.events[agent] = nil
--- a/cmd/ashshunt-sim/main.go
+++ b/cmd/ashshunt-sim/main.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			return err
 		}
-		if err := host.reply(batch); err != nil {
+		if err := host.handleBatch(batch); err != nil {
 			return err
 		}
 	}
--- a/cmd/ashshunt-sim/main_test.go
+++ b/cmd/ashshunt-sim/main_test.go
@@ -83,7 +83,7 @@
 	h := newHost(simwire.NewWriter(&out))
 	b := &simwire.Batch{Events: []simwire.InstanceEvent{{Agent: 2, Event: balancer.Request{ID: "x"}}}}
 	h.instances[2] = stepFunc(func(time.Duration, []balancer.Event) []balancer.Action { panic("no such thing") })
-	if err := h.reply(b); err != nil {
+	if err := h.handleBatch(b); err != nil {
 		t.Fatal(err)
 	}
 	want := `{"msg":"Broken","Agent":2,"Msg":"panic: no such thing"}` + "\n{\"msg\":\"Eor\"}\n"
--- a/cmd/ashshunt/main.go
+++ b/cmd/ashshunt/main.go
@@ -20,14 +20,14 @@
 	"ashshunt/internal/telemetry"
 )
 
-// configVariable is the environment variable that names the configuration file.
-const configVariable = "GW_CONFIG"
+// configEnvVar is the environment variable that names the configuration file.
+const configEnvVar = "GW_CONFIG"
 
 // exitFailure is the exit status of an agent that did not start, or that failed.
 const exitFailure = 1
 
-// configRetryPeriod is how long a start retries to read a configuration file that can't be read.
-const configRetryPeriod = 5 * time.Second
+// configRetryTimeout is how long a start retries to read a configuration file that can't be read.
+const configRetryTimeout = 5 * time.Second
 
 // logFlushTimeout is how long the exit waits for a slow reader of the log.
 const logFlushTimeout = 100 * time.Millisecond
@@ -42,9 +42,9 @@
 // The heap may take five eighths of the memory of the process: the program itself counts too. A MB of memory_mb is a
 // MiB.
 const (
-	bytesPerMiB = 1 << 20
-	memoryParts = 8
-	heapParts   = 5
+	bytesPerMiB             = 1 << 20
+	heapFractionDenominator = 8
+	heapFractionNumerator   = 5
 )
 
 func main() {
@@ -63,13 +63,13 @@
 func run(logWriter io.Writer) error {
 	// Signals come first: one that is not handled yet would end the process.
 	signal.Ignore(syscall.SIGPIPE) // a write to a log that its reader has closed raises it
-	stop, release, reloads := handleSignals()
-	defer release()
+	stopCtx, stopSignals, reloads := handleSignals()
+	defer stopSignals()
 	runtime.GOMAXPROCS(maxProcs)
 
-	path := os.Getenv(configVariable)
+	path := os.Getenv(configEnvVar)
 	if path == "" {
-		return errors.New(configVariable + " names no configuration file")
+		return errors.New(configEnvVar + " names no configuration file")
 	}
 	log := newLogger(logWriter)
 	c, err := loadConfig(path, log)
@@ -82,27 +82,27 @@
 	if err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	defer close(ended)
-	go (&reloader{path: path, agent: a, log: log}).run(reloads, ended)
+	stopped := make(chan struct{})
+	defer close(stopped)
+	go (&reloader{path: path, agent: a, log: log}).run(reloads, stopped)
 	log.Info(telemetry.MsgServing, "listen", a.Addr().String())
-	return a.Run(stop)
+	return a.Run(stopCtx)
 }
 
 // handleSignals returns a context that SIGTERM and SIGINT end, until release is called, and a channel with a value
 // for SIGHUP.
-func handleSignals() (stop context.Context, release context.CancelFunc, reloads <-chan os.Signal) {
-	stop, release = signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+func handleSignals() (stopCtx context.Context, stopSignals context.CancelFunc, reloads <-chan os.Signal) {
+	stopCtx, stopSignals = signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	hangups := make(chan os.Signal, 1) // all signals that come during a reload are followed by one more reload
 	signal.Notify(hangups, syscall.SIGHUP)
-	return stop, release, hangups
+	return stopCtx, stopSignals, hangups
 }
 
 // setMemoryLimits bounds the heap within the memory that the process may use; 0: no limit.
 func setMemoryLimits(memoryMB int) {
 	debug.SetGCPercent(gcPercent)
 	if memoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryMB) * bytesPerMiB * heapParts / memoryParts)
+		debug.SetMemoryLimit(int64(memoryMB) * bytesPerMiB * heapFractionNumerator / heapFractionDenominator)
 	}
 }
 
@@ -113,7 +113,7 @@
 // loadConfig reads the configuration. A file that can't be read, or is just being written, is read again for a while.
 func loadConfig(path string, log *slog.Logger) (*config.Config, error) {
 	policy := retry.Policy{
-		MaxElapsedTime: configRetryPeriod,
+		MaxElapsedTime: configRetryTimeout,
 		IsTransient:    func(err error) bool { return retry.IsTransient(err) || errors.Is(err, config.ErrIncomplete) },
 		OnRetry:        func(err error) { log.Warn(telemetry.MsgConfigurationUnreadable, telemetry.Err(err)) },
 	}
--- a/cmd/ashshunt/signals_test.go
+++ b/cmd/ashshunt/signals_test.go
@@ -35,7 +35,7 @@
 	first, firstWatches := newDiscovery(t)
 	second, secondWatches := newDiscovery(t)
 	writeConfig(first)
-	t.Setenv(configVariable, string(file))
+	t.Setenv(configEnvVar, string(file))
 	ended := make(chan error, 1)
 	go func() { ended <- run(io.Discard) }()
 	expectWatch(t, firstWatches, "follow=1&since=3")
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -22,7 +22,7 @@
 	case balancer.Fail:
 		l.fail(action)
 	case balancer.SetTimer:
-		l.timers.add(&timer{at: now + max(0, action.After), token: action.Token})
+		l.timers.add(&timer{dueAt: now + max(0, action.After), token: action.Token})
 	case balancer.HealthCheck:
 		l.startHealthCheck(ctx, action.Endpoint)
 	case balancer.Subscribe:
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// acceptPeriod is how long a shutdown still accepts new connections: clients learn of it late, and connections that
+	// acceptDuration is how long a shutdown still accepts new connections: clients learn of it late, and connections that
 	// wait in the queue of a closed listener are lost.
-	acceptPeriod = 500 * time.Millisecond
-	// finalWriteTime is the time for the last responses of a shutdown to be written and read.
-	finalWriteTime = 150 * time.Millisecond
-	// listenRetryPeriod is how long a start retries to listen on its address.
-	listenRetryPeriod = 5 * time.Second
+	acceptDuration = 500 * time.Millisecond
+	// finalWriteTimeout is the time for the last responses of a shutdown to be written and read.
+	finalWriteTimeout = 150 * time.Millisecond
+	// listenRetryTimeout is how long a start retries to listen on its address.
+	listenRetryTimeout = 5 * time.Second
 )
 
 // Agent is one agent: the frontend, and the event loop that answers its requests.
@@ -32,7 +32,7 @@
 	frontend *frontend.Server
 	log      *slog.Logger
 
-	acceptPeriod time.Duration // the constant, unless a test has changed it
+	acceptDuration time.Duration // the constant, unless a test has changed it
 }
 
 // New returns an agent that listens; it serves once Run is called.
@@ -47,13 +47,13 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	server := frontend.NewServer(listener, c, agentClock, loop, log)
-	return &Agent{loop: loop, frontend: server, log: log, acceptPeriod: acceptPeriod}, nil
+	return &Agent{loop: loop, frontend: server, log: log, acceptDuration: acceptDuration}, nil
 }
 
 // listen opens the listener. It retries after failures that may be temporary.
 func listen(addr string, log *slog.Logger) (net.Listener, error) {
 	policy := retry.Policy{
-		MaxElapsedTime: listenRetryPeriod,
+		MaxElapsedTime: listenRetryTimeout,
 		IsTransient:    retry.IsTransient,
 		OnRetry:        func(err error) { log.Warn(telemetry.MsgListenFailed, telemetry.Err(err)) },
 	}
@@ -71,8 +71,8 @@
 }
 
 // Run serves until stop ends, then shuts down gracefully: it answers what was accepted before it returns.
-func (a *Agent) Run(stop context.Context) error {
-	ctx, cancel := context.WithCancel(context.WithoutCancel(stop)) // requests outlast the signal to stop
+func (a *Agent) Run(stopCtx context.Context) error {
+	ctx, cancel := context.WithCancel(context.WithoutCancel(stopCtx)) // requests outlast the signal to stop
 	defer cancel()
 	go a.loop.run(ctx) // ends with ctx
 	served := make(chan error, 1)
@@ -80,14 +80,14 @@
 	select {
 	case err := <-served:
 		return fmt.Errorf("serving: %w", err)
-	case <-stop.Done():
-		return a.shutDown(ctx, served)
+	case <-stopCtx.Done():
+		return a.shutDownGracefully(ctx, served)
 	}
 }
 
-// shutDown answers the requests that were accepted, and those that are still accepted for a while. The order of its
+// shutDownGracefully answers the requests that were accepted, and those that are still accepted for a while. The order of its
 // steps matters: connections are closed between requests only, and while their clients can still open new ones.
-func (a *Agent) shutDown(ctx context.Context, served <-chan error) error {
+func (a *Agent) shutDownGracefully(ctx context.Context, served <-chan error) error {
 	a.log.Info(telemetry.MsgShuttingDown)
 	a.frontend.StartShutdown()
 	a.loop.post(shutdownStarted{})
@@ -96,22 +96,22 @@
 	select {
 	case err := <-served:
 		return fmt.Errorf("serving: %w", err)
-	case <-time.After(a.acceptPeriod):
+	case <-time.After(a.acceptDuration):
 	}
 	a.frontend.StopAccepting()
 	// Not http.Server.Shutdown: it treats a connection as idle until it has read a complete head, and would close it
 	// under the request.
 	a.frontend.CloseAllIdle()
-	a.awaitConnections(ctx, shutdownTimeout(a.loop.settings)-a.acceptPeriod)
+	a.waitForDisconnects(ctx, shutdownTimeout(a.loop.settings)-a.acceptDuration)
 	a.frontend.RejectIncomplete()
-	a.awaitConnections(ctx, finalWriteTime)
+	a.waitForDisconnects(ctx, finalWriteTimeout)
 	a.log.Info(telemetry.MsgStopped)
 	_ = a.frontend.Close() // nothing is left to be answered, so that an error changes nothing
 	return nil
 }
 
-// awaitConnections waits until no client is connected any more, or a timeout has passed.
-func (a *Agent) awaitConnections(ctx context.Context, timeout time.Duration) {
+// waitForDisconnects waits until no client is connected any more, or a timeout has passed.
+func (a *Agent) waitForDisconnects(ctx context.Context, timeout time.Duration) {
 	waitCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	a.frontend.WaitUntilEmpty(waitCtx)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -72,12 +72,12 @@
 	for i := range fleet {
 		c := testutil.Config(t, down, testutil.EntryJSON("s0", server.Addr(), "SERVING"))
 		c.Settings.Subscribe, c.Settings.Agents, c.Settings.AgentIndex = i%2 == 0, fleet, i
-		a, _ := startPrepared(t, c, func(a *Agent) { a.acceptPeriod = time.Millisecond })
+		a, _ := startAgentWith(t, c, func(a *Agent) { a.acceptDuration = time.Millisecond })
 		if status := healthStatus(t, a); status != http.StatusOK {
 			t.Fatalf("agent %d: health status %d with endpoints known", i, status)
 		}
 	}
-	a, _ := startPrepared(t, testutil.Config(t, down), func(a *Agent) { a.frontend.Timeouts.ReadyWithoutEndpoints = 0 })
+	a, _ := startAgentWith(t, testutil.Config(t, down), func(a *Agent) { a.frontend.Timeouts.ReadyWithoutEndpoints = 0 })
 	if status := healthStatus(t, a); status != http.StatusOK {
 		t.Errorf("health status %d with no endpoint known after the wait for a list", status)
 	}
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -22,13 +22,13 @@
 	attemptCtx, cancel := context.WithCancel(ctx)
 	outcome := balancer.Outcome{
 		Request:  action.Request,
-		Attempt:  r.beginAttempt(cancel),
+		Attempt:  r.recordAttemptStart(cancel),
 		Endpoint: action.Endpoint,
 		Result:   balancer.NotSent,
 	}
 	deadline := l.attemptDeadline(now, r, action.Timeout)
-	if r.isOver() || r.attempts() > l.maxAttempts() || now >= deadline {
-		l.finishAttempt(r, outcome, nil)
+	if r.isFinished() || r.attemptCount() > l.maxAttempts() || now >= deadline {
+		l.handleOutcome(r, outcome, nil)
 		return
 	}
 	go l.runAttempt(attemptCtx, r, outcome, now, l.attemptBounds(deadline, action.NotAfter)) // ends by the deadline
@@ -40,7 +40,7 @@
 // attemptDeadline is when an attempt that starts now has to end, on the agent's clock: the end of the request's
 // attempts, unless a shutdown or timeout, the decision module's own bound, ends it earlier. A timeout of 0 sets none.
 func (l *eventLoop) attemptDeadline(now time.Duration, r *openRequest, timeout time.Duration) time.Duration {
-	deadline := r.attemptsEnd
+	deadline := r.attemptsUntil
 	if l.isShuttingDown() {
 		deadline = min(deadline, l.shutdownDeadline-attemptMargin)
 	}
@@ -61,11 +61,11 @@
 
 // runAttempt makes an attempt that starts at a time on the agent's clock, and posts its outcome. It runs on a goroutine
 // of its own, and reads nothing of the request that changes.
-func (l *eventLoop) runAttempt(ctx context.Context, r *openRequest, outcome balancer.Outcome, start time.Duration,
+func (l *eventLoop) runAttempt(ctx context.Context, r *openRequest, outcome balancer.Outcome, startedAt time.Duration,
 	bounds upstream.Bounds) {
 	result, response := l.upstream.Attempt(ctx, r.upstream, outcome.Endpoint, bounds)
 	outcome.Result = result
-	outcome.Latency = l.clock.FromTime(response.EndedAt) - start
+	outcome.Latency = l.clock.FromTime(response.EndedAt) - startedAt
 	outcome.LoadReport = response.LoadReport()
 	l.post(attemptFinished{request: r, outcome: outcome, response: response})
 }
@@ -77,27 +77,27 @@
 	}
 }
 
-// finishAttempt notes the outcome of an attempt and passes it to the decision module. The first response that was
+// handleOutcome notes the outcome of an attempt and passes it to the decision module. The first response that was
 // served goes to the client at once, without a decision.
-func (l *eventLoop) finishAttempt(r *openRequest, outcome balancer.Outcome, body []byte) {
-	r.endAttempt(outcome.Attempt, l.settings.MayHaveRun(outcome.Result))
-	if outcome.Result == balancer.Served && !r.isOver() {
+func (l *eventLoop) handleOutcome(r *openRequest, outcome balancer.Outcome, body []byte) {
+	r.recordAttemptFinish(outcome.Attempt, l.settings.MayHaveRun(outcome.Result))
+	if outcome.Result == balancer.Served && !r.isFinished() {
 		l.answer(r, frontend.Response{Status: http.StatusOK, Body: body})
 	}
-	outcome.Done = r.isOver()
+	outcome.Done = r.isFinished()
 	l.requests.removeIfComplete(r)
 	l.addEvent(outcome)
 }
 
 // startHealthCheck checks an endpoint outside any request.
 func (l *eventLoop) startHealthCheck(ctx context.Context, endpointID string) {
-	start := l.clock.Now()
+	startedAt := l.clock.Now()
 	go func() { // ends with the health check, which has a timeout of its own
 		result, response := l.upstream.HealthCheck(ctx, endpointID)
 		l.post(moduleEvent{balancer.HealthCheckResult{
 			Endpoint:   endpointID,
 			Result:     result,
-			Latency:    l.clock.FromTime(response.EndedAt) - start,
+			Latency:    l.clock.FromTime(response.EndedAt) - startedAt,
 			LoadReport: response.LoadReport(),
 		}})
 	}()
--- a/internal/agent/deadlineguard.go
+++ b/internal/agent/deadlineguard.go
@@ -30,7 +30,7 @@
 	event.Timeout = l.moduleTimeout(now, r.inbound)
 	// An attempt that times out with the request must not do so before the module's deadline for that: the module
 	// would wait for a retry that can't come, until the deadline guard answers.
-	r.attemptsEnd = min(now+event.Timeout, r.inbound.Deadline-minAttemptMargin)
+	r.attemptsUntil = min(now+event.Timeout, r.inbound.Deadline-minAttemptMargin)
 	return event
 }
 
@@ -46,7 +46,7 @@
 // setDeadlineGuard sets or moves the deadline guard of a request: the timer that answers it if the decision module has
 // not done so in time.
 func (l *eventLoop) setDeadlineGuard(r *openRequest) {
-	if r.isOver() {
+	if r.isFinished() {
 		return
 	}
 	at := r.inbound.Deadline - guardMargin
@@ -54,7 +54,7 @@
 		at = min(at, l.shutdownDeadline)
 	}
 	l.removeDeadlineGuard(r)
-	r.deadlineGuard = &timer{at: at, request: r}
+	r.deadlineGuard = &timer{dueAt: at, request: r}
 	l.timers.add(r.deadlineGuard)
 }
 
@@ -66,21 +66,21 @@
 	}
 }
 
-// expire answers a request whose deadline guard has fired, cancels its attempts, and tells the decision module. The
+// handleDeadlineGuard answers a request whose deadline guard has fired, cancels its attempts, and tells the decision module. The
 // lack of an answer is expected in a shutdown, and for a client that gave attemptMargin or less; otherwise it is an
 // internal error. If it is expected, a request without an attempt (one that was never sent counts too) is rejected, so
 // that its client may come again. All others fail.
-func (l *eventLoop) expire(r *openRequest) {
-	if r.isOver() {
+func (l *eventLoop) handleDeadlineGuard(r *openRequest) {
+	if r.isFinished() {
 		return
 	}
 	expected := l.isShuttingDown() || r.inbound.Event.Timeout <= attemptMargin
 	if !expected {
 		l.log.Error(telemetry.MsgNoFinalAnswer, telemetry.Request(r.id()),
-			"attempts", r.attempts(), "in_flight", r.inFlight)
+			"attempts", r.attemptCount(), "in_flight", r.inFlight)
 	}
 	status := http.StatusBadGateway
-	if expected && r.attempts() == 0 {
+	if expected && r.attemptCount() == 0 {
 		status = http.StatusServiceUnavailable
 	}
 	l.answer(r, frontend.Response{Status: status})
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -15,15 +15,15 @@
 	"ashshunt/internal/upstream"
 )
 
-// disconnect is a way in which a client disconnects.
-type disconnect struct {
-	name   string
-	behind string // sent behind the request first
-	end    func(conn *net.TCPConn) error
+// disconnectMethod is a way in which a client disconnects.
+type disconnectMethod struct {
+	name      string
+	trailing  string // sent behind the request first
+	closeConn func(conn *net.TCPConn) error
 }
 
-// disconnects are all such ways. net/http sees no end behind bytes that follow the request.
-var disconnects = []disconnect{
+// disconnectMethods are all such ways. net/http sees no end behind bytes that follow the request.
+var disconnectMethods = []disconnectMethod{
 	{"close", "", (*net.TCPConn).Close},
 	{"reset", "", reset},
 	{"end of sending", "", (*net.TCPConn).CloseWrite},
@@ -41,13 +41,13 @@
 	return conn.Close()
 }
 
-// of disconnects a client.
-func (d disconnect) of(t *testing.T, conn net.Conn) {
+// disconnect disconnects a client.
+func (d disconnectMethod) disconnect(t *testing.T, conn net.Conn) {
 	t.Helper()
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
-		_, _ = io.WriteString(conn, d.behind) // a flood may never be taken as a whole
+		_, _ = io.WriteString(conn, d.trailing) // a flood may never be taken as a whole
 	}()
 	select {
 	case <-sent:
@@ -57,13 +57,13 @@
 	if !ok {
 		t.Fatalf("a client on a %T", conn)
 	}
-	if err := d.end(tcpConn); err != nil {
+	if err := d.closeConn(tcpConn); err != nil {
 		t.Log("disconnect:", err) // the agent may have been first
 	}
 }
 
-// expectNotSent waits for an outcome that says that nothing went out.
-func expectNotSent(t *testing.T, outcomes <-chan balancer.Outcome, server *testutil.Server) {
+// waitForNotSent waits for an outcome that says that nothing went out.
+func waitForNotSent(t *testing.T, outcomes <-chan balancer.Outcome, server *testutil.Server) {
 	t.Helper()
 	if outcome := testutil.Receive(t, outcomes); outcome.Result != balancer.NotSent {
 		t.Errorf("result %d of an attempt after the client had disconnected", outcome.Result)
@@ -92,8 +92,8 @@
 	}
 }
 
-// sendAtOnce is a script of the decision module that sends the test's request to s0 as it comes.
-func (r requestRecorder) sendAtOnce(_ time.Duration, event balancer.Event) []balancer.Action {
+// sendToS0 is a script of the decision module that sends the test's request to s0 as it comes.
+func (r requestRecorder) sendToS0(_ time.Duration, event balancer.Event) []balancer.Action {
 	r.record(event)
 	if request, ok := event.(balancer.Request); ok && request.ID == id {
 		return []balancer.Action{balancer.Send{Request: id, Endpoint: "s0"}}
@@ -108,9 +108,9 @@
 	}
 }
 
-// lateSender is an agent whose module learns of a disconnect and sends the request all the same, which the loop has to
+// sendAfterDisconnectAgent is an agent whose module learns of a disconnect and sends the request all the same, which the loop has to
 // hold back.
-type lateSender struct {
+type sendAfterDisconnectAgent struct {
 	*Agent
 	server    *testutil.Server
 	logged    *testutil.Log
@@ -119,9 +119,9 @@
 	outcomes  chan balancer.Outcome
 }
 
-func startLateSender(t *testing.T) *lateSender {
+func startSendAfterDisconnect(t *testing.T) *sendAfterDisconnectAgent {
 	t.Helper()
-	s := &lateSender{
+	s := &sendAfterDisconnectAgent{
 		server:    testutil.NewServer(t, testutil.Echo),
 		submitted: make(chan balancer.Request, 1),
 		abandoned: make(chan balancer.Abandoned, 1),
@@ -132,7 +132,7 @@
 }
 
 // step is the script of the module.
-func (s *lateSender) step(_ time.Duration, event balancer.Event) []balancer.Action {
+func (s *sendAfterDisconnectAgent) step(_ time.Duration, event balancer.Event) []balancer.Action {
 	switch event := event.(type) {
 	case balancer.Request:
 		if event.ID == id {
@@ -150,15 +150,15 @@
 }
 
 // submit connects a client and waits until the module knows its request.
-func (s *lateSender) submit(t *testing.T) net.Conn {
+func (s *sendAfterDisconnectAgent) submit(t *testing.T) net.Conn {
 	t.Helper()
 	client := testutil.Dial(t, s.Addr(), testutil.RawGet(id))
 	testutil.Receive(t, s.submitted)
 	return client
 }
 
-// awaitLateSend waits until the module has sent the request of a client that had disconnected.
-func (s *lateSender) awaitLateSend(t *testing.T) {
+// waitForLateSend waits until the module has sent the request of a client that had disconnected.
+func (s *sendAfterDisconnectAgent) waitForLateSend(t *testing.T) {
 	t.Helper()
 	testutil.WaitFor(t, "the late send", func() bool { return s.logged.Contains("sent late") })
 }
@@ -166,7 +166,7 @@
 // The module learns of a disconnect, and nothing goes out after it.
 func TestDisconnect(t *testing.T) {
 	t.Parallel()
-	s := startLateSender(t)
+	s := startSendAfterDisconnect(t)
 	client := s.submit(t)
 	if err := client.Close(); err != nil {
 		t.Fatal(err)
@@ -174,20 +174,20 @@
 	if event := testutil.Receive(t, s.abandoned); event.Request != id {
 		t.Errorf("abandoned: %q", event.Request)
 	}
-	s.awaitLateSend(t)
+	s.waitForLateSend(t)
 	expectNothingReceived(t, s.server)
 }
 
 // Where a request waits for a backoff or a timer, the module learns of the disconnect however it came, nothing goes out
 // for the request, and no response is made up.
 func TestDisconnectDuringBackoff(t *testing.T) {
-	for _, way := range disconnects {
+	for _, way := range disconnectMethods {
 		t.Run(way.name, func(t *testing.T) {
 			t.Parallel()
-			s := startLateSender(t)
+			s := startSendAfterDisconnect(t)
 			client := s.submit(t)
-			way.of(t, client)
-			s.awaitLateSend(t)
+			way.disconnect(t, client)
+			s.waitForLateSend(t)
 			select {
 			case outcome := <-s.outcomes:
 				if outcome.Result != balancer.NotSent {
@@ -204,8 +204,8 @@
 }
 
 // A request does not go out from a busy loop that has yet to learn of the disconnect.
-func TestDisconnectBehindABusyLoop(t *testing.T) {
-	for _, way := range disconnects {
+func TestDisconnectWhileLoopIsBusy(t *testing.T) {
+	for _, way := range disconnectMethods {
 		t.Run(way.name, func(t *testing.T) {
 			t.Parallel()
 			server := testutil.NewServer(t, testutil.Echo)
@@ -215,30 +215,30 @@
 					close(busy)
 					<-gate
 				}
-				return recorder.sendAtOnce(now, event)
+				return recorder.sendToS0(now, event)
 			}
 			a, _ := startScripted(t, newConfig(t, server), module)
 			client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 			testutil.Receive(t, busy)
-			way.of(t, client)
+			way.disconnect(t, client)
 			// The loop is held, and nothing else is in its table.
 			testutil.WaitFor(t, "the disconnect", a.loop.requests.find(id).upstream.ClientGone)
 			close(gate)
-			expectNotSent(t, recorder.outcomes, server)
+			waitForNotSent(t, recorder.outcomes, server)
 		})
 	}
 }
 
 // A request does not go out on a connection that came up after its client had disconnected.
-func TestDisconnectDuringADial(t *testing.T) {
-	for _, way := range disconnects {
+func TestDisconnectDuringDial(t *testing.T) {
+	for _, way := range disconnectMethods {
 		t.Run(way.name, func(t *testing.T) {
 			t.Parallel()
 			server := testutil.NewServer(t, testutil.Echo)
 			dialling, gate := make(chan struct{}, 10), make(chan struct{})
 			recorder := newRequestRecorder()
 			c := newConfig(t, server)
-			a, _ := startPrepared(t, c, func(a *Agent) {
+			a, _ := startAgentWith(t, c, func(a *Agent) {
 				options := upstreamOptions(c, a.loop.endpoints, a.log)
 				options.DialControl = func(_, _ string, _ syscall.RawConn) error {
 					dialling <- struct{}{}
@@ -246,11 +246,11 @@
 					return nil
 				}
 				a.loop.upstream = upstream.New(options)
-				a.loop.module = scriptedModule(recorder.sendAtOnce)
+				a.loop.module = scriptedModule(recorder.sendToS0)
 			})
 			client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 			testutil.Receive(t, dialling)
-			way.of(t, client)
+			way.disconnect(t, client)
 			testutil.Receive(t, recorder.abandoned)
 			close(gate)
 			if outcome := testutil.Receive(t, recorder.outcomes); outcome.Result != balancer.NotSent || !outcome.Done {
@@ -263,7 +263,7 @@
 
 // The request of a client that disconnected while its connection waited to be accepted is not forwarded.
 func TestDisconnectBeforeAccept(t *testing.T) {
-	for _, way := range disconnects {
+	for _, way := range disconnectMethods {
 		t.Run(way.name, func(t *testing.T) {
 			t.Parallel()
 			gate := make(chan struct{})
@@ -277,7 +277,7 @@
 			first := testutil.Dial(t, a.Addr(), testutil.RawGet(testutil.NthID(1)))
 			testutil.Receive(t, server.Received)
 			second := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
-			way.of(t, second) // which its system passes on at once, to a connection that the agent has not accepted yet
+			way.disconnect(t, second) // which its system passes on at once, to a connection that the agent has not accepted yet
 			close(gate)
 			if status := testutil.ReadStatus(t, first); status != http.StatusOK {
 				t.Errorf("first request: status %d", status)
@@ -296,8 +296,8 @@
 }
 
 // A request whose body is over the limit and stops is not forwarded, however its client disconnects.
-func TestDisconnectWithinTheBody(t *testing.T) {
-	for _, way := range disconnects {
+func TestDisconnectDuringOversizedBody(t *testing.T) {
+	for _, way := range disconnectMethods {
 		t.Run(way.name, func(t *testing.T) {
 			t.Parallel()
 			expectIncompleteNotForwarded(t, 3000000, way)
@@ -306,10 +306,10 @@
 }
 
 // A request whose body is within the limit and stops is not forwarded either: its body is read, but never whole.
-func TestDisconnectWhileTheBodyIsRead(t *testing.T) {
+func TestDisconnectDuringBody(t *testing.T) {
 	const bodyLength = 60000 // more than follows at the disconnect, but for the flood, which would complete the body
-	for _, way := range disconnects {
-		if len(way.behind) >= bodyLength {
+	for _, way := range disconnectMethods {
+		if len(way.trailing) >= bodyLength {
 			continue
 		}
 		t.Run(way.name, func(t *testing.T) {
@@ -321,12 +321,12 @@
 
 // expectIncompleteNotForwarded sends the head of a request with the beginning of its body, disconnects, and expects
 // that just the next client's request is forwarded.
-func expectIncompleteNotForwarded(t *testing.T, bodyLength int, way disconnect) {
+func expectIncompleteNotForwarded(t *testing.T, bodyLength int, way disconnectMethod) {
 	t.Helper()
 	server := testutil.NewServer(t, testutil.Echo)
 	a := startAgent(t, newConfig(t, server))
 	head := testutil.RawPost(id, fmt.Sprintf("Content-Length: %d\r\n", bodyLength))
-	way.of(t, testutil.Dial(t, a.Addr(), head+"half"))
+	way.disconnect(t, testutil.Dial(t, a.Addr(), head+"half"))
 	if status := requestStatus(t, a, "GET", "/look", testutil.NthID(1), "7000"); status != http.StatusOK {
 		t.Errorf("next request: status %d", status)
 	}
@@ -336,8 +336,8 @@
 }
 
 // An attempt in flight as its client disconnects is neither retried nor kept.
-func TestDisconnectWithAnAttemptInFlight(t *testing.T) {
-	for _, way := range disconnects {
+func TestDisconnectWithAttemptInFlight(t *testing.T) {
+	for _, way := range disconnectMethods {
 		t.Run(way.name, func(t *testing.T) {
 			t.Parallel()
 			gate := make(chan struct{})
@@ -347,12 +347,12 @@
 				return true
 			})
 			recorder := newRequestRecorder()
-			a, _ := startPrepared(t, newConfig(t, server), func(a *Agent) {
-				a.loop.module = observedModule{a.loop.module, recorder.record}
+			a, _ := startAgentWith(t, newConfig(t, server), func(a *Agent) {
+				a.loop.module = recordingModule{a.loop.module, recorder.record}
 			})
 			client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 			testutil.Receive(t, server.Received)
-			way.of(t, client)
+			way.disconnect(t, client)
 			testutil.Receive(t, recorder.abandoned)
 			close(gate)
 			outcome := testutil.Receive(t, recorder.outcomes)
@@ -369,15 +369,15 @@
 	}
 }
 
-// observedModule is a decision module whose events can be observed.
-type observedModule struct {
+// recordingModule is a decision module whose events can be observed.
+type recordingModule struct {
 	decisionModule
-	observe func(balancer.Event)
+	record func(balancer.Event)
 }
 
-func (m observedModule) Step(now time.Duration, events []balancer.Event) []balancer.Action {
+func (m recordingModule) Step(now time.Duration, events []balancer.Event) []balancer.Action {
 	for _, event := range events {
-		m.observe(event)
+		m.record(event)
 	}
 	return m.decisionModule.Step(now, events)
 }
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -61,8 +61,8 @@
 	return request
 }
 
-// expectWatch waits for a watch and checks its query.
-func expectWatch(t *testing.T, service *testutil.Discovery, want string) {
+// waitForWatch waits for a watch and checks its query.
+func waitForWatch(t *testing.T, service *testutil.Discovery, want string) {
 	t.Helper()
 	if query := testutil.Receive(t, service.Watches); query != want {
 		t.Errorf("watched with %q, want %q", query, want)
@@ -71,7 +71,7 @@
 
 // Where the settings say that changes are pushed, as in the simulator, the module asks for no watch, and nothing comes
 // over HTTP without one: the agent keeps one by itself.
-func TestKeptWatch(t *testing.T) {
+func TestWatchWithoutSubscribe(t *testing.T) {
 	service := testutil.NewDiscovery(t)
 	lists := make(chan balancer.EndpointList, 10)
 	a, _ := startScripted(t, newWatchConfig(t, service.Addr),
@@ -84,7 +84,7 @@
 	if list := testutil.Receive(t, lists); list.Kind != balancer.ListCached {
 		t.Errorf("event %+v", list)
 	}
-	expectWatch(t, service, "follow=1&since=1")
+	waitForWatch(t, service, "follow=1&since=1")
 	service.Lines <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DELETED") + `]}`
 	list := testutil.Receive(t, lists)
 	if list.Kind != balancer.ListDelta || list.Endpoints[0].State != balancer.Removed {
@@ -92,13 +92,13 @@
 	}
 	for range 3 {
 		service.EndWatch <- struct{}{}
-		expectWatch(t, service, "follow=1&since=2")
+		waitForWatch(t, service, "follow=1&since=2")
 	}
 	service.Lines <- "}" // malformed
-	expectWatch(t, service, "follow=1&since=2")
+	waitForWatch(t, service, "follow=1&since=2")
 	moved := testutil.NewDiscovery(t)
 	a.Reload(&config.Config{Discovery: moved.Addr})
-	expectWatch(t, moved, "follow=1")
+	waitForWatch(t, moved, "follow=1")
 	select {
 	case list := <-lists:
 		t.Errorf("the module gets %+v of a watch that it did not ask for", list)
@@ -107,7 +107,7 @@
 }
 
 // A watch that is reset, before its response or after a line, is begun again from the version that is held.
-func TestWatchIsReset(t *testing.T) {
+func TestWatchResumesAfterReset(t *testing.T) {
 	listener := newTCPListener(t)
 	a, _ := startScripted(t, newWatchConfig(t, listener.Addr().String()),
 		func(time.Duration, balancer.Event) []balancer.Action { return nil })
@@ -130,10 +130,10 @@
 
 // While the new address of discovery is down, the watch of the old one, still open, must not pass for the one that is
 // wanted: the new address is called again until it answers.
-func TestMoveWhileDiscoveryIsDown(t *testing.T) {
+func TestAddressChangeWhileDiscoveryIsDown(t *testing.T) {
 	old, listener := testutil.NewDiscovery(t), newTCPListener(t)
 	c := newWatchConfig(t, old.Addr)
-	a, logged := startPrepared(t, c, func(a *Agent) {
+	a, logged := startAgentWith(t, c, func(a *Agent) {
 		changeDiscovery(a, c, func(o *discovery.Options) { o.WatchSilence = testutil.Timeout }) // the old watch stays
 	})
 	testutil.WaitFor(t, "the old watch", func() bool { return logged.Contains("watch established") })
@@ -151,8 +151,8 @@
 	testutil.WaitFor(t, "the list of the new address", func() bool { return isServing(a, "s7") })
 }
 
-// failedCalls are what discovery may do to a call.
-var failedCalls = map[string]http.HandlerFunc{
+// callFailures are what discovery may do to a call.
+var callFailures = map[string]http.HandlerFunc{
 	"refused": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 	"hung":    func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 	"silent from its start": func(w http.ResponseWriter, r *http.Request) {
@@ -174,8 +174,8 @@
 // flush sends what was written. It fails if the agent was first to end the call.
 func flush(w http.ResponseWriter) { _ = http.NewResponseController(w).Flush() }
 
-// failFirst returns the address of a discovery that fails its first calls, and answers the next with the endpoint s7.
-func failFirst(t *testing.T, calls int32, fail http.HandlerFunc) string {
+// startFailingDiscovery returns the address of a discovery that fails its first calls, and answers the next with the endpoint s7.
+func startFailingDiscovery(t *testing.T, calls int32, fail http.HandlerFunc) string {
 	t.Helper()
 	var called atomic.Int32
 	listener := newTCPListener(t)
@@ -201,14 +201,14 @@
 // the next call comes within the wait that the bound allows, and its list counts. The waits are those of the real
 // module; the time that a silent call takes is its own bound's matter.
 func TestListArrivesAfterFailedCalls(t *testing.T) {
-	for name, fail := range failedCalls {
+	for name, fail := range callFailures {
 		for _, subscribe := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/subscribe %v", name, subscribe), func(t *testing.T) {
 				t.Parallel()
-				c := testutil.Config(t, failFirst(t, 3, fail), testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
+				c := testutil.Config(t, startFailingDiscovery(t, 3, fail), testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
 				c.Settings.Subscribe, c.Settings.Agents = subscribe, 350
 				c.Settings.PollWithin = time.Minute // the waits come from the bound
-				a, _ := startPrepared(t, c, func(a *Agent) {
+				a, _ := startAgentWith(t, c, func(a *Agent) {
 					changeDiscovery(a, c, func(o *discovery.Options) {
 						o.WatchSilence, o.CallTimeout = 50*time.Millisecond, 50*time.Millisecond
 					})
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -14,14 +14,14 @@
 // holdingServer keeps each request open until the test ends it.
 type holdingServer struct {
 	*testutil.Server
-	end chan bool // ends one request: by a response, or else by breaking its connection
+	finish chan bool // ends one request: by a response, or else by breaking its connection
 }
 
 func newHoldingServer(t *testing.T) *holdingServer {
 	t.Helper()
-	h := &holdingServer{end: make(chan bool)}
+	h := &holdingServer{finish: make(chan bool)}
 	h.Server = testutil.NewServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
-		return <-h.end && testutil.Echo(conn, r, body)
+		return <-h.finish && testutil.Echo(conn, r, body)
 	})
 	return h
 }
@@ -63,29 +63,29 @@
 	return server
 }
 
-// end ends one request of a server, by a response or by breaking its connection, and checks what its client gets.
-func (p *holdingPair) end(t *testing.T, server int, respond bool, want int) {
+// finish ends one request of a server, by a response or by breaking its connection, and checks what its client gets.
+func (p *holdingPair) finish(t *testing.T, server int, respond bool, want int) {
 	t.Helper()
-	p.servers[server].end <- respond
+	p.servers[server].finish <- respond
 	p.open[server]--
 	if status := testutil.Receive(t, p.statuses); status != want {
 		t.Fatalf("status %d, want %d", status, want)
 	}
 }
 
-// breakAll breaks the connections of all open requests.
-func (p *holdingPair) breakAll() {
+// resetAll breaks the connections of all open requests.
+func (p *holdingPair) resetAll() {
 	for _, server := range p.servers {
-		close(server.end)
+		close(server.finish)
 	}
 }
 
 // Connections that break one by one do not pass for a process that died: while older requests are open at an endpoint,
 // it stays in use.
-func TestBreaksUnderOpenRequests(t *testing.T) {
+func TestBrokenConnectionsWithOpenRequests(t *testing.T) {
 	t.Parallel()
 	p := newHoldingPair(t)
-	defer p.breakAll()
+	defer p.resetAll()
 	for range 7 {
 		p.send(t)
 	}
@@ -93,9 +93,9 @@
 	if p.open[1] > p.open[0] {
 		faulty = 1
 	}
-	p.end(t, faulty, true, http.StatusOK)
-	p.end(t, faulty, false, http.StatusBadGateway)
-	p.end(t, faulty, false, http.StatusBadGateway)
+	p.finish(t, faulty, true, http.StatusOK)
+	p.finish(t, faulty, false, http.StatusBadGateway)
+	p.finish(t, faulty, false, http.StatusBadGateway)
 	for range 3 {
 		if p.send(t) == faulty { // which has the least open
 			return
@@ -117,7 +117,7 @@
 	}
 	c.Settings.Classes[2].Priority, c.Settings.GoalOverall = 10, 1 // settle
 	a := startAgent(t, c)
-	defer close(server.end)
+	defer close(server.finish)
 	sent := 0
 	rejected := make(chan string, 20)
 	send := func(method, path string) {
@@ -142,8 +142,8 @@
 	}
 }
 
-// loseFirst returns a server that never answers its first requests, and echoes the others.
-func loseFirst(t *testing.T, requests int32) *testutil.Server {
+// newServerHangingFirst returns a server that never answers its first requests, and echoes the others.
+func newServerHangingFirst(t *testing.T, requests int32) *testutil.Server {
 	t.Helper()
 	var received atomic.Int32
 	return testutil.NewServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
@@ -156,10 +156,10 @@
 
 // Responses that never come must not pass for load on their endpoint: once they are overdue, and later ones have come,
 // it is as good as any other.
-func TestLostResponsesAreNoLoad(t *testing.T) {
+func TestLostResponsesDoNotCountAsLoad(t *testing.T) {
 	t.Parallel()
 	const lost = 2
-	first, second := loseFirst(t, lost), testutil.NewServer(t, testutil.Echo)
+	first, second := newServerHangingFirst(t, lost), testutil.NewServer(t, testutil.Echo)
 	service := testutil.NewDiscovery(t)
 	c := testutil.Config(t, service.Addr, testutil.EntryJSON("s0", first.Addr(), "SERVING"))
 	for i := range c.Settings.Classes {
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -35,23 +35,23 @@
 // startAgent runs an agent until the test ends.
 func startAgent(t *testing.T, c *config.Config) *Agent {
 	t.Helper()
-	a, _ := startPrepared(t, c, func(*Agent) {})
+	a, _ := startAgentWith(t, c, func(*Agent) {})
 	return a
 }
 
 // startScripted runs an agent whose decisions are scripted until the test ends.
 func startScripted(t *testing.T, c *config.Config, module scriptedModule) (*Agent, *testutil.Log) {
 	t.Helper()
-	return startPrepared(t, c, func(a *Agent) { a.loop.module = module })
+	return startAgentWith(t, c, func(a *Agent) { a.loop.module = module })
 }
 
-// startPrepared runs an agent that was changed first until the test ends.
-func startPrepared(t *testing.T, c *config.Config, prepare func(*Agent)) (*Agent, *testutil.Log) {
+// startAgentWith runs an agent that was changed first until the test ends.
+func startAgentWith(t *testing.T, c *config.Config, prepare func(*Agent)) (*Agent, *testutil.Log) {
 	t.Helper()
 	a := startStoppable(t, c, prepare)
 	t.Cleanup(func() {
 		a.stop()
-		if err := <-a.ended; err != nil {
+		if err := <-a.runResult; err != nil {
 			t.Error("Run:", err)
 		}
 	})
@@ -61,9 +61,9 @@
 // stoppableAgent is an agent that runs until stop is called.
 type stoppableAgent struct {
 	*Agent
-	logged *testutil.Log
-	stop   context.CancelFunc
-	ended  chan error // what Run returned
+	logged    *testutil.Log
+	stop      context.CancelFunc
+	runResult chan error // what Run returned
 }
 
 func startStoppable(t *testing.T, c *config.Config, prepare func(*Agent)) stoppableAgent {
@@ -76,10 +76,10 @@
 	prepare(a)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	ended := make(chan error, 1)
-	go func() { ended <- a.Run(ctx) }()
+	runResult := make(chan error, 1)
+	go func() { runResult <- a.Run(ctx) }()
 	testutil.Receive(t, a.loop.ready)
-	return stoppableAgent{Agent: a, logged: logged, stop: cancel, ended: ended}
+	return stoppableAgent{Agent: a, logged: logged, stop: cancel, runResult: runResult}
 }
 
 // newTestLoop returns an event loop that does not run.
@@ -98,7 +98,7 @@
 	request := frontend.NewRequest()
 	request.Event = balancer.Request{ID: id}
 	request.Arrived, request.Deadline = now, now+timeout
-	requestSubmitted{request}.apply(context.Background(), l)
+	requestSubmitted{request}.handle(context.Background(), l)
 	return request
 }
 
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// messageBuffer is how many messages may wait for the event loop. Beyond it, senders block until the loop has taken
+	// maxQueuedMessages is how many messages may wait for the event loop. Beyond it, senders block until the loop has taken
 	// one.
-	messageBuffer = 1024
+	maxQueuedMessages = 1024
 	// maxTick bounds the gap between two steps. Longer ones make sense in a simulation only, since requests wait for
 	// them.
 	maxTick = 10 * time.Millisecond
@@ -50,7 +50,7 @@
 
 	// Used by run's goroutine alone.
 	module           decisionModule
-	lastStep         time.Duration    // when the module was last stepped, on the agent's clock
+	lastStepAt       time.Duration    // when the module was last stepped, on the agent's clock
 	pending          []balancer.Event // for the next step
 	timers           timerQueue
 	requests         requestTable
@@ -70,18 +70,18 @@
 	}
 	endpoints := endpoint.NewTable()
 	l := &eventLoop{
-		clock:     agentClock,
-		settings:  c.Settings,
-		tick:      min(c.Settings.Tick, maxTick),
-		module:    module,
-		log:       log,
-		endpoints: endpoints,
-		upstream:  upstream.New(upstreamOptions(c, endpoints, log)),
-		messages:  make(chan message, messageBuffer),
-		done:      make(chan struct{}),
-		ready:     make(chan struct{}),
-		lastStep:  agentClock.Now() - maxTick, // the first step is due at once
-		requests:  newRequestTable(),
+		clock:      agentClock,
+		settings:   c.Settings,
+		tick:       min(c.Settings.Tick, maxTick),
+		module:     module,
+		log:        log,
+		endpoints:  endpoints,
+		upstream:   upstream.New(upstreamOptions(c, endpoints, log)),
+		messages:   make(chan message, maxQueuedMessages),
+		done:       make(chan struct{}),
+		ready:      make(chan struct{}),
+		lastStepAt: agentClock.Now() - maxTick, // the first step is due at once
+		requests:   newRequestTable(),
 	}
 	l.discovery = discovery.New(l.discoveryOptions(c))
 	l.pending = append(l.pending, l.discovery.CachedList())
@@ -125,48 +125,48 @@
 func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.done)
 	l.discovery.Start(ctx)
-	wake := time.NewTimer(0)
-	defer wake.Stop()
+	wakeTimer := time.NewTimer(0)
+	defer wakeTimer.Stop()
 	for {
 		now := l.clock.Now()
-		l.fireTimers(now)
-		if len(l.pending) > 0 && now >= l.nextStep() {
+		l.handleDueTimers(now)
+		if len(l.pending) > 0 && now >= l.nextStepAt() {
 			l.step(ctx, now)
 			continue
 		}
-		wake.Reset(max(0, l.nextWake(now)-now))
+		wakeTimer.Reset(max(0, l.nextWakeAt(now)-now))
 		select {
 		case <-ctx.Done():
 			return
-		case <-wake.C:
+		case <-wakeTimer.C:
 		case m := <-l.messages:
-			m.apply(ctx, l)
+			m.handle(ctx, l)
 		}
-		l.applyWaiting(ctx)
+		l.handleQueuedMessages(ctx)
 	}
 }
 
-// nextStep is when the module may be stepped again. Steps come a tick apart, and one step takes all events between.
-func (l *eventLoop) nextStep() time.Duration { return l.lastStep + l.tick }
+// nextStepAt is when the module may be stepped again. Steps come a tick apart, and one step takes all events between.
+func (l *eventLoop) nextStepAt() time.Duration { return l.lastStepAt + l.tick }
 
-// nextWake is when the loop has something to do, unless a message comes first.
-func (l *eventLoop) nextWake(now time.Duration) time.Duration {
+// nextWakeAt is when the loop has something to do, unless a message comes first.
+func (l *eventLoop) nextWakeAt(now time.Duration) time.Duration {
 	next := now + maxSleep
 	if len(l.pending) > 0 {
-		next = l.nextStep()
+		next = l.nextStepAt()
 	}
-	if at, ok := l.timers.next(); ok {
+	if at, ok := l.timers.nextAt(); ok {
 		next = min(next, at)
 	}
 	return next
 }
 
-// applyWaiting applies the messages that have come already, so that they share one step.
-func (l *eventLoop) applyWaiting(ctx context.Context) {
+// handleQueuedMessages applies the messages that have come already, so that they share one step.
+func (l *eventLoop) handleQueuedMessages(ctx context.Context) {
 	for {
 		select {
 		case m := <-l.messages:
-			m.apply(ctx, l)
+			m.handle(ctx, l)
 		default:
 			return
 		}
@@ -178,11 +178,11 @@
 	events := l.pending
 	l.pending = nil
 	l.prepareRequests(now, events)
-	l.lastStep = now
+	l.lastStepAt = now
 	for _, action := range l.stepModule(now, events) {
 		l.perform(ctx, now, action)
 	}
-	l.markReady()
+	l.closeReady()
 }
 
 // prepareRequests prepares the requests among the events of a step, in place.
@@ -194,8 +194,8 @@
 	}
 }
 
-// markReady closes ready, once.
-func (l *eventLoop) markReady() {
+// closeReady closes ready, once.
+func (l *eventLoop) closeReady() {
 	select {
 	case <-l.ready:
 	default:
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -10,7 +10,7 @@
 
 // message tells the event loop what happened on another goroutine. The loop applies it on its own.
 type message interface {
-	apply(ctx context.Context, l *eventLoop)
+	handle(ctx context.Context, l *eventLoop)
 }
 
 type (
@@ -32,19 +32,19 @@
 	discoveryAddressChanged struct{ addr string }
 )
 
-func (m requestSubmitted) apply(_ context.Context, l *eventLoop) { l.submit(m.request) }
+func (m requestSubmitted) handle(_ context.Context, l *eventLoop) { l.handleSubmitted(m.request) }
 
-func (m requestAbandoned) apply(_ context.Context, l *eventLoop) { l.abandon(m.request) }
+func (m requestAbandoned) handle(_ context.Context, l *eventLoop) { l.handleAbandoned(m.request) }
 
-func (m attemptFinished) apply(_ context.Context, l *eventLoop) {
-	l.finishAttempt(m.request, m.outcome, m.response.Body)
+func (m attemptFinished) handle(_ context.Context, l *eventLoop) {
+	l.handleOutcome(m.request, m.outcome, m.response.Body)
 }
 
-func (m moduleEvent) apply(_ context.Context, l *eventLoop) { l.addEvent(m.event) }
+func (m moduleEvent) handle(_ context.Context, l *eventLoop) { l.addEvent(m.event) }
 
-func (shutdownStarted) apply(_ context.Context, l *eventLoop) { l.startShutdown() }
+func (shutdownStarted) handle(_ context.Context, l *eventLoop) { l.handleShutdownStarted() }
 
-func (m discoveryAddressChanged) apply(ctx context.Context, l *eventLoop) {
+func (m discoveryAddressChanged) handle(ctx context.Context, l *eventLoop) {
 	l.discovery.SetAddress(ctx, m.addr)
 }
 
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -27,21 +27,21 @@
 // openRequest is a request that was submitted, with its attempts.
 type openRequest struct {
 	// Set once; the goroutines of attempts read upstream too.
-	inbound  *frontend.Request  // as the client sent it
-	upstream *upstream.Request  // as the attempts send it
-	markDone context.CancelFunc // ends upstream.Lifetime, which tells attempts that the request is over
+	inbound        *frontend.Request  // as the client sent it
+	upstream       *upstream.Request  // as the attempts send it
+	cancelLifetime context.CancelFunc // ends upstream.Lifetime, which tells attempts that the request is over
 
 	// Used by the event loop's goroutine alone.
-	phase          requestPhase
-	deadlineGuard  *timer               // nil once the request is over
-	attemptsEnd    time.Duration        // on the agent's clock: attempts end then; 0 until the module gets the request
-	attemptCancels []context.CancelFunc // by attempt number; nil once the attempt has ended
-	inFlight       int                  // attempts that have not ended
-	mayHaveRun     bool                 // by the outcomes of the attempts that have ended
+	phase              requestPhase
+	deadlineGuard      *timer               // nil once the request is over
+	attemptsUntil      time.Duration        // on the agent's clock: attempts end then; 0 until the module gets the request
+	attemptCancels     []context.CancelFunc // by attempt number; nil once the attempt has ended
+	inFlight           int                  // attempts that have not ended
+	finishedMayHaveRun bool                 // by the outcomes of the attempts that have ended
 }
 
 func newOpenRequest(inbound *frontend.Request) *openRequest {
-	done, markDone := context.WithCancel(context.Background())
+	lifetime, cancelLifetime := context.WithCancel(context.Background())
 	return &openRequest{
 		inbound: inbound,
 		upstream: &upstream.Request{
@@ -51,37 +51,37 @@
 			Host:           inbound.Host,
 			Target:         inbound.Target,
 			Body:           inbound.Body,
-			Lifetime:       done,
+			Lifetime:       lifetime,
 			ClientGone:     inbound.ClientGone,
 		},
-		markDone: markDone,
+		cancelLifetime: cancelLifetime,
 	}
 }
 
 func (r *openRequest) id() string { return r.inbound.Event.ID }
 
-// isOver reports whether the request was answered or abandoned.
-func (r *openRequest) isOver() bool { return r.phase != phaseOpen }
+// isFinished reports whether the request was answered or abandoned.
+func (r *openRequest) isFinished() bool { return r.phase != phaseOpen }
 
-// attempts is how many attempts the request has had, including those that were never sent.
-func (r *openRequest) attempts() int { return len(r.attemptCancels) }
+// attemptCount is how many attemptCount the request has had, including those that were never sent.
+func (r *openRequest) attemptCount() int { return len(r.attemptCancels) }
 
-// mayRun reports whether some attempt may have run, or may still.
-func (r *openRequest) mayRun() bool { return r.mayHaveRun || r.inFlight > 0 }
+// mayHaveRun reports whether some attempt may have run, or may still.
+func (r *openRequest) mayHaveRun() bool { return r.finishedMayHaveRun || r.inFlight > 0 }
 
-// beginAttempt notes an attempt and returns its number.
-func (r *openRequest) beginAttempt(cancel context.CancelFunc) (number int) {
+// recordAttemptStart notes an attempt and returns its number.
+func (r *openRequest) recordAttemptStart(cancel context.CancelFunc) (number int) {
 	r.attemptCancels = append(r.attemptCancels, cancel)
 	r.inFlight++
 	return len(r.attemptCancels) - 1
 }
 
-// endAttempt notes the end of an attempt.
-func (r *openRequest) endAttempt(number int, mayHaveRun bool) {
+// recordAttemptFinish notes the end of an attempt.
+func (r *openRequest) recordAttemptFinish(number int, mayHaveRun bool) {
 	r.cancelAttempt(number)
 	r.attemptCancels[number] = nil
 	r.inFlight--
-	r.mayHaveRun = r.mayHaveRun || mayHaveRun
+	r.finishedMayHaveRun = r.finishedMayHaveRun || mayHaveRun
 }
 
 // cancelAttempt cancels an attempt if it is in flight. It ignores a number that no attempt has, which can only come
@@ -104,8 +104,8 @@
 
 // requestTable holds each request from its submission until it is over and no attempt for it is in flight.
 type requestTable struct {
-	byID map[string]*openRequest
-	open int // the number of requests in phaseOpen
+	byID      map[string]*openRequest
+	openCount int // the number of requests in phaseOpen
 }
 
 func newRequestTable() requestTable { return requestTable{byID: map[string]*openRequest{}} }
@@ -115,37 +115,37 @@
 
 // findOpen returns the request with an ID if it is in phaseOpen; nil otherwise.
 func (t *requestTable) findOpen(id string) *openRequest {
-	if r := t.byID[id]; r != nil && !r.isOver() {
+	if r := t.byID[id]; r != nil && !r.isFinished() {
 		return r
 	}
 	return nil
 }
 
-// submit adds a request, in phaseOpen. No request in the table has its ID.
-func (t *requestTable) submit(r *openRequest) {
+// add adds a request, in phaseOpen. No request in the table has its ID.
+func (t *requestTable) add(r *openRequest) {
 	t.byID[r.id()] = r
-	t.open++
+	t.openCount++
 }
 
 // answer moves a request to phaseAnswered and responds to its client.
 func (t *requestTable) answer(r *openRequest, response frontend.Response) {
 	r.inbound.Respond(response)
-	t.end(r, phaseAnswered)
+	t.finish(r, phaseAnswered)
 }
 
 // abandon moves a request to phaseAbandoned.
-func (t *requestTable) abandon(r *openRequest) { t.end(r, phaseAbandoned) }
+func (t *requestTable) abandon(r *openRequest) { t.finish(r, phaseAbandoned) }
 
-func (t *requestTable) end(r *openRequest, phase requestPhase) {
+func (t *requestTable) finish(r *openRequest, phase requestPhase) {
 	r.phase = phase
-	r.markDone()
-	t.open--
+	r.cancelLifetime()
+	t.openCount--
 	t.removeIfComplete(r)
 }
 
 // removeIfComplete moves a request to phaseRemoved if it is over and has no attempt in flight.
 func (t *requestTable) removeIfComplete(r *openRequest) {
-	if !r.isOver() || r.inFlight > 0 || r.phase == phaseRemoved {
+	if !r.isFinished() || r.inFlight > 0 || r.phase == phaseRemoved {
 		return
 	}
 	r.phase = phaseRemoved
--- a/internal/agent/openrequest_test.go
+++ b/internal/agent/openrequest_test.go
@@ -8,18 +8,18 @@
 	"ashshunt/internal/frontend"
 )
 
-// submitTo adds a request with one attempt in flight to a table.
-func submitTo(table *requestTable) *openRequest {
+// addWithAttempt adds a request with one attempt in flight to a table.
+func addWithAttempt(table *requestTable) *openRequest {
 	inbound := frontend.NewRequest()
 	inbound.Event = balancer.Request{ID: id}
 	r := newOpenRequest(inbound)
-	table.submit(r)
-	r.beginAttempt(func() {})
+	table.add(r)
+	r.recordAttemptStart(func() {})
 	return r
 }
 
 // A request stays in the table until it is over and its last attempt has ended.
-func TestRequestLife(t *testing.T) {
+func TestRequestPhases(t *testing.T) {
 	answer := func(table *requestTable, r *openRequest) {
 		table.answer(r, frontend.Response{Status: http.StatusOK})
 	}
@@ -32,18 +32,18 @@
 		{"abandoned", (*requestTable).abandon, phaseAbandoned},
 	} {
 		table := newRequestTable()
-		r := submitTo(&table)
+		r := addWithAttempt(&table)
 		if r.phase != phaseOpen || table.findOpen(id) != r {
 			t.Errorf("%s: open: phase %d", test.name, r.phase)
 		}
 		test.end(&table, r)
-		if r.phase != test.want || table.find(id) != r || table.findOpen(id) != nil || table.open != 0 {
+		if r.phase != test.want || table.find(id) != r || table.findOpen(id) != nil || table.openCount != 0 {
 			t.Errorf("%s, with an attempt in flight: phase %d", test.name, r.phase)
 		}
 		if r.upstream.Lifetime.Err() == nil {
 			t.Errorf("%s: its attempt is not told", test.name)
 		}
-		r.endAttempt(0, false)
+		r.recordAttemptFinish(0, false)
 		table.removeIfComplete(r)
 		if r.phase != phaseRemoved || table.find(id) != nil {
 			t.Errorf("%s, its attempt has ended: phase %d", test.name, r.phase)
@@ -52,16 +52,16 @@
 }
 
 // An attempt may run while it is in flight, and one that may have run counts for good.
-func TestMayRun(t *testing.T) {
+func TestMayHaveRun(t *testing.T) {
 	for _, mayHaveRun := range []bool{false, true} {
 		table := newRequestTable()
-		r := submitTo(&table)
-		if !r.mayRun() {
+		r := addWithAttempt(&table)
+		if !r.mayHaveRun() {
 			t.Error("an attempt in flight can't run")
 		}
-		r.endAttempt(0, mayHaveRun)
-		if r.mayRun() != mayHaveRun {
-			t.Errorf("may run %v after an attempt that may have run: %v", r.mayRun(), mayHaveRun)
+		r.recordAttemptFinish(0, mayHaveRun)
+		if r.mayHaveRun() != mayHaveRun {
+			t.Errorf("may run %v after an attempt that may have run: %v", r.mayHaveRun(), mayHaveRun)
 		}
 	}
 }
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -8,31 +8,31 @@
 	"ashshunt/internal/telemetry"
 )
 
-// submit opens a client's request, or rejects it at once. A request that is rejected here is never in the table, so
+// handleSubmitted opens a client's request, or rejects it at once. A request that is rejected here is never in the table, so
 // that its client's disconnect is not treated as that of the open request with the same ID.
-func (l *eventLoop) submit(inbound *frontend.Request) {
+func (l *eventLoop) handleSubmitted(inbound *frontend.Request) {
 	if l.requests.find(inbound.Event.ID) != nil {
 		inbound.Respond(frontend.Response{Status: http.StatusBadRequest, Body: []byte("this id is open already\n")})
 		return
 	}
-	if l.hasTooManyRequests() || l.isPastShutdownDeadline() {
+	if l.isAtRequestLimit() || l.isPastShutdownDeadline() {
 		inbound.Respond(frontend.Response{Status: http.StatusServiceUnavailable})
 		return
 	}
 	r := newOpenRequest(inbound)
-	l.requests.submit(r)
+	l.requests.add(r)
 	l.setDeadlineGuard(r)
 	l.addEvent(inbound.Event)
 }
 
-// hasTooManyRequests reports whether the settings allow no further request. The limit that the descriptors set binds
+// isAtRequestLimit reports whether the settings allow no further request. The limit that the descriptors set binds
 // the decision module alone (see newEventLoop).
-func (l *eventLoop) hasTooManyRequests() bool {
-	return l.settings.MaxOpen > 0 && l.requests.open >= l.settings.MaxOpen
+func (l *eventLoop) isAtRequestLimit() bool {
+	return l.settings.MaxOpen > 0 && l.requests.openCount >= l.settings.MaxOpen
 }
 
-// abandon ends a request whose client has disconnected, unless it was rejected or is over already.
-func (l *eventLoop) abandon(inbound *frontend.Request) {
+// handleAbandoned ends a request whose client has disconnected, unless it was rejected or is over already.
+func (l *eventLoop) handleAbandoned(inbound *frontend.Request) {
 	r := l.requests.findOpen(inbound.Event.ID)
 	if r == nil || r.inbound != inbound {
 		return
@@ -55,7 +55,7 @@
 	if r == nil {
 		return
 	}
-	if r.mayRun() && !isRepeatableAnywhere(l.settings.Classes[r.inbound.Event.Class]) {
+	if r.mayHaveRun() && !isRepeatableAnywhere(l.settings.Classes[r.inbound.Event.Class]) {
 		l.log.Error(telemetry.MsgUnsafeRejection, telemetry.Request(action.Request))
 		l.answer(r, frontend.Response{Status: http.StatusBadGateway})
 		return
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -12,7 +12,7 @@
 )
 
 // Two open requests with one id would share one answer.
-func TestIDOfAnOpenRequest(t *testing.T) {
+func TestDuplicateOpenRequestID(t *testing.T) {
 	t.Parallel()
 	server := testutil.NewServer(t, testutil.Hang)
 	a := startAgent(t, newConfig(t, server))
@@ -29,14 +29,14 @@
 
 // A request that may have run and must not run twice is not rejected, which would invite a repeat, and its answer
 // comes within the client's time.
-func TestSilentEndpointFailsTheRequest(t *testing.T) {
+func TestUnresponsiveEndpointFailsRequest(t *testing.T) {
 	t.Parallel()
 	server := testutil.NewServer(t, testutil.Hang)
 	a := startAgent(t, newConfig(t, server))
-	begun := time.Now()
+	startedAt := time.Now()
 	status := requestStatus(t, a, "POST", "/settle", id, "1500")
-	if took := time.Since(begun); status != http.StatusBadGateway || took < time.Second {
-		t.Errorf("status %d after %v", status, took)
+	if elapsed := time.Since(startedAt); status != http.StatusBadGateway || elapsed < time.Second {
+		t.Errorf("status %d after %v", status, elapsed)
 	}
 	if len(server.Received) != 1 {
 		t.Errorf("%d attempts of a request that may have run", len(server.Received))
@@ -44,7 +44,7 @@
 }
 
 // A failed connect has no effect: a request that must not run twice is retried elsewhere.
-func TestUnsafeRequestIsRetriedAfterAFailedConnect(t *testing.T) {
+func TestNonIdempotentRequestIsRetriedAfterConnectFailure(t *testing.T) {
 	t.Parallel()
 	dead, server := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
 	if err := dead.Close(); err != nil {
@@ -122,17 +122,17 @@
 		if len(rejected.Response()) != 1 {
 			t.Error("not rejected at once")
 		}
-		requestAbandoned{rejected}.apply(context.Background(), l)
+		requestAbandoned{rejected}.handle(context.Background(), l)
 	}
-	if first.isOver() || l.requests.open != 1 || len(l.requests.byID) != 1 || len(l.pending) != events {
+	if first.isFinished() || l.requests.openCount != 1 || len(l.requests.byID) != 1 || len(l.pending) != events {
 		t.Errorf("open request: phase %d, %d open, %d in the table, %d events more",
-			first.phase, l.requests.open, len(l.requests.byID), len(l.pending)-events)
+			first.phase, l.requests.openCount, len(l.requests.byID), len(l.pending)-events)
 	}
-	requestAbandoned{client}.apply(context.Background(), l)
-	if !first.isOver() || l.requests.open != 0 || len(l.requests.byID) != 0 || l.timers.len() != 0 ||
+	requestAbandoned{client}.handle(context.Background(), l)
+	if !first.isFinished() || l.requests.openCount != 0 || len(l.requests.byID) != 0 || l.timers.len() != 0 ||
 		len(l.pending) != events+1 {
 		t.Errorf("after its own disconnect: phase %d, %d open, %d in the table, %d timers",
-			first.phase, l.requests.open, len(l.requests.byID), l.timers.len())
+			first.phase, l.requests.openCount, len(l.requests.byID), l.timers.len())
 	}
 }
 
@@ -155,7 +155,7 @@
 }
 
 // A late step must not make each client look like one that retries.
-func TestLateStepKeepsTheTimeout(t *testing.T) {
+func TestLateStepDoesNotReduceTimeout(t *testing.T) {
 	_, _, timeout := stepLate(t, 80*time.Millisecond)
 	if want := 6*time.Second - attemptMargin - time.Millisecond; timeout != want {
 		t.Errorf("the module was given a timeout of %v, want %v", timeout, want)
@@ -164,21 +164,21 @@
 
 // An attempt must not time out with its request before the module's deadline for the request: the module would wait
 // for a retry that has no time, until the deadline guard answers.
-func TestAttemptsEndAtTheDeadline(t *testing.T) {
+func TestAttemptsEndAtModuleDeadline(t *testing.T) {
 	for _, delay := range []time.Duration{0, time.Millisecond, 80 * time.Millisecond} {
 		r, now, timeout := stepLate(t, delay)
-		if delay <= time.Millisecond && r.attemptsEnd != now+timeout {
+		if delay <= time.Millisecond && r.attemptsUntil != now+timeout {
 			t.Errorf("a step %v late: attempts end %v before the deadline that the module knows", delay,
-				now+timeout-r.attemptsEnd)
+				now+timeout-r.attemptsUntil)
 		}
-		if r.attemptsEnd >= r.inbound.Deadline-guardMargin {
+		if r.attemptsUntil >= r.inbound.Deadline-guardMargin {
 			t.Errorf("a step %v late: attempts end after the deadline guard", delay)
 		}
 	}
 }
 
 // A request that was never sent anywhere is rejected, so that its client may come again, however little time it has.
-func TestRequestsWithLittleTime(t *testing.T) {
+func TestRequestsWithShortTimeout(t *testing.T) {
 	t.Parallel()
 	a := startAgent(t, newConfig(t, testutil.NewServer(t, testutil.Hang)))
 	for _, timeout := range []string{"1", "3", "5", "10", "20"} {
@@ -189,10 +189,10 @@
 }
 
 // A request that comes once all have to be answered is rejected at once, and the decision module hears nothing of it.
-func TestRequestAfterTheTimeOfAShutdown(t *testing.T) {
+func TestRequestAfterShutdownDeadline(t *testing.T) {
 	t.Parallel()
 	l := newTestLoop(t)
-	l.startShutdown()
+	l.handleShutdownStarted()
 	l.shutdownDeadline = l.clock.Now()
 	events := len(l.pending)
 	request := submit(l, id, time.Second)
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxShutdownWait bounds how long a shutdown waits for the longest deadline of a class.
-	maxShutdownWait = 3 * time.Second
+	// maxClassDeadline bounds how long a shutdown waits for the longest deadline of a class.
+	maxClassDeadline = 3 * time.Second
 	// killDelay is how long after that wait the process may be killed.
 	killDelay = 700 * time.Millisecond
 	// shutdownMargin is how long before the kill all requests are answered.
@@ -17,15 +17,15 @@
 
 // shutdownTimeout is how long after the signal to stop all open requests are answered.
 func shutdownTimeout(settings balancer.Settings) time.Duration {
-	longest := time.Duration(0)
+	longestDeadline := time.Duration(0)
 	for _, class := range settings.Classes {
-		longest = max(longest, class.Deadline)
+		longestDeadline = max(longestDeadline, class.Deadline)
 	}
-	return min(longest, maxShutdownWait) + killDelay - shutdownMargin
+	return min(longestDeadline, maxClassDeadline) + killDelay - shutdownMargin
 }
 
-// startShutdown has every open request answered within the shutdown's time.
-func (l *eventLoop) startShutdown() {
+// handleShutdownStarted has every open request answered within the shutdown's time.
+func (l *eventLoop) handleShutdownStarted() {
 	l.shutdownDeadline = l.clock.Now() + shutdownTimeout(l.settings)
 	for _, r := range l.requests.byID {
 		l.setDeadlineGuard(r)
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -15,33 +15,33 @@
 	"ashshunt/internal/testutil"
 )
 
-const shutdownLine = "shutting down" // in the log
+const shutdownMessage = "shutting down" // in the log
 
-// startAndStop runs an agent and asks it to shut down while a request is in flight. The request's status comes out of
+// stopWithRequestInFlight runs an agent and asks it to shut down while a request is in flight. The request's status comes out of
 // the channel.
-func startAndStop(t *testing.T, server *testutil.Server, method, path, timeoutMs string) (stoppableAgent, chan int) {
+func stopWithRequestInFlight(t *testing.T, server *testutil.Server, method, path, timeoutMs string) (stoppableAgent, chan int) {
 	t.Helper()
 	a := startStoppable(t, newConfig(t, server), func(a *Agent) {
-		a.acceptPeriod = 3 * time.Second // a slow machine still connects meanwhile
+		a.acceptDuration = 3 * time.Second // a slow machine still connects meanwhile
 	})
 	first := make(chan int, 1)
 	go func() { first <- requestStatus(t, a.Agent, method, path, id, timeoutMs) }()
 	testutil.Receive(t, server.Received)
 	a.stop()
-	testutil.WaitFor(t, "the shutdown", func() bool { return a.logged.Contains(shutdownLine) })
+	testutil.WaitFor(t, "the shutdown", func() bool { return a.logged.Contains(shutdownMessage) })
 	return a, first
 }
 
-// expectEnd waits for the end of Run, which must be without an error.
-func (a stoppableAgent) expectEnd(t *testing.T) {
+// waitForCleanExit waits for the end of Run, which must be without an error.
+func (a stoppableAgent) waitForCleanExit(t *testing.T) {
 	t.Helper()
-	if err := testutil.Receive(t, a.ended); err != nil {
+	if err := testutil.Receive(t, a.runResult); err != nil {
 		t.Error(err)
 	}
 }
 
-// expectLastResponse reads a response that has to be 200 and the last one on its connection.
-func expectLastResponse(t *testing.T, in io.Reader, what string) {
+// waitForLastResponse reads a response that has to be 200 and the last one on its connection.
+func waitForLastResponse(t *testing.T, in io.Reader, what string) {
 	t.Helper()
 	response := testutil.ReadResponse(t, bufio.NewReader(in))
 	if response.StatusCode != http.StatusOK || !response.Close {
@@ -60,7 +60,7 @@
 		}
 		return testutil.Echo(conn, r, body)
 	})
-	a, first := startAndStop(t, server, "GET", "/look/slow", "9000")
+	a, first := stopWithRequestInFlight(t, server, "GET", "/look/slow", "9000")
 	response, _ := testutil.Do(t, a.Addr(), "GET", "/look", "", "X-Call-Id", otherID, "X-Budget-Ms", "9000")
 	if response.StatusCode != http.StatusOK || !response.Close {
 		t.Errorf("during the shutdown: status %d, close %v", response.StatusCode, response.Close)
@@ -69,7 +69,7 @@
 	if status := testutil.Receive(t, first); status != http.StatusOK {
 		t.Errorf("request in flight: status %d", status)
 	}
-	a.expectEnd(t)
+	a.waitForCleanExit(t)
 	if conn, err := net.Dial("tcp", a.Addr().String()); err == nil {
 		_ = conn.Close()
 		t.Error("still listening")
@@ -79,16 +79,16 @@
 // Requests that would outlast the shutdown are failed before the process may be killed.
 func TestShutdownFailsLongRequests(t *testing.T) {
 	t.Parallel()
-	a, first := startAndStop(t, testutil.NewServer(t, testutil.Hang), "POST", "/settle", "600000")
+	a, first := stopWithRequestInFlight(t, testutil.NewServer(t, testutil.Hang), "POST", "/settle", "600000")
 	if status := testutil.Receive(t, first); status != http.StatusBadGateway {
 		t.Errorf("status %d, want 502", status)
 	}
-	a.expectEnd(t)
+	a.waitForCleanExit(t)
 }
 
 // Clients must not go on sending on connections that a shutdown leaves open, up to the kill: idle ones are closed while
 // new ones are still accepted, and one in use with its response, whenever its request came.
-func TestShutdownClosesKeptConnections(t *testing.T) {
+func TestShutdownClosesPersistentConnections(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
 	server := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
@@ -97,7 +97,7 @@
 		}
 		return testutil.Echo(conn, r, body)
 	})
-	a := startStoppable(t, newConfig(t, server), func(a *Agent) { a.acceptPeriod = 3 * time.Second })
+	a := startStoppable(t, newConfig(t, server), func(a *Agent) { a.acceptDuration = 3 * time.Second })
 	kept := bufio.NewReader(testutil.Dial(t, a.Addr(), testutil.RawGet(otherID)))
 	if response := testutil.ReadResponse(t, kept); response.StatusCode != http.StatusOK || response.Close {
 		t.Fatalf("before the shutdown: status %d, close %v", response.StatusCode, response.Close)
@@ -115,12 +115,12 @@
 	if _, err := kept.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("a kept connection: %v, want its end", err)
 	}
-	testutil.WaitFor(t, "the shutdown", func() bool { return a.logged.Contains(shutdownLine) })
+	testutil.WaitFor(t, "the shutdown", func() bool { return a.logged.Contains(shutdownMessage) })
 	close(gate)
-	expectLastResponse(t, busy, "in flight as the shutdown began")
+	waitForLastResponse(t, busy, "in flight as the shutdown began")
 	testutil.Write(t, unused, testutil.RawGet(thirdID)) // connected before the shutdown, and still on its way
-	expectLastResponse(t, unused, "on a connection that had had no request")
-	a.expectEnd(t)
+	waitForLastResponse(t, unused, "on a connection that had had no request")
+	a.waitForCleanExit(t)
 }
 
 // A request that waits for its backoff as the shutdown begins is not lost.
@@ -157,17 +157,17 @@
 		return nil
 	}
 	a := startStoppable(t, newConfig(t, server), func(a *Agent) { a.loop.module = scriptedModule(module) })
-	stopped = func() bool { return a.logged.Contains(shutdownLine) }
+	stopped = func() bool { return a.logged.Contains(shutdownMessage) }
 	client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 	testutil.Receive(t, failed)
 	a.stop()
-	expectLastResponse(t, client, "during backoff as the shutdown began")
-	a.expectEnd(t)
+	waitForLastResponse(t, client, "during backoff as the shutdown began")
+	a.waitForCleanExit(t)
 }
 
 // The process may be killed after the longest deadline, 3 s at the most, and 0.7 s more: the last responses are out by
 // then also where deadlines are short.
-func TestShutdownEndsBeforeTheKill(t *testing.T) {
+func TestShutdownEndsBeforeKill(t *testing.T) {
 	for _, test := range []struct{ deadline, kill time.Duration }{
 		{300 * time.Millisecond, time.Second},
 		{1200 * time.Millisecond, 1900 * time.Millisecond},
@@ -175,7 +175,7 @@
 	} {
 		classes := []balancer.Class{{Deadline: 100 * time.Millisecond}, {Deadline: test.deadline}}
 		timeout := shutdownTimeout(balancer.Settings{Classes: classes})
-		if end := timeout + finalWriteTime; end >= test.kill {
+		if end := timeout + finalWriteTimeout; end >= test.kill {
 			t.Errorf("deadline %v: ends after %v, may be killed after %v", test.deadline, end, test.kill)
 		}
 		if timeout < min(test.deadline, 3*time.Second) {
@@ -213,19 +213,19 @@
 			t.Errorf("%s: status %d, close %v", name, response.StatusCode, response.Close)
 		}
 	}
-	a.expectEnd(t)
+	a.waitForCleanExit(t)
 }
 
-// closeFails is a listener whose close reports an error, though it takes effect.
-type closeFails struct{ net.Listener }
+// failingCloseListener is a listener whose close reports an error, though it takes effect.
+type failingCloseListener struct{ net.Listener }
 
-func (l closeFails) Close() error {
+func (l failingCloseListener) Close() error {
 	_ = l.Listener.Close()
 	return syscall.EIO
 }
 
 // A close that fails must not end a shutdown under the requests in flight.
-func TestShutdownWithAFailingClose(t *testing.T) {
+func TestShutdownWithFailingClose(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
 	server := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
@@ -239,8 +239,8 @@
 			t.Fatal(err)
 		}
 		_ = a.frontend.Close() // it has served nothing
-		a.frontend = frontend.NewServer(closeFails{listener}, config, a.loop.clock, a.loop, a.log)
-		a.acceptPeriod = 10 * time.Millisecond
+		a.frontend = frontend.NewServer(failingCloseListener{listener}, config, a.loop.clock, a.loop, a.log)
+		a.acceptDuration = 10 * time.Millisecond
 	})
 	client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 	testutil.Receive(t, server.Received)
@@ -253,6 +253,6 @@
 		return err != nil
 	})
 	close(gate)
-	expectLastResponse(t, client, "in flight as a close failed")
-	a.expectEnd(t)
+	waitForLastResponse(t, client, "in flight as a close failed")
+	a.waitForCleanExit(t)
 }
--- a/internal/agent/timers.go
+++ b/internal/agent/timers.go
@@ -12,7 +12,7 @@
 
 // timer is a timer of the decision module, or the deadline guard of a request.
 type timer struct {
-	at      time.Duration // on the agent's clock
+	dueAt   time.Duration // on the agent's clock
 	token   int64         // the module's; unused in a deadline guard
 	request *openRequest  // of a deadline guard; nil in a timer of the module
 
@@ -20,11 +20,11 @@
 	index    int // in the heap, or notQueued
 }
 
-// fireTimers handles the timers that are due.
-func (l *eventLoop) fireTimers(now time.Duration) {
+// handleDueTimers handles the timers that are due.
+func (l *eventLoop) handleDueTimers(now time.Duration) {
 	for t := l.timers.popDue(now); t != nil; t = l.timers.popDue(now) {
 		if t.request != nil {
-			l.expire(t.request)
+			l.handleDeadlineGuard(t.request)
 		} else {
 			l.addEvent(balancer.TimerFired{Token: t.token})
 		}
@@ -34,13 +34,13 @@
 // timerQueue holds timers in the order in which they are due; of those due at the same time, the one added first
 // comes first.
 type timerQueue struct {
-	heap     timerHeap
-	sequence int // that the last timer added has got
+	heap         timerHeap
+	lastSequence int // that the last timer added has got
 }
 
 func (q *timerQueue) add(t *timer) {
-	q.sequence++
-	t.sequence = q.sequence
+	q.lastSequence++
+	t.sequence = q.lastSequence
 	heap.Push(&q.heap, t)
 }
 
@@ -51,17 +51,17 @@
 	}
 }
 
-// next is when the first timer is due, if there is one.
-func (q *timerQueue) next() (at time.Duration, ok bool) {
+// nextAt is when the first timer is due, if there is one.
+func (q *timerQueue) nextAt() (at time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
-	return q.heap[0].at, true
+	return q.heap[0].dueAt, true
 }
 
 // popDue removes and returns the first timer if it is due; nil otherwise.
 func (q *timerQueue) popDue(now time.Duration) *timer {
-	if at, ok := q.next(); !ok || at > now {
+	if at, ok := q.nextAt(); !ok || at > now {
 		return nil
 	}
 	first := q.heap[0]
@@ -75,8 +75,8 @@
 func (h timerHeap) Len() int { return len(h) }
 
 func (h timerHeap) Less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
+	if h[i].dueAt != h[j].dueAt {
+		return h[i].dueAt < h[j].dueAt
 	}
 	return h[i].sequence < h[j].sequence
 }
--- a/internal/agent/timers_test.go
+++ b/internal/agent/timers_test.go
@@ -12,10 +12,10 @@
 	timers := map[string]*timer{}
 	for i, at := range []time.Duration{3, 1, 2, 1, 2} {
 		name := string(rune('a' + i))
-		timers[name] = &timer{at: at, token: int64(i)}
+		timers[name] = &timer{dueAt: at, token: int64(i)}
 		queue.add(timers[name])
 	}
-	if at, ok := queue.next(); !ok || at != 1 {
+	if at, ok := queue.nextAt(); !ok || at != 1 {
 		t.Errorf("next: %v, %v", at, ok)
 	}
 	queue.remove(timers["c"])
@@ -34,7 +34,7 @@
 	if due := queue.popDue(3); due != timers["a"] {
 		t.Errorf("due: %+v, want timer a", due)
 	}
-	if _, ok := queue.next(); ok {
+	if _, ok := queue.nextAt(); ok {
 		t.Error("a next timer in an empty queue")
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -27,7 +27,7 @@
 	for ms, want := range map[float64]time.Duration{
 		0: 0, 1.5: 1500 * time.Microsecond, 250.1: 250100 * time.Microsecond, -1: -time.Millisecond,
 	} {
-		if got := clock.Milliseconds(ms); got != want {
+		if got := clock.FromMilliseconds(ms); got != want {
 			t.Errorf("%v ms became %v, want %v", ms, got, want)
 		}
 	}
--- a/internal/config/mapping.go
+++ b/internal/config/mapping.go
@@ -176,7 +176,9 @@
 
 const microsecondsPerMillisecond = 1000
 
-func milliseconds(value float64) time.Duration { return min(clock.Milliseconds(value), maxDuration) }
+func milliseconds(value float64) time.Duration {
+	return min(clock.FromMilliseconds(value), maxDuration)
+}
 
 func microseconds(value float64) time.Duration {
 	return milliseconds(value / microsecondsPerMillisecond)
--- a/internal/endpoint/entry.go
+++ b/internal/endpoint/entry.go
@@ -48,7 +48,9 @@
 func (e Entry) Serving() bool { return e.State == StateServing }
 
 // StartedAtUnix is when the endpoint last started, as the time since the Unix epoch; 0: long ago.
-func (e Entry) StartedAtUnix() time.Duration { return max(0, clock.Milliseconds(e.StartedAtUnixMs)) }
+func (e Entry) StartedAtUnix() time.Duration {
+	return max(0, clock.FromMilliseconds(e.StartedAtUnixMs))
+}
 
 // SameProcess reports whether two entries of an endpoint describe one process: the same start at the same address.
 func (e Entry) SameProcess(other Entry) bool {
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -88,7 +88,7 @@
 		ErrorsPerSec: value(ErrorsPerSecond),
 	}
 	if ms, ok := values[ServiceMs]; ok {
-		report.Service = clock.Milliseconds(ms)
+		report.Service = clock.FromMilliseconds(ms)
 	}
 	return report
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// initialRetryBackoff is the wait after the first failure. Each wait is retryBackoffFactor times the one before, up
+	// initialBackoff is the wait after the first failure. Each wait is retryBackoffFactor times the one before, up
 	// to maxRetryBackoff.
-	initialRetryBackoff = 5 * time.Millisecond
-	retryBackoffFactor  = 2
-	maxRetryBackoff     = 200 * time.Millisecond
+	initialBackoff    = 5 * time.Millisecond
+	backoffMultiplier = 2
+	maxBackoff        = 200 * time.Millisecond
 )
 
-// permanent are the errors of system calls that do not pass by themselves: a name or a permission is wrong.
-var permanent = []syscall.Errno{syscall.ENOENT, syscall.ENOTDIR, syscall.EISDIR, syscall.ELOOP, syscall.ENAMETOOLONG,
+// permanentErrnos are the errors of system calls that do not pass by themselves: a name or a permission is wrong.
+var permanentErrnos = []syscall.Errno{syscall.ENOENT, syscall.ENOTDIR, syscall.EISDIR, syscall.ELOOP, syscall.ENAMETOOLONG,
 	syscall.EACCES, syscall.EPERM, syscall.EINVAL, syscall.EAFNOSUPPORT, syscall.EPROTONOSUPPORT}
 
 // IsTransient reports whether an error comes from a system call and may pass by itself.
 func IsTransient(err error) bool {
 	var cause syscall.Errno
-	return errors.As(err, &cause) && !slices.Contains(permanent, cause)
+	return errors.As(err, &cause) && !slices.Contains(permanentErrnos, cause)
 }
 
 // Policy says which failures are retried.
@@ -35,10 +35,10 @@
 
 // Do calls operation until it succeeds or the policy allows no retry. It returns the last result as it is.
 func Do[T any](policy Policy, operation func() (T, error)) (T, error) {
-	giveUpAt := time.Now().Add(policy.MaxElapsedTime)
-	for backoff := initialRetryBackoff; ; backoff = min(retryBackoffFactor*backoff, maxRetryBackoff) {
+	deadline := time.Now().Add(policy.MaxElapsedTime)
+	for backoff := initialBackoff; ; backoff = min(backoffMultiplier*backoff, maxBackoff) {
 		value, err := operation()
-		if err == nil || !policy.IsTransient(err) || time.Now().Add(backoff).After(giveUpAt) {
+		if err == nil || !policy.IsTransient(err) || time.Now().Add(backoff).After(deadline) {
 			return value, err
 		}
 		policy.OnRetry(err)
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,10 +13,10 @@
 
 func TestDo(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		cause    error
-		failures int
-		calls    int // that are made
+		name      string
+		cause     error
+		failures  int
+		wantCalls int // that are made
 	}{
 		{"no failure", nil, 0, 1},
 		{"table of files full", syscall.ENFILE, 4, 5},
@@ -39,10 +39,10 @@
 				}
 				return calls, nil
 			})
-			if calls != test.calls || retries != test.calls-1 {
-				t.Errorf("%d calls, %d retries reported, want %d calls", calls, retries, test.calls)
+			if calls != test.wantCalls || retries != test.wantCalls-1 {
+				t.Errorf("%d calls, %d retries reported, want %d calls", calls, retries, test.wantCalls)
 			}
-			if wantError := test.failures >= test.calls; (err != nil) != wantError {
+			if wantError := test.failures >= test.wantCalls; (err != nil) != wantError {
 				t.Errorf("error %v", err)
 			}
 		})
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -81,7 +81,7 @@
 		Cell:      item.Block,
 		Kind:      item.Sku,
 		Weight:    item.Rating,
-		StartedAt: clock.Milliseconds(item.LaunchedMs),
+		StartedAt: clock.FromMilliseconds(item.LaunchedMs),
 	}, nil
 }
 
@@ -126,14 +126,14 @@
 	request := balancer.Request{
 		ID:          *m.Job,
 		Class:       *m.TierClass,
-		Timeout:     clock.Milliseconds(*m.GraceMs),
+		Timeout:     clock.FromMilliseconds(*m.GraceMs),
 		Key:         m.Item,
 		Tenant:      m.Project,
 		ClientRetry: m.StateBits&bitClientRetry != 0,
 		Write:       m.StateBits&bitWrite != 0,
 	}
 	if m.StateBits&bitWorkHint != 0 {
-		request.Work = clock.Milliseconds(m.WorkHintMs)
+		request.Work = clock.FromMilliseconds(m.WorkHintMs)
 	}
 	return InstanceEvent{Event: request}, nil
 }
@@ -151,7 +151,7 @@
 		Attempt:    *m.SendNo,
 		Endpoint:   *m.Backend,
 		Result:     result,
-		Latency:    clock.Milliseconds(*m.WaitTimeMs),
+		Latency:    clock.FromMilliseconds(*m.WaitTimeMs),
 		Done:       m.Ended,
 		LoadReport: loadreport.FromValues(m.Usage),
 	}}, nil
@@ -168,7 +168,7 @@
 	return InstanceEvent{Event: balancer.HealthCheckResult{
 		Endpoint:   *m.Backend,
 		Result:     result,
-		Latency:    clock.Milliseconds(*m.WaitTimeMs),
+		Latency:    clock.FromMilliseconds(*m.WaitTimeMs),
 		LoadReport: loadreport.FromValues(m.Usage),
 	}}, nil
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -61,7 +61,7 @@
 	if m.ClockMs == nil {
 		return nil, r.errorIn(m.Kind, missing("ClockMs"))
 	}
-	return &Batch{Now: clock.Milliseconds(*m.ClockMs)}, nil
+	return &Batch{Now: clock.FromMilliseconds(*m.ClockMs)}, nil
 }
 
 // addTo appends the event that m holds, or keeps the endpoint list that it defines.
--- a/internal/telemetry/ratelimit.go
+++ b/internal/telemetry/ratelimit.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// linesPerSecond bounds the log, since clients and endpoints determine by what they send how much there is to log.
-const linesPerSecond = 20
+// maxLinesPerSecond bounds the log, since clients and endpoints determine by what they send how much there is to log.
+const maxLinesPerSecond = 20
 
 // RateLimited returns a handler that passes at most linesPerSecond lines on to h and drops the rest. The next line that
 // passes has an attribute KeyDropped with their number. Lines that a Writer drops behind it are not counted.
@@ -48,22 +48,22 @@
 type lineLimiter struct {
 	now func() time.Time
 
-	mu          sync.Mutex // protects what follows
-	secondStart time.Time
-	lines       int
-	dropped     int // since the last line that passed
+	mu              sync.Mutex // protects what follows
+	windowStartedAt time.Time
+	linesInWindow   int
+	dropped         int // since the last line that passed
 }
 
 // allow reports whether a line may pass, and how many were dropped since the last one that did.
 func (l *lineLimiter) allow() (allowed bool, dropped int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := l.now(); now.Sub(l.secondStart) >= time.Second {
-		l.secondStart = now
-		l.lines = 0
+	if now := l.now(); now.Sub(l.windowStartedAt) >= time.Second {
+		l.windowStartedAt = now
+		l.linesInWindow = 0
 	}
-	l.lines++
-	if l.lines > linesPerSecond {
+	l.linesInWindow++
+	if l.linesInWindow > maxLinesPerSecond {
 		l.dropped++
 		return false, 0
 	}
--- a/internal/telemetry/ratelimit_test.go
+++ b/internal/telemetry/ratelimit_test.go
@@ -19,11 +19,11 @@
 	now := time.Now()
 	h.limiter.now = func() time.Time { return now }
 	log := slog.New(h).With("agent", "n0")
-	for range 5 * linesPerSecond {
+	for range 5 * maxLinesPerSecond {
 		log.Warn("bad answer")
 	}
-	if n := strings.Count(logged.String(), "bad answer"); n != linesPerSecond {
-		t.Errorf("%d lines in one second, want %d", n, linesPerSecond)
+	if n := strings.Count(logged.String(), "bad answer"); n != maxLinesPerSecond {
+		t.Errorf("%d lines in one second, want %d", n, maxLinesPerSecond)
 	}
 	now = now.Add(time.Second)
 	log.Warn("later")
--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// bufferedLines is how many lines may wait for their reader before further ones are dropped.
-const bufferedLines = 256
+// maxBufferedLines is how many lines may wait for their reader before further ones are dropped.
+const maxBufferedLines = 256
 
 // Writer writes lines asynchronously, on a goroutine of its own, so that logging never waits for the reader of the log.
 // Lines that the reader does not take in time are dropped.
@@ -18,8 +18,8 @@
 
 // NewWriter returns a writer whose lines go to w. Its goroutine runs as long as the process.
 func NewWriter(w io.Writer) *Writer {
-	writer := &Writer{lines: make(chan []byte, bufferedLines), flush: make(chan chan struct{})}
-	go writer.writeTo(w)
+	writer := &Writer{lines: make(chan []byte, maxBufferedLines), flush: make(chan chan struct{})}
+	go writer.run(w)
 	return writer
 }
 
@@ -48,8 +48,8 @@
 	}
 }
 
-// writeTo writes the lines to out, in their order. It ignores errors: the next line may get through.
-func (w *Writer) writeTo(out io.Writer) {
+// run writes the lines to out, in their order. It ignores errors: the next line may get through.
+func (w *Writer) run(out io.Writer) {
 	for {
 		select {
 		case line := <-w.lines:
