--- a/cmd/ashshunt-sim/host.go
+++ b/cmd/ashshunt-sim/host.go
@@ -43,7 +43,7 @@
 			return err
 		}
 	}
-	return h.out.End()
+	return h.out.FinishReply()
 }
 
 // accept opens or retires an instance, or queues the event for it.
@@ -84,9 +84,9 @@
 	}
 	actions, err := stepSafely(h.instances[agent], now, events)
 	if err != nil {
-		return h.out.Broken(agent, err.Error())
+		return h.out.WriteBroken(agent, err.Error())
 	}
-	return h.out.Actions(agent, actions)
+	return h.out.WriteActions(agent, actions)
 }
 
 // stepSafely steps an instance. A panic of the decision module becomes an error.
--- a/cmd/ashshunt/main.go
+++ b/cmd/ashshunt/main.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	setMemoryLimits(c.MemoryMB)
+	setMemoryLimits(c.MaxMemoryMB)
 	log = log.With("agent", c.Name)
 	a, err := agent.New(c, log)
 	if err != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -114,5 +114,5 @@
 func (a *Agent) awaitConnections(ctx context.Context, timeout time.Duration) {
 	waitCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	a.frontend.WaitUntilEmpty(waitCtx)
+	a.frontend.WaitForAllClosed(waitCtx)
 }
--- a/internal/agent/deadlineguard.go
+++ b/internal/agent/deadlineguard.go
@@ -39,8 +39,8 @@
 func (l *eventLoop) moduleTimeout(now time.Duration, inbound *frontend.Request) time.Duration {
 	// A step comes within a tick of an arrival. A longer delay is this machine's, and the module would treat a client
 	// with a shorter timeout as one that retries.
-	stepDelay := min(now-inbound.Arrived, l.tick)
-	return inbound.Deadline - attemptMargin - inbound.Arrived - stepDelay
+	stepDelay := min(now-inbound.ArrivedAt, l.tick)
+	return inbound.Deadline - attemptMargin - inbound.ArrivedAt - stepDelay
 }
 
 // setDeadlineGuard sets or moves the deadline guard of a request: the timer that answers it if the decision module has
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -272,7 +272,7 @@
 				return testutil.Echo(conn, r, body)
 			})
 			c := newConfig(t, server)
-			c.Descriptors = 2 // one for clients
+			c.MaxDescriptors = 2 // one for clients
 			a := startAgent(t, c)
 			first := testutil.Dial(t, a.Addr(), testutil.Get(testutil.ID(1)))
 			testutil.Receive(t, server.Received)
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -110,7 +110,7 @@
 	t.Parallel()
 	server := newHoldingServer(t)
 	c := newConfig(t, server.Server)
-	c.Descriptors = 30 // ten open requests, of which one is kept free
+	c.MaxDescriptors = 30 // ten open requests, of which one is kept free
 	for i := range c.Settings.Classes {
 		class := &c.Settings.Classes[i]
 		class.Objective, class.Deadline = 10*testutil.Timeout, 10*testutil.Timeout
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -97,7 +97,7 @@
 	now := l.clock.Now()
 	request := frontend.NewRequest()
 	request.Event = balancer.Request{ID: id}
-	request.Arrived, request.Deadline = now, now+timeout
+	request.ArrivedAt, request.Deadline = now, now+timeout
 	requestSubmitted{request}.apply(context.Background(), l)
 	return request
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -61,7 +61,7 @@
 	// The module sheds queued requests before either limit is reached, that of the settings or what the descriptors
 	// allow. The loop itself rejects by the limit of the settings alone.
 	moduleSettings := c.Settings
-	moduleSettings.MaxOpen = c.OpenRequests()
+	moduleSettings.MaxOpen = c.MaxOpenRequests()
 	moduleSettings.SubscribeSpread = discovery.SubscribeSpread
 	moduleSettings.RefusedSubscribeSpread = discovery.RefusedSubscribeSpread
 	module, err := balancer.New(moduleSettings, c.Seed)
@@ -94,7 +94,7 @@
 		LoadReports:    c.Settings.LoadReports,
 		ConnectTimeout: c.Settings.ConnectTimeout,
 		IdleClose:      c.Settings.IdleClose,
-		MaxConnections: c.EndpointConnections(),
+		MaxConnections: c.MaxEndpointConnections(),
 		Log:            log,
 	}
 }
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -52,7 +52,7 @@
 			Target:         inbound.Target,
 			Body:           inbound.Body,
 			Lifetime:       done,
-			ClientGone:     inbound.ClientGone,
+			ClientGone:     inbound.IsClientGone,
 		},
 		markDone: markDone,
 	}
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -149,7 +149,7 @@
 	})
 	submit(l, id, 6*time.Second)
 	r = l.requests.find(id)
-	now = r.inbound.Arrived + delay
+	now = r.inbound.ArrivedAt + delay
 	l.step(context.Background(), now)
 	return r, now, timeout
 }
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -108,7 +108,7 @@
 		testutil.Receive(t, server.Received)
 	}
 	testutil.Eventually(t, "the connections to be accepted", func() bool {
-		open, idle := a.frontend.Connections()
+		open, idle := a.frontend.ConnectionCounts()
 		return open == 3 && idle == 2
 	})
 	a.stop()
@@ -202,7 +202,7 @@
 		clients[name] = testutil.Dial(t, a.Addr(), text)
 	}
 	testutil.Eventually(t, "the connections", func() bool {
-		open, idle := a.frontend.Connections()
+		open, idle := a.frontend.ConnectionCounts()
 		return open == 3 && idle == 0
 	})
 	a.stop()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,16 +39,16 @@
 
 // Config is a checked configuration.
 type Config struct {
-	Name      string
-	Listen    string // host:port that clients connect to
-	Discovery string // host:port of the discovery service
-	Seed      uint64 // of all random choices
-	MemoryMB  int    // memory that the process may use; 0: no limit
-	// Descriptors is how many file descriptors the process may hold; 0: no limit. Key limits.sockets.
-	Descriptors int
-	Settings    balancer.Settings
-	Names       Names
-	CachedList  endpoint.List // the endpoints as last known, which may be stale; key known
+	Name        string
+	Listen      string // host:port that clients connect to
+	Discovery   string // host:port of the discovery service
+	Seed        uint64 // of all random choices
+	MaxMemoryMB int    // memory that the process may use; 0: no limit
+	// MaxDescriptors is how many file descriptors the process may hold; 0: no limit. Key limits.sockets.
+	MaxDescriptors int
+	Settings       balancer.Settings
+	Names          Names
+	CachedList     endpoint.List // the endpoints as last known, which may be stale; key known
 }
 
 // file is the configuration file as it is written.
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.Descriptors, err = descriptorLimit(c.Descriptors); err != nil {
+	if c.MaxDescriptors, err = effectiveMaxDescriptors(c.MaxDescriptors); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -134,9 +134,9 @@
 
 // parseLimits drops fractions; a limit that is larger than any int32 binds nothing.
 func (c *Config) parseLimits(f *file) error {
-	c.MemoryMB = int(min(f.Limits.MemoryMB, math.MaxInt32))
-	c.Descriptors = int(min(f.Limits.Sockets, math.MaxInt32))
-	if c.MemoryMB < 0 || c.Descriptors < 0 {
+	c.MaxMemoryMB = int(min(f.Limits.MemoryMB, math.MaxInt32))
+	c.MaxDescriptors = int(min(f.Limits.Sockets, math.MaxInt32))
+	if c.MaxMemoryMB < 0 || c.MaxDescriptors < 0 {
 		return &KeyError{Key: keyLimits, Err: errNegative}
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"ashshunt/balancer"
 )
 
-const minimal = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+const minimalConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
  "limits":{"memory_mb":192,"sockets":1024},
  "known":{"version":4,"full":true,"servers":[{"id":"s0","addr":"127.0.0.1:2","state":"SERVING"}]},
  "settings":{"Balancers":2,"Me":1,"Contract":{"ColdFrom":1},
@@ -17,15 +17,15 @@
   "Tenants":[{"Name":"acme","Portion":0.5,"QuotaPerS":10}]}}`
 
 func TestParse(t *testing.T) {
-	c, err := Parse([]byte(minimal))
+	c, err := Parse([]byte(minimalConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Name != "n0" || c.Listen != "127.0.0.1:0" || c.Discovery != "127.0.0.1:1" || c.Seed != 0x8c1f30d27a5be964 {
 		t.Errorf("identity %+v", c)
 	}
-	if c.MemoryMB != 192 || c.Descriptors != 1024 {
-		t.Errorf("limits %d MB, %d sockets", c.MemoryMB, c.Descriptors)
+	if c.MaxMemoryMB != 192 || c.MaxDescriptors != 1024 {
+		t.Errorf("limits %d MB, %d sockets", c.MaxMemoryMB, c.MaxDescriptors)
 	}
 	if c.Settings.Agents != 2 || c.Settings.AgentIndex != 1 ||
 		c.Settings.Classes[0].Idempotency != balancer.NotIdempotent {
@@ -39,13 +39,13 @@
 	}
 }
 
-func TestEnvironmentStandsIn(t *testing.T) {
+func TestEnvironmentFallback(t *testing.T) {
 	t.Setenv("GW_NAME", "n7")
 	t.Setenv("GW_LISTEN", "127.0.0.1:7000")
 	t.Setenv("GW_DISCOVERY", "127.0.0.1:7001")
 	withoutIdentity := strings.NewReplacer(`"name":"n0",`, "", `"listen":"127.0.0.1:0",`, "",
 		`"discovery":"127.0.0.1:1",`, "")
-	c, err := Parse([]byte(withoutIdentity.Replace(minimal)))
+	c, err := Parse([]byte(withoutIdentity.Replace(minimalConfig)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 }
 
 // Every error is one line that names the key at fault, as it stands in the file.
-func TestBadConfiguration(t *testing.T) {
+func TestInvalidConfiguration(t *testing.T) {
 	tests := []struct{ name, old, new, want string }{
 		{"no JSON", `{"name"`, `{name`, "invalid character"},
 		{"listen without a port", `"127.0.0.1:0"`, `"127.0.0.1"`, `listen: "127.0.0.1" is not host:port`},
@@ -76,8 +76,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			text := strings.Replace(minimal, tt.old, tt.new, 1)
-			if text == minimal {
+			text := strings.Replace(minimalConfig, tt.old, tt.new, 1)
+			if text == minimalConfig {
 				t.Fatal("the case changes nothing")
 			}
 			_, err := Parse([]byte(text))
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestLoadNamesTheFile(t *testing.T) {
+func TestLoadErrorNamesFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), path) {
 		t.Errorf("missing file: error %v", err)
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestDescriptorsAreDivided(t *testing.T) {
+func TestDescriptorShares(t *testing.T) {
 	tests := []struct{ sockets, maxOpen, clients, endpoints, requests int }{
 		{0, 0, 0, 0, 0},
 		{0, 50, 0, 0, 50},
@@ -113,14 +113,14 @@
 		{1024, 1000, 512, 384, 341},
 	}
 	for _, tt := range tests {
-		c := &Config{Descriptors: tt.sockets, Settings: balancer.Settings{MaxOpen: tt.maxOpen}}
-		if got := c.ClientConnections(); got != tt.clients {
+		c := &Config{MaxDescriptors: tt.sockets, Settings: balancer.Settings{MaxOpen: tt.maxOpen}}
+		if got := c.MaxClientConnections(); got != tt.clients {
 			t.Errorf("%d sockets: %d client connections, want %d", tt.sockets, got, tt.clients)
 		}
-		if got := c.EndpointConnections(); got != tt.endpoints {
+		if got := c.MaxEndpointConnections(); got != tt.endpoints {
 			t.Errorf("%d sockets: %d endpoint connections, want %d", tt.sockets, got, tt.endpoints)
 		}
-		if got := c.OpenRequests(); got != tt.requests {
+		if got := c.MaxOpenRequests(); got != tt.requests {
 			t.Errorf("%d sockets, MaxOpen %d: %d open requests, want %d", tt.sockets, tt.maxOpen, got, tt.requests)
 		}
 	}
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -27,11 +27,11 @@
 // UnknownWordError reports a setting that holds none of the words that the agent knows. An error of the same name in
 // internal/simwire is about the messages there, which have no paths.
 type UnknownWordError struct {
-	Key  string // the path within the settings object
-	What string // what the word names
-	Word string
+	Key     string // the path within the settings object
+	Setting string // what the word names
+	Word    string
 }
 
 func (e *UnknownWordError) Error() string {
-	return fmt.Sprintf("%s: unknown %s %q", e.Key, e.What, e.Word)
+	return fmt.Sprintf("%s: unknown %s %q", e.Key, e.Setting, e.Word)
 }
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -12,14 +12,14 @@
 	"ashshunt/internal/testutil"
 )
 
-// hugeNumbers are the numbers of a settings object that may be zero or beyond all measure.
-var hugeNumbers = regexp.MustCompile(
+// extremeNumbers are the numbers of a settings object that may be zero or beyond all measure.
+var extremeNumbers = regexp.MustCompile(
 	`"(\w*Ms|Worth|TryLimit|MaxOpen|QuotaPerS|CpuUsPerS|Balancers|Portion|StreamsPerConn)":([0-9.]+)`)
 
 // Settings with numbers beyond all measure are accepted, or rejected as out of range; nothing panics.
 func TestExtremeSettings(t *testing.T) {
 	for _, number := range []string{"0", "1e-9", "1e12", "1e15", "1e18", "1e300"} {
-		for _, match := range hugeNumbers.FindAllStringSubmatchIndex(testutil.Settings, -1) {
+		for _, match := range extremeNumbers.FindAllStringSubmatchIndex(testutil.Settings, -1) {
 			key := testutil.Settings[match[2]:match[3]]
 			text := testutil.Settings[:match[4]] + number + testutil.Settings[match[5]:]
 			settings, _, err := config.ParseSettings([]byte(text))
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -20,30 +20,30 @@
 // clients can hold would wait where the balancer does not see them.
 const descriptorsPerRequest = 3
 
-// ClientConnections is the most connections that clients may hold; 0: no limit.
-func (c *Config) ClientConnections() int { return c.descriptors(clientParts) }
+// MaxClientConnections is the most connections that clients may hold; 0: no limit.
+func (c *Config) MaxClientConnections() int { return c.descriptorShare(clientParts) }
 
-// EndpointConnections is the most connections to endpoints; 0: no limit.
-func (c *Config) EndpointConnections() int { return c.descriptors(endpointParts) }
+// MaxEndpointConnections is the most connections to endpoints; 0: no limit.
+func (c *Config) MaxEndpointConnections() int { return c.descriptorShare(endpointParts) }
 
-// descriptors returns how many descriptors so many parts are, rounded up.
-func (c *Config) descriptors(parts int) int {
-	return (c.Descriptors*parts + descriptorParts - 1) / descriptorParts
+// descriptorShare returns how many descriptorShare so many parts are, rounded up.
+func (c *Config) descriptorShare(parts int) int {
+	return (c.MaxDescriptors*parts + descriptorParts - 1) / descriptorParts
 }
 
-// OpenRequests is the most requests that may be open; 0: no limit. It is the limit of the settings, or what the
+// MaxOpenRequests is the most requests that may be open; 0: no limit. It is the limit of the settings, or what the
 // descriptors allow where that is less.
-func (c *Config) OpenRequests() int {
+func (c *Config) MaxOpenRequests() int {
 	limit := c.Settings.MaxOpen
-	if allowed := c.Descriptors / descriptorsPerRequest; allowed > 0 && (limit == 0 || allowed < limit) {
+	if allowed := c.MaxDescriptors / descriptorsPerRequest; allowed > 0 && (limit == 0 || allowed < limit) {
 		limit = allowed
 	}
 	return limit
 }
 
-// descriptorLimit returns how many descriptors the process may hold: the configured number, or the system's limit
+// effectiveMaxDescriptors returns how many descriptors the process may hold: the configured number, or the system's limit
 // where that is less. Without a bound clients could take all of them and leave none for discovery and endpoints.
-func descriptorLimit(configured int) (int, error) {
+func effectiveMaxDescriptors(configured int) (int, error) {
 	var system unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &system); err != nil {
 		return 0, fmt.Errorf("limit on descriptors: %w", err)
--- a/internal/config/mapping.go
+++ b/internal/config/mapping.go
@@ -13,8 +13,8 @@
 // key of the object on the right, and the function around a key is its unit. What has no unit is a number, a flag, a
 // share or a multiple, as settings_object.go says. wire_keys.go has the way back, for errors.
 
-// settings maps all groups.
-func (o *settingsObject) settings() (balancer.Settings, error) {
+// toSettings maps all groups.
+func (o *settingsObject) toSettings() (balancer.Settings, error) {
 	var s balancer.Settings
 	o.mapAgents(&s)
 	o.mapService(&s)
@@ -119,7 +119,7 @@
 
 // mapWeights maps what the weights of endpoints mean.
 func (o *settingsObject) mapWeights(s *balancer.Settings) (err error) {
-	s.Weights, err = lookUp(weightMeanings, "Weights", "meaning", o.Weights)
+	s.Weights, err = lookUp(weightTypes, "Weights", "meaning", o.Weights)
 	return err
 }
 
@@ -136,7 +136,7 @@
 
 func (o *settingsObject) mapClasses(s *balancer.Settings) error {
 	for i := range o.Profiles {
-		class, err := o.Profiles[i].class("Profiles[" + strconv.Itoa(i) + "].")
+		class, err := o.Profiles[i].toClass("Profiles[" + strconv.Itoa(i) + "].")
 		if err != nil {
 			return err
 		}
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// class maps one class of requests; path leads to it within the settings object.
-func (p *profile) class(path string) (balancer.Class, error) {
+// toClass maps one toClass of requests; path leads to it within the settings object.
+func (p *profile) toClass(path string) (balancer.Class, error) {
 	idempotency, err := lookUp(idempotencies, path+"Semantics", "kind", p.Semantics)
 	if err != nil {
 		return balancer.Class{}, err
@@ -190,7 +190,7 @@
 	membershipSubscribe = "subscribe" // of MembershipMode: the endpoint list must be subscribed to
 )
 
-var weightMeanings = map[string]balancer.Weights{
+var weightTypes = map[string]balancer.Weights{
 	"":        balancer.WeightsNone,
 	"off":     balancer.WeightsNone,
 	"nominal": balancer.WeightsNominal,
@@ -229,10 +229,10 @@
 
 // lookUp returns the value that a word stands for. key is the path of the setting; what says in the error what the
 // word names.
-func lookUp[V any](values map[string]V, key, what, word string) (V, error) {
+func lookUp[V any](values map[string]V, key, setting, word string) (V, error) {
 	value, ok := values[word]
 	if !ok {
-		return value, &UnknownWordError{Key: key, What: what, Word: word}
+		return value, &UnknownWordError{Key: key, Setting: setting, Word: word}
 	}
 	return value, nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -22,7 +22,7 @@
 	if err := json.Unmarshal(raw, &object); err != nil {
 		return balancer.Settings{}, Names{}, err
 	}
-	settings, err := object.settings()
+	settings, err := object.toSettings()
 	return settings, object.names(), err
 }
 
--- a/internal/config/wire_keys_test.go
+++ b/internal/config/wire_keys_test.go
@@ -9,8 +9,8 @@
 	"ashshunt/balancer"
 )
 
-// allNumbers holds each setting that is a number.
-const allNumbers = `{"Balancers":3,"Me":1,"Zone":2,"Tier":1,"OverShareWorth":0.05,"TickMs":5,
+// allNumericSettings holds each setting that is a number.
+const allNumericSettings = `{"Balancers":3,"Me":1,"Zone":2,"Tier":1,"OverShareWorth":0.05,"TickMs":5,
  "Profiles":[{"AimMs":400,"DeadlineMs":1500,"Worth":3,"LateValue":0.25,"Semantics":"once",
   "WindowMs":3000,"AimStretch":2}],
  "Tenants":[{"Portion":0.28,"QuotaPerS":11}],
@@ -23,9 +23,9 @@
   "MembershipMode":0.06,"Moves":0.07,"Origin":0.09,"Fleet":0.11}}`
 
 // An error about a setting has the name and the path that the setting has on the wire.
-func TestErrorsHaveWireKeys(t *testing.T) {
+func TestWithWireKey(t *testing.T) {
 	var object map[string]any
-	if err := json.Unmarshal([]byte(allNumbers), &object); err != nil {
+	if err := json.Unmarshal([]byte(allNumericSettings), &object); err != nil {
 		t.Fatal(err)
 	}
 	forEachNumber(object, "", func(path string, set func(number float64)) {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// minReadTime is the least time that a request gets, however late it began on a new connection.
-	minReadTime = 300 * time.Millisecond
-	// closeLinger bounds how long a connection with unread bytes is still read before it is closed.
-	closeLinger = 500 * time.Millisecond
+	// minReadTimeout is the least time that a request gets, however late it began on a new connection.
+	minReadTimeout = 300 * time.Millisecond
+	// lingerTimeout bounds how long a connection with unread bytes is still read before it is closed.
+	lingerTimeout = 500 * time.Millisecond
 	// incompleteWriteTimeout bounds the write of the answer to an incomplete request.
 	incompleteWriteTimeout = 500 * time.Millisecond
 	// maxLingerBytes bounds how much of a connection that is about to be closed is read and dropped.
 	maxLingerBytes = 256 << 10
 )
 
-// continueLine begins an interim response, which net/http writes while a request is still being read.
-var continueLine = []byte("HTTP/1.1 100 ")
+// continueStatusPrefix begins an interim response, which net/http writes while a request is still being read.
+var continueStatusPrefix = []byte("HTTP/1.1 100 ")
 
 // connection is an accepted connection. Its first byte ends its idleness at once, before net/http parses a request
 // from it; from then on the time of the request counts, not the idle time of the connection.
@@ -52,24 +52,24 @@
 // Read takes an idle connection off the idle list before it reads any of its bytes. Otherwise a connection whose
 // request has been read, so that no unread bytes show it any more, could be closed as idle.
 func (c *connection) Read(p []byte) (int, error) {
-	if err := c.awaitFirstByte(); err != nil {
+	if err := c.waitForFirstByte(); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	if rejected := c.noteRead(n); rejected != nil {
+	if rejected := c.recordRead(n); rejected != nil {
 		return 0, rejected
 	}
 	return n, err
 }
 
-// awaitFirstByte waits until an idle connection has something to be read.
-func (c *connection) awaitFirstByte() error {
+// waitForFirstByte waits until an idle connection has something to be read.
+func (c *connection) waitForFirstByte() error {
 	if c.isIdle() {
-		if err := socket.WaitReadable(c.Conn); err != nil {
+		if err := socket.WaitForReadable(c.Conn); err != nil {
 			return err
 		}
 	}
-	return c.noteReadable()
+	return c.handleReadable()
 }
 
 // Write writes a response. One that net/http writes itself, to a malformed request, ends the reading of that request.
@@ -81,10 +81,10 @@
 }
 
 func (c *connection) mayWrite(p []byte) bool {
-	if bytes.HasPrefix(p, continueLine) {
-		return c.mayContinue()
+	if bytes.HasPrefix(p, continueStatusPrefix) {
+		return c.maySendContinue()
 	}
-	return c.beginResponse()
+	return c.startResponse()
 }
 
 // SetReadDeadline sets the deadline of reads, unless a request is being read, which has a timer of its own.
@@ -98,9 +98,9 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// answerIncomplete answers a request that was rejected before it was complete, and ends the sending. A read by net/http
+// writeRejection answers a request that was rejected before it was complete, and ends the sending. A read by net/http
 // that waits for more of the request ends. Errors mean that the client has gone.
-func (c *connection) answerIncomplete(status int) {
+func (c *connection) writeRejection(status int) {
 	_ = c.SetWriteDeadline(time.Now().Add(incompleteWriteTimeout))
 	_, _ = fmt.Fprintf(c.Conn, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 		status, http.StatusText(status))
@@ -111,7 +111,7 @@
 // Close closes the connection and gives back its slot. A close over unread bytes resets the connection, and a response
 // that is still on its way is lost with it: then the sending ends first, and what comes is dropped for a while.
 func (c *connection) Close() error {
-	previous := c.beginClose()
+	previous := c.startClose()
 	if previous == phaseClosing {
 		return c.Conn.Close()
 	}
@@ -126,7 +126,7 @@
 // connection ends in any case.
 func (c *connection) lingerAndClose() {
 	socket.CloseWrite(c.Conn)
-	_ = c.Conn.SetReadDeadline(time.Now().Add(closeLinger))
+	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes)
 	_ = c.finishClose()
 }
--- a/internal/frontend/connectionstate.go
+++ b/internal/frontend/connectionstate.go
@@ -40,18 +40,20 @@
 
 // connectionState is the state of a connection. The mutex of the connection's table guards it.
 type connectionState struct {
-	phase     phase
-	used      bool            // a request has begun on the connection
-	nextBegun bool            // some of the next request has been read while one was served
-	request   requestProgress // of the request that is being read
+	phase              phase
+	hadRequest         bool            // a request has begun on the connection
+	nextRequestStarted bool            // some of the next request has been read while one was served
+	request            requestProgress // of the request that is being read
 
 	// Only idleList writes these.
 	idleElement *list.Element // in the table's idle list; nil if not in it
-	idleSince   time.Time
+	idleAt      time.Time
 }
 
-// isOver reports whether no request can be served any more.
-func (s *connectionState) isOver() bool { return s.phase == phaseRejected || s.phase == phaseClosing }
+// isFinished reports whether no request can be served any more.
+func (s *connectionState) isFinished() bool {
+	return s.phase == phaseRejected || s.phase == phaseClosing
+}
 
 // isReading reports whether the request of a number is being read.
 func (s *connectionState) isReading(number int) bool {
@@ -63,8 +65,8 @@
 	// number counts the requests that have begun on the connection. A timer, or a shutdown, names the request that it
 	// rejects by it, so that it does nothing to a later one.
 	number     int
-	begunAt    time.Time
-	reads      int // that returned bytes of the request
+	startedAt  time.Time
+	readCount  int // that returned bytes of the request
 	lastReadAt time.Time
 	timer      *time.Timer // rejects the request; nil before the first one
 }
@@ -72,18 +74,18 @@
 // remaining is the time until the request is rejected. One that comes in several reads is only slow: its time runs
 // from the last of them, up to a limit for the request as a whole.
 func (p *requestProgress) remaining(timeouts *Timeouts) time.Duration {
-	if p.cameInOneRead() {
+	if p.hasSingleRead() {
 		return 0
 	}
-	end := p.lastReadAt.Add(timeouts.ReadRequest)
-	if last := p.begunAt.Add(timeouts.ReadSlowRequest); last.Before(end) {
-		end = last
+	deadline := p.lastReadAt.Add(timeouts.ReadStall)
+	if totalDeadline := p.startedAt.Add(timeouts.ReadTotal); totalDeadline.Before(deadline) {
+		deadline = totalDeadline
 	}
-	return time.Until(end)
+	return time.Until(deadline)
 }
 
-// cameInOneRead reports whether nothing has come since the first bytes of the request.
-func (p *requestProgress) cameInOneRead() bool { return p.reads <= 1 }
+// hasSingleRead reports whether nothing has come since the first bytes of the request.
+func (p *requestProgress) hasSingleRead() bool { return p.readCount <= 1 }
 
 func (p *requestProgress) stopTimer() {
 	if p.timer != nil {
@@ -99,12 +101,12 @@
 	return c.state.phase == phaseIdle
 }
 
-// noteReadable notes that there is something to be read, which begins a request on an idle connection. It fails if
+// handleReadable notes that there is something to be read, which begins a request on an idle connection. It fails if
 // the connection must not be read.
-func (c *connection) noteReadable() error {
+func (c *connection) handleReadable() error {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
-	if c.state.isOver() {
+	if c.state.isFinished() {
 		return net.ErrClosed
 	}
 	if c.state.phase == phaseIdle {
@@ -113,19 +115,19 @@
 	return nil
 }
 
-// noteRead notes that n bytes have been read. It fails if they belong to a request that was rejected meanwhile.
-func (c *connection) noteRead(n int) error {
+// recordRead notes that n bytes have been read. It fails if they belong to a request that was rejected meanwhile.
+func (c *connection) recordRead(n int) error {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	switch c.state.phase {
 	case phaseReading:
 		if n > 0 {
-			c.state.request.reads++
+			c.state.request.readCount++
 			c.state.request.lastReadAt = time.Now()
 		}
 	case phaseServing:
 		if n > 0 { // net/http has read it to look for a disconnect
-			c.state.nextBegun = true
+			c.state.nextRequestStarted = true
 		}
 	case phaseRejected:
 		return net.ErrClosed
@@ -134,20 +136,20 @@
 	return nil
 }
 
-// beginResponse notes that a request is complete, or is to be answered with an error. A response is not allowed if the
+// startResponse notes that a request is complete, or is to be answered with an error. A response is not allowed if the
 // request was rejected or the connection closed meanwhile.
-func (c *connection) beginResponse() (allowed bool) {
+func (c *connection) startResponse() (allowed bool) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
-	if c.state.isOver() {
+	if c.state.isFinished() {
 		return false
 	}
 	c.enterServing()
 	return true
 }
 
-// mayContinue reports whether a client may be told to go on sending its request.
-func (c *connection) mayContinue() bool {
+// maySendContinue reports whether a client may be told to go on sending its request.
+func (c *connection) maySendContinue() bool {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	return c.state.phase == phaseReading || c.state.phase == phaseServing
@@ -165,9 +167,9 @@
 	return true
 }
 
-// rejectIfStalled is rejectIncomplete for a request whose timer has fired. If bytes are still arriving, it extends the
+// rejectIfTimedOut is rejectIncomplete for a request whose timer has fired. If bytes are still arriving, it extends the
 // timer instead.
-func (c *connection) rejectIfStalled(number int) bool {
+func (c *connection) rejectIfTimedOut(number int) bool {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	if !c.state.isReading(number) {
@@ -181,9 +183,9 @@
 	return true
 }
 
-// beginClose moves the connection to phaseClosing and returns the phase before. Unless that was phaseClosing already,
+// startClose moves the connection to phaseClosing and returns the phase before. Unless that was phaseClosing already,
 // the caller calls finishClose next.
-func (c *connection) beginClose() (previous phase) {
+func (c *connection) startClose() (previous phase) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	previous = c.state.phase
@@ -191,10 +193,10 @@
 	return previous
 }
 
-// noteServerState follows the state that net/http reports. It reports whether the connection is in phaseClosing now
+// handleConnState follows the state that net/http reports. It reports whether the connection is in phaseClosing now
 // for the caller to close, since a shutdown has begun: its request may have been answered just before that, when the
 // response did not yet close the connection.
-func (c *connection) noteServerState(state http.ConnState) (closing bool) {
+func (c *connection) handleConnState(state http.ConnState) (closing bool) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	switch state {
@@ -206,15 +208,15 @@
 		}
 	case http.StateIdle:
 		c.enterIdleOrReading()
-		return c.beginCloseIfShuttingDown()
+		return c.startCloseIfShuttingDown()
 	case http.StateHijacked, http.StateClosed: // no handler hijacks; Close has noted the end
 	}
 	return false
 }
 
-// beginCloseIfShuttingDown moves an idle connection to phaseClosing if none is to stay idle, and reports whether it has
+// startCloseIfShuttingDown moves an idle connection to phaseClosing if none is to stay idle, and reports whether it has
 // done so. The caller holds the table's mutex.
-func (c *connection) beginCloseIfShuttingDown() (closing bool) {
+func (c *connection) startCloseIfShuttingDown() (closing bool) {
 	if !c.table.closeWhenIdle || c.state.phase != phaseIdle || socket.HasUnread(c.Conn) {
 		return false
 	}
@@ -229,8 +231,8 @@
 // must not hold one twice whatever the order of the reports.
 func (c *connection) enterIdleOrReading() {
 	switch {
-	case c.state.isOver() || c.state.idleElement != nil:
-	case c.state.nextBegun:
+	case c.state.isFinished() || c.state.idleElement != nil:
+	case c.state.nextRequestStarted:
 		c.enterReading()
 	default:
 		c.enterIdle()
@@ -239,7 +241,7 @@
 
 // enterIdle puts the connection into the idle list.
 func (c *connection) enterIdle() {
-	c.leaveReading()
+	c.exitReading()
 	c.state.phase = phaseIdle
 	c.table.idle.add(c)
 }
@@ -247,40 +249,40 @@
 // enterReading notes the first byte of a request and starts its timer. The time of the first request on a connection
 // includes that from the connect to this byte.
 func (c *connection) enterReading() {
-	allowed := c.table.timeouts.ReadRequest
-	if !c.state.used {
-		allowed = max(minReadTime, allowed-time.Since(c.acceptedAt))
+	timeout := c.table.timeouts.ReadStall
+	if !c.state.hadRequest {
+		timeout = max(minReadTimeout, timeout-time.Since(c.acceptedAt))
 	}
 	c.table.idle.remove(c)
 	c.table.incomplete[c] = struct{}{}
 	c.state.phase = phaseReading
-	c.state.used = true
-	c.state.nextBegun = false
-	c.state.request = requestProgress{number: c.state.request.number + 1, begunAt: time.Now()}
-	c.startRequestTimer(allowed)
+	c.state.hadRequest = true
+	c.state.nextRequestStarted = false
+	c.state.request = requestProgress{number: c.state.request.number + 1, startedAt: time.Now()}
+	c.startRequestTimer(timeout)
 	_ = c.Conn.SetReadDeadline(time.Time{}) // ends the idle timeout; fails on a connection that has ended
 }
 
 // enterServing ends the request's timer. It may come from phaseIdle, and leaves the connection on the idle list
 // then: net/http reports no StateActive for a malformed request that it has read along with the one before.
 func (c *connection) enterServing() {
-	c.leaveReading()
+	c.exitReading()
 	c.state.phase = phaseServing
 }
 
 func (c *connection) enterRejected() {
-	c.leaveReading()
+	c.exitReading()
 	c.state.phase = phaseRejected
 }
 
 func (c *connection) enterClosing() {
 	c.table.idle.remove(c)
-	c.leaveReading()
+	c.exitReading()
 	c.state.phase = phaseClosing
 }
 
-// leaveReading undoes what enterReading has set up, if the connection is in phaseReading.
-func (c *connection) leaveReading() {
+// exitReading undoes what enterReading has set up, if the connection is in phaseReading.
+func (c *connection) exitReading() {
 	delete(c.table.incomplete, c)
 	c.state.request.stopTimer()
 }
@@ -289,8 +291,8 @@
 func (c *connection) startRequestTimer(after time.Duration) {
 	number := c.state.request.number
 	c.state.request.timer = time.AfterFunc(after, func() {
-		if c.rejectIfStalled(number) {
-			c.answerIncomplete(http.StatusRequestTimeout)
+		if c.rejectIfTimedOut(number) {
+			c.writeRejection(http.StatusRequestTimeout)
 		}
 	})
 }
--- a/internal/frontend/connectiontable.go
+++ b/internal/frontend/connectiontable.go
@@ -10,14 +10,14 @@
 	"ashshunt/internal/socket"
 )
 
-// minSlotWait keeps a wait for a free slot from spinning.
-const minSlotWait = time.Millisecond
+// minSlotRetryInterval keeps a wait for a free slot from spinning.
+const minSlotRetryInterval = time.Millisecond
 
 // connectionTable holds the open connections of a listener, and bounds their number: each holds a descriptor, and
 // clients that stay silent, or send one request and stay, would take them all. Its mutex also guards the states of the
 // connections. It is never held over I/O that may block.
 type connectionTable struct {
-	limit    int           // of open connections; 0: none
+	maxOpen  int           // of open connections; 0: none
 	timeouts *Timeouts     // those of the Server
 	released chan struct{} // holds a value once a connection has ended; a value wakes one waiter alone
 
@@ -28,9 +28,9 @@
 	incomplete    map[*connection]struct{} // connections in phaseReading
 }
 
-func newConnectionTable(limit int, timeouts *Timeouts) *connectionTable {
+func newConnectionTable(maxOpen int, timeouts *Timeouts) *connectionTable {
 	return &connectionTable{
-		limit:      limit,
+		maxOpen:    maxOpen,
 		timeouts:   timeouts,
 		released:   make(chan struct{}, 1),
 		incomplete: map[*connection]struct{}{},
@@ -47,14 +47,14 @@
 
 // release gives back the slot of a connection that has been closed.
 func (t *connectionTable) release() {
-	t.removeOne()
+	t.decrementOpen()
 	select {
 	case t.released <- struct{}{}:
 	default:
 	}
 }
 
-func (t *connectionTable) removeOne() {
+func (t *connectionTable) decrementOpen() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.open--
@@ -67,35 +67,35 @@
 	return t.open, t.idle.len()
 }
 
-// nearLimit reports whether connections begin to run short. Then each is closed with its response: clients that send
+// isNearLimit reports whether connections begin to run short. Then each is closed with its response: clients that send
 // one request and stay would otherwise take all that there are, until each has been idle for long enough to be
 // reclaimed. The price is that clients which would have sent another request connect anew.
-func (t *connectionTable) nearLimit() bool {
+func (t *connectionTable) isNearLimit() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.limit > 0 && t.open > t.limit/2
+	return t.maxOpen > 0 && t.open > t.maxOpen/2
 }
 
 // ensureSlot makes sure that the limit allows one more connection, if need be by closing an idle one. Otherwise it
 // returns how long to wait before it is called again. It reserves nothing: one goroutine alone accepts connections.
 func (t *connectionTable) ensureSlot(now time.Time) (wait time.Duration, ok bool) {
-	reclaimed, wait, ok := t.tryFreeSlot(now)
+	reclaimed, wait, ok := t.tryReclaimSlot(now)
 	if reclaimed != nil {
 		_ = reclaimed.finishClose() // the descriptor is free in any case
 	}
 	return wait, ok
 }
 
-// tryFreeSlot is ensureSlot, except that its caller closes the connection that was reclaimed, if any.
-func (t *connectionTable) tryFreeSlot(now time.Time) (reclaimed *connection, wait time.Duration, ok bool) {
+// tryReclaimSlot is ensureSlot, except that its caller closes the connection that was reclaimed, if any.
+func (t *connectionTable) tryReclaimSlot(now time.Time) (reclaimed *connection, wait time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.limit == 0 || t.open < t.limit {
+	if t.maxOpen == 0 || t.open < t.maxOpen {
 		return nil, 0, true
 	}
 	reclaimed, wait = t.reclaimIdle(now)
 	if reclaimed == nil {
-		return nil, max(wait, minSlotWait), false
+		return nil, max(wait, minSlotRetryInterval), false
 	}
 	return reclaimed, 0, true
 }
@@ -106,8 +106,8 @@
 func (t *connectionTable) reclaimIdle(now time.Time) (reclaimed *connection, wait time.Duration) {
 	wait = t.timeouts.ReclaimIdle
 	for c := range t.idle.all() {
-		minIdle := t.minIdle(c)
-		if idle := now.Sub(c.state.idleSince); idle < minIdle {
+		minIdle := t.minIdleDuration(c)
+		if idle := now.Sub(c.state.idleAt); idle < minIdle {
 			wait = min(wait, minIdle-idle)
 			continue
 		}
@@ -121,9 +121,9 @@
 	return nil, wait
 }
 
-// minIdle is how long a connection must have been idle before it may be reclaimed.
-func (t *connectionTable) minIdle(c *connection) time.Duration {
-	if c.state.used {
+// minIdleDuration is how long a connection must have been idle before it may be reclaimed.
+func (t *connectionTable) minIdleDuration(c *connection) time.Duration {
+	if c.state.hadRequest {
 		return t.timeouts.ReclaimIdle
 	}
 	return t.timeouts.ReclaimUnused
@@ -131,7 +131,7 @@
 
 // closeUsedIdle is Server.CloseUsedIdle.
 func (t *connectionTable) closeUsedIdle() {
-	t.closeIdle(func(c *connection) bool { return c.state.used })
+	t.closeIdle(func(c *connection) bool { return c.state.hadRequest })
 }
 
 // closeAllIdle is Server.CloseAllIdle.
@@ -141,14 +141,14 @@
 
 // closeIdle closes the idle connections that match, and sets closeWhenIdle for good.
 func (t *connectionTable) closeIdle(match func(*connection) bool) {
-	for _, c := range t.beginCloseIdle(match) {
+	for _, c := range t.startCloseIdle(match) {
 		_ = c.finishClose() // nothing was under way on it
 	}
 }
 
-// beginCloseIdle sets closeWhenIdle, moves the idle connections that match to phaseClosing, and returns them. One whose
+// startCloseIdle sets closeWhenIdle, moves the idle connections that match to phaseClosing, and returns them. One whose
 // next request has come, though it is not read yet, is not idle.
-func (t *connectionTable) beginCloseIdle(match func(*connection) bool) (closing []*connection) {
+func (t *connectionTable) startCloseIdle(match func(*connection) bool) (closing []*connection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closeWhenIdle = true
@@ -165,7 +165,7 @@
 func (t *connectionTable) rejectIncomplete(status int) {
 	for c, number := range t.incompleteRequests() {
 		if c.rejectIncomplete(number) {
-			c.answerIncomplete(status)
+			c.writeRejection(status)
 		}
 	}
 }
@@ -181,8 +181,8 @@
 	return numbers
 }
 
-// waitUntilEmpty waits until no connection is open, or ctx ends.
-func (t *connectionTable) waitUntilEmpty(ctx context.Context) {
+// waitForAllClosed waits until no connection is open, or ctx ends.
+func (t *connectionTable) waitForAllClosed(ctx context.Context) {
 	for {
 		if open, _ := t.counts(); open == 0 {
 			return
@@ -195,10 +195,10 @@
 	}
 }
 
-// trackState is the ConnState hook of the http.Server.
-func (t *connectionTable) trackState(conn net.Conn, state http.ConnState) {
+// handleConnState is the ConnState hook of the http.Server.
+func (t *connectionTable) handleConnState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*connection)
-	if ok && c.noteServerState(state) {
+	if ok && c.handleConnState(state) {
 		_ = c.finishClose() // nothing was under way on it
 	}
 }
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -13,9 +13,9 @@
 	"ashshunt/internal/socket"
 )
 
-// disconnectCheckInterval is the time between two checks of an open request's connection, for disconnects that
+// disconnectPollInterval is the time between two checks of an open request's connection, for disconnects that
 // net/http does not see.
-const disconnectCheckInterval = 100 * time.Millisecond
+const disconnectPollInterval = 100 * time.Millisecond
 
 // The causes, besides a malformed request, for which a request gets no response from the event loop.
 var (
@@ -23,8 +23,8 @@
 	errDisconnected = errors.New("client disconnected")
 	// errRejectedIncomplete: the request took too long to come, and has been answered.
 	errRejectedIncomplete = errors.New("request rejected before it was complete")
-	// errLoopEnded: the event loop has ended, and no response comes any more.
-	errLoopEnded = errors.New("event loop has ended")
+	// errLoopStopped: the event loop has ended, and no response comes any more.
+	errLoopStopped = errors.New("event loop has ended")
 	// errTooMuchUnread: so much has come behind the request that a disconnect would not be seen.
 	errTooMuchUnread = &RequestError{Status: http.StatusBadRequest, Reason: "too much behind a request"}
 )
@@ -37,22 +37,22 @@
 	tenants      []string       // by index
 	settings     balancer.Settings
 	timeouts     *Timeouts
-	nearLimit    func() bool // reports whether connections begin to run short
-	created      time.Time   // the wait for an endpoint list counts from here
+	isNearLimit  func() bool // reports whether connections begin to run short
+	createdAt    time.Time   // the wait for an endpoint list counts from here
 	shuttingDown atomic.Bool
 }
 
 func newHandler(c *config.Config, agentClock clock.Clock, loop EventLoop, timeouts *Timeouts,
-	nearLimit func() bool) *handler {
+	isNearLimit func() bool) *handler {
 	h := &handler{
-		loop:      loop,
-		clock:     agentClock,
-		classes:   map[string]int{},
-		tenants:   c.Names.Tenants,
-		settings:  c.Settings,
-		timeouts:  timeouts,
-		nearLimit: nearLimit,
-		created:   time.Now(),
+		loop:        loop,
+		clock:       agentClock,
+		classes:     map[string]int{},
+		tenants:     c.Names.Tenants,
+		settings:    c.Settings,
+		timeouts:    timeouts,
+		isNearLimit: isNearLimit,
+		createdAt:   time.Now(),
 	}
 	for i, name := range c.Names.Classes {
 		h.classes[name] = i
@@ -66,37 +66,37 @@
 		h.serveHealth(w)
 		return
 	}
-	response, err := h.process(r)
+	response, err := h.handleRequest(r)
 	if err != nil {
-		h.answerError(w, r, err)
+		h.handleError(w, r, err)
 		return
 	}
-	if h.shuttingDown.Load() || h.nearLimit() { // in a shutdown, the client's next request belongs to a new process
+	if h.shuttingDown.Load() || h.isNearLimit() { // in a shutdown, the client's next request belongs to a new process
 		w.Header().Set("Connection", "close")
 	}
 	writeResponse(w, response)
 }
 
-// process reads a request and returns the event loop's response to it.
-func (h *handler) process(r *http.Request) (Response, error) {
+// handleRequest reads a request and returns the event loop's response to it.
+func (h *handler) handleRequest(r *http.Request) (Response, error) {
 	request, err := h.readRequest(r)
 	if err != nil {
 		return Response{}, err
 	}
 	h.loop.Submit(request)
-	return h.awaitResponse(r, request)
+	return h.waitForResponse(r, request)
 }
 
-// answerError ends a request that gets no response from the event loop. A *RequestError is answered, also one that
+// handleError ends a request that gets no response from the event loop. A *RequestError is answered, also one that
 // comes after the request was submitted (errTooMuchUnread), and so is the end of the event loop; nothing else is.
-func (h *handler) answerError(w http.ResponseWriter, r *http.Request, err error) {
-	if invalid, ok := errors.AsType[*RequestError](err); ok {
-		if allowed := connectionOf(r).beginResponse(); allowed {
-			h.answerMalformed(w, r, invalid)
+func (h *handler) handleError(w http.ResponseWriter, r *http.Request, err error) {
+	if requestErr, ok := errors.AsType[*RequestError](err); ok {
+		if allowed := connectionOf(r).startResponse(); allowed {
+			h.rejectMalformed(w, r, requestErr)
 			return
 		}
 	}
-	if errors.Is(err, errLoopEnded) {
+	if errors.Is(err, errLoopStopped) {
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
@@ -106,7 +106,7 @@
 // readRequest reads a request to its last byte, from which its time counts.
 func (h *handler) readRequest(r *http.Request) (*Request, error) {
 	arrived := time.Now()
-	if err := checkFraming(r); err != nil {
+	if err := validateFraming(r); err != nil {
 		return nil, err
 	}
 	request, err := h.parseHead(r)
@@ -120,25 +120,25 @@
 		arrived = time.Now()
 	}
 	conn := connectionOf(r)
-	if !conn.beginResponse() {
+	if !conn.startResponse() {
 		return nil, errRejectedIncomplete
 	}
 	// The client may have gone while its request waited to be read.
-	if err := checkDisconnect(conn); err != nil {
+	if err := detectDisconnect(conn); err != nil {
 		return nil, err
 	}
-	request.ClientGone = func() bool { return socket.Peer(conn.Conn).Gone() }
-	request.Arrived = h.clock.FromTime(arrived)
-	request.Deadline = request.Arrived + request.Event.Timeout
+	request.IsClientGone = func() bool { return socket.Peer(conn.Conn).IsGone() }
+	request.ArrivedAt = h.clock.FromTime(arrived)
+	request.Deadline = request.ArrivedAt + request.Event.Timeout
 	return request, nil
 }
 
-// awaitResponse waits for the response to a submitted request, and abandons the request if its client disconnects
+// waitForResponse waits for the response to a submitted request, and abandons the request if its client disconnects
 // first. net/http looks for a disconnect until it has read a byte behind the request; from then on, the connection is
 // checked at intervals.
-func (h *handler) awaitResponse(r *http.Request, request *Request) (Response, error) {
+func (h *handler) waitForResponse(r *http.Request, request *Request) (Response, error) {
 	conn := connectionOf(r)
-	ticker := time.NewTicker(disconnectCheckInterval)
+	ticker := time.NewTicker(disconnectPollInterval)
 	defer ticker.Stop()
 	var err error
 	for err == nil {
@@ -146,20 +146,20 @@
 		case response := <-request.response:
 			return response, nil
 		case <-h.loop.Done():
-			return Response{}, errLoopEnded
+			return Response{}, errLoopStopped
 		case <-r.Context().Done():
 			err = errDisconnected
 		case <-ticker.C:
-			err = checkDisconnect(conn)
+			err = detectDisconnect(conn)
 		}
 	}
 	h.loop.Abandon(request)
 	return Response{}, err
 }
 
-// checkDisconnect fails if a client has disconnected, or if so much waits behind its request that a disconnect would
+// detectDisconnect fails if a client has disconnected, or if so much waits behind its request that a disconnect would
 // not be seen.
-func checkDisconnect(conn *connection) error {
+func detectDisconnect(conn *connection) error {
 	switch peer := socket.Peer(conn.Conn); {
 	case peer.Closed:
 		return errDisconnected
--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -11,8 +11,8 @@
 	"ashshunt/internal/testutil"
 )
 
-// silent leaves a request without an answer.
-func silent(*Request) {}
+// neverRespond leaves a request without an answer.
+func neverRespond(*Request) {}
 
 // What the event loop gets is the request as the client sent it.
 func TestSubmittedRequest(t *testing.T) {
@@ -38,8 +38,8 @@
 		event.Timeout != 700*time.Millisecond || event.Work != 250500*time.Nanosecond {
 		t.Errorf("event %+v", event)
 	}
-	if request.Deadline-request.Arrived != event.Timeout {
-		t.Errorf("deadline %v after the arrival", request.Deadline-request.Arrived)
+	if request.Deadline-request.ArrivedAt != event.Timeout {
+		t.Errorf("deadline %v after the arrival", request.Deadline-request.ArrivedAt)
 	}
 }
 
@@ -48,16 +48,16 @@
 	for name, behind := range map[string]string{"nothing behind": "", "a byte behind": "G"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), silent, nil)
+			server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), neverRespond, nil)
 			client := testutil.Dial(t, server.Addr(), testutil.Get(id)+behind)
 			request := testutil.Receive(t, loop.received)
-			if request.ClientGone() {
+			if request.IsClientGone() {
 				t.Error("gone while its client waits")
 			}
 			if err := client.Close(); err != nil {
 				t.Fatal(err)
 			}
-			if abandoned := testutil.Receive(t, loop.abandoned); abandoned != request || !request.ClientGone() {
+			if abandoned := testutil.Receive(t, loop.abandoned); abandoned != request || !request.IsClientGone() {
 				t.Errorf("abandoned: %+v", abandoned)
 			}
 		})
@@ -67,7 +67,7 @@
 // The request of a client that floods its connection is abandoned, since a disconnect would not be seen.
 func TestFloodedConnection(t *testing.T) {
 	t.Parallel()
-	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), silent, nil)
+	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), neverRespond, nil)
 	client := testutil.Dial(t, server.Addr(), testutil.Get(id))
 	request := testutil.Receive(t, loop.received)
 	go func() { _, _ = io.WriteString(client, strings.Repeat("x", 1<<16)) }() // ends with the connection
@@ -80,9 +80,9 @@
 }
 
 // The end of the event loop fails what waits for a response.
-func TestLoopHasEnded(t *testing.T) {
+func TestEventLoopStopped(t *testing.T) {
 	t.Parallel()
-	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), silent, nil)
+	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), neverRespond, nil)
 	client := testutil.Dial(t, server.Addr(), testutil.Get(id))
 	testutil.Receive(t, loop.received)
 	close(loop.done)
@@ -94,8 +94,8 @@
 func TestRequestError(t *testing.T) {
 	cause := errors.New("cause")
 	var err error = &RequestError{Status: http.StatusBadRequest, Reason: "bad body", Err: cause}
-	var invalid *RequestError
-	if !errors.As(err, &invalid) || !errors.Is(err, cause) || err.Error() != "bad body: cause" {
+	var requestErr *RequestError
+	if !errors.As(err, &requestErr) || !errors.Is(err, cause) || err.Error() != "bad body: cause" {
 		t.Errorf("error %v", err)
 	}
 	if text := badRequest("reason").Error(); text != "reason" {
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -28,5 +28,5 @@
 	if h.shuttingDown.Load() {
 		return false
 	}
-	return h.loop.HasServingEndpoint() || time.Since(h.created) >= h.timeouts.ReadyWithoutEndpoints
+	return h.loop.HasServingEndpoint() || time.Since(h.createdAt) >= h.timeouts.ReadyWithoutEndpoints
 }
--- a/internal/frontend/health_test.go
+++ b/internal/frontend/health_test.go
@@ -22,8 +22,8 @@
 // down.
 func TestHealth(t *testing.T) {
 	t.Parallel()
-	loop := newFakeLoop(echo)
-	server := startServerOf(t, testutil.Config(t, "127.0.0.1:1"), loop, nil)
+	loop := newFakeEventLoop(echo)
+	server := startServerWithLoop(t, testutil.Config(t, "127.0.0.1:1"), loop, nil)
 	if status := healthStatus(t, server); status != http.StatusServiceUnavailable {
 		t.Errorf("before the first step: status %d", status)
 	}
--- a/internal/frontend/idlelist.go
+++ b/internal/frontend/idlelist.go
@@ -15,7 +15,7 @@
 
 // add appends a connection that becomes idle now.
 func (l *idleList) add(c *connection) {
-	c.state.idleSince = time.Now()
+	c.state.idleAt = time.Now()
 	c.state.idleElement = l.elements.PushBack(c)
 }
 
--- a/internal/frontend/incomplete_test.go
+++ b/internal/frontend/incomplete_test.go
@@ -50,7 +50,7 @@
 }
 
 // A request that has begun is not closed as idle, even if its connection's idle timeout ends in the middle of it.
-func TestRequestBegunWhileIdle(t *testing.T) {
+func TestIdleTimeoutDuringRequest(t *testing.T) {
 	for name, text := range incompleteRequests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -78,7 +78,7 @@
 func TestSlowRequest(t *testing.T) {
 	t.Parallel()
 	server, _ := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, func(s *Server) {
-		s.Timeouts.ReadRequest, s.Timeouts.ReadSlowRequest = 2*time.Second, testutil.Timeout
+		s.Timeouts.ReadStall, s.Timeouts.ReadTotal = 2*time.Second, testutil.Timeout
 	})
 	text := testutil.Post(id, "Content-Length: 10\r\n") + "half whole"
 	client := testutil.Dial(t, server.Addr(), text[:10])
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -25,29 +25,29 @@
 	table *connectionTable
 	log   *slog.Logger
 
-	stopped  chan struct{} // closed by Close
-	stopOnce sync.Once
+	closed    chan struct{} // closed by Close
+	closeOnce sync.Once
 }
 
-func newListener(l net.Listener, table *connectionTable, log *slog.Logger) *connectionListener {
-	return &connectionListener{Listener: l, table: table, log: log, stopped: make(chan struct{})}
+func newConnectionListener(l net.Listener, table *connectionTable, log *slog.Logger) *connectionListener {
+	return &connectionListener{Listener: l, table: table, log: log, closed: make(chan struct{})}
 }
 
 // Accept returns the next connection once the limit allows it. Those that come meanwhile wait in the system's queue,
 // where they cost nothing.
 func (l *connectionListener) Accept() (net.Conn, error) {
-	if err := l.awaitSlot(); err != nil {
+	if err := l.waitForSlot(); err != nil {
 		return nil, err
 	}
-	accepted, err := l.acceptNext()
+	accepted, err := l.acceptWithRetry()
 	if err != nil {
 		return nil, err
 	}
 	return l.table.add(accepted), nil
 }
 
-// awaitSlot waits until the limit allows one more connection.
-func (l *connectionListener) awaitSlot() error {
+// waitForSlot waits until the limit allows one more connection.
+func (l *connectionListener) waitForSlot() error {
 	for {
 		wait, ok := l.table.ensureSlot(time.Now())
 		if ok {
@@ -59,9 +59,9 @@
 	}
 }
 
-// acceptNext accepts the next connection. Accept fails for many causes that are over in a moment, and an end of the
+// acceptWithRetry accepts the next connection. Accept fails for many causes that are over in a moment, and an end of the
 // agent mends none of the others: it is called again until the listener is closed.
-func (l *connectionListener) acceptNext() (net.Conn, error) {
+func (l *connectionListener) acceptWithRetry() (net.Conn, error) {
 	for backoff := initialAcceptBackoff; ; backoff = min(acceptBackoffFactor*backoff, maxAcceptBackoff) {
 		accepted, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
@@ -81,14 +81,14 @@
 	select {
 	case <-timer.C:
 	case <-wake:
-	case <-l.stopped:
+	case <-l.closed:
 	}
 	return !l.isClosed()
 }
 
 func (l *connectionListener) isClosed() bool {
 	select {
-	case <-l.stopped:
+	case <-l.closed:
 		return true
 	default:
 		return false
@@ -97,8 +97,8 @@
 
 // Close closes the listener and ends a wait for a slot. net/http closes it as well, once that wait is over.
 func (l *connectionListener) Close() (err error) {
-	l.stopOnce.Do(func() {
-		close(l.stopped)
+	l.closeOnce.Do(func() {
+		close(l.closed)
 		err = l.Listener.Close()
 	})
 	return err
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -12,9 +12,9 @@
 	"ashshunt/internal/testutil"
 )
 
-// reclaimAtOnce has a server reclaim connections as soon as their response is out, but not those whose first request
+// reclaimImmediately has a server reclaim connections as soon as their response is out, but not those whose first request
 // has yet to come: on a slow machine that takes a while.
-func reclaimAtOnce(s *Server) {
+func reclaimImmediately(s *Server) {
 	s.Timeouts.ReclaimIdle, s.Timeouts.ReclaimUnused = time.Millisecond, testutil.Timeout
 }
 
@@ -32,9 +32,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			config := testutil.Config(t, "127.0.0.1:1")
-			config.Descriptors = 8 // 4 for clients
+			config.MaxDescriptors = 8 // 4 for clients
 			server, _ := startServer(t, config, echo, func(s *Server) {
-				reclaimAtOnce(s)
+				reclaimImmediately(s)
 				s.Timeouts.ReclaimUnused = test.reclaimUnused
 			})
 			for i := range 12 {
@@ -59,12 +59,12 @@
 	t.Parallel()
 	gate, submitted := make(chan struct{}), make(chan *Request, 2)
 	config := testutil.Config(t, "127.0.0.1:1")
-	config.Descriptors = 2 // 1 for clients
+	config.MaxDescriptors = 2 // 1 for clients
 	server, _ := startServer(t, config, func(r *Request) {
 		submitted <- r
 		<-gate
 		echo(r)
-	}, reclaimAtOnce)
+	}, reclaimImmediately)
 	first := testutil.Dial(t, server.Addr(), testutil.Post(id, ""))
 	testutil.Receive(t, submitted)
 	second := testutil.Dial(t, server.Addr(), testutil.Post(otherID, "")) // waits in the system's queue
@@ -82,10 +82,10 @@
 
 // Clients that keep a connection after one request, for as long as it may not be reclaimed, must not keep others out:
 // near the limit, each connection is closed with its response.
-func TestConnectionsNearTheLimitCloseWithTheResponse(t *testing.T) {
+func TestResponsesCloseConnectionsNearLimit(t *testing.T) {
 	t.Parallel()
 	config := testutil.Config(t, "127.0.0.1:1")
-	config.Descriptors = 8 // 4 for clients
+	config.MaxDescriptors = 8 // 4 for clients
 	server, _ := startServer(t, config, echo, func(s *Server) {
 		s.Timeouts.ReclaimIdle = time.Hour
 		s.Timeouts.Idle = time.Hour
@@ -98,8 +98,8 @@
 	}
 }
 
-// listenerClient connects to a listener and returns both ends of the connection.
-func listenerClient(t *testing.T, listener *connectionListener) (client net.Conn, accepted *connection) {
+// dialAndAccept connects to a listener and returns both ends of the connection.
+func dialAndAccept(t *testing.T, listener *connectionListener) (client net.Conn, accepted *connection) {
 	t.Helper()
 	client = testutil.Dial(t, listener.Addr(), "")
 	conn, err := listener.Accept()
@@ -110,7 +110,7 @@
 	if !ok {
 		t.Fatalf("accepted a %T", conn)
 	}
-	listener.table.trackState(accepted, http.StateNew)
+	listener.table.handleConnState(accepted, http.StateNew)
 	return client, accepted
 }
 
@@ -121,19 +121,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	table := newConnectionTable(1, &Timeouts{ReadRequest: testutil.Timeout})
-	listener := newListener(inner, table, testutil.NewLogger(&testutil.Log{}))
+	table := newConnectionTable(1, &Timeouts{ReadStall: testutil.Timeout})
+	listener := newConnectionListener(inner, table, testutil.NewLogger(&testutil.Log{}))
 	t.Cleanup(func() { _ = listener.Close() })
 	return listener
 }
 
 // A shutdown, or a lack of slots, must not close a connection under a request which has come but is not read yet, or
 // is being read: whichever of the two is first has the connection.
-func TestNoCloseUnderARequest(t *testing.T) {
+func TestPendingRequestIsNotClosed(t *testing.T) {
 	listener := newTestListener(t)
 	buffer := make([]byte, 10)
 
-	client, conn := listenerClient(t, listener)
+	client, conn := dialAndAccept(t, listener)
 	testutil.Write(t, client, "request")
 	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(conn.Conn) })
 	listener.table.closeAllIdle()
@@ -152,23 +152,23 @@
 		t.Error(err)
 	}
 
-	client, conn = listenerClient(t, listener)
-	previous := conn.beginClose() // it was about to be closed as the request came
+	client, conn = dialAndAccept(t, listener)
+	previous := conn.startClose() // it was about to be closed as the request came
 	testutil.Write(t, client, "request")
 	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(conn.Conn) })
 	if n, err := conn.Read(buffer); n != 0 || err == nil {
 		t.Errorf("read %d bytes of a closing connection, %v", n, err)
 	}
-	if previous == phaseClosing || conn.beginClose() != phaseClosing {
+	if previous == phaseClosing || conn.startClose() != phaseClosing {
 		t.Error("a connection must begin to close once")
 	}
 	if err := conn.finishClose(); err != nil {
 		t.Error(err)
 	}
 
-	_, conn = listenerClient(t, listener)
-	listener.table.trackState(conn, http.StateActive)
-	listener.table.trackState(conn, http.StateIdle) // its response was on its way out as the shutdown began
+	_, conn = dialAndAccept(t, listener)
+	listener.table.handleConnState(conn, http.StateActive)
+	listener.table.handleConnState(conn, http.StateIdle) // its response was on its way out as the shutdown began
 	if open, _ := listener.table.counts(); conn.state.phase != phaseClosing || open != 0 {
 		t.Errorf("idle in a shutdown: phase %d, %d open", conn.state.phase, open)
 	}
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -25,8 +25,8 @@
 	requestIDLength = 16
 )
 
-// singleHeaders are the headers that a request may carry only once, since nothing says which of two values counts.
-var singleHeaders = []string{
+// singleValueHeaders are the headers that a request may carry only once, since nothing says which of two values counts.
+var singleValueHeaders = []string{
 	protocol.HeaderRequestID,
 	protocol.HeaderTimeout,
 	protocol.HeaderIdempotencyKey,
@@ -56,10 +56,10 @@
 	return &RequestError{Status: http.StatusBadRequest, Reason: reason}
 }
 
-// checkFraming checks what determines the end of a request, before any of its body is read. net/http drops the length
+// validateFraming checks what determines the end of a request, before any of its body is read. net/http drops the length
 // of a request that is also chunked, and the encoding of one in HTTP/1.0, and goes on: a server that reads it the other
 // way finds a second request in the body. So neither is accepted.
-func checkFraming(r *http.Request) error {
+func validateFraming(r *http.Request) error {
 	switch {
 	case r.ProtoMajor != 1 || r.ProtoMinor != 1:
 		return &RequestError{Status: http.StatusHTTPVersionNotSupported, Reason: "HTTP/1.1 wanted"}
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	idempotency := h.settings.Classes[class].Idempotency
-	if err := checkHead(r, idempotency); err != nil {
+	if err := validateHead(r, idempotency); err != nil {
 		return nil, err
 	}
 	event, err := h.parseEvent(r, class)
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	target, err := requestTarget(r)
+	target, err := parseTarget(r)
 	if err != nil {
 		return nil, err
 	}
@@ -103,9 +103,9 @@
 	return request, nil
 }
 
-// checkHead checks a head as a whole, apart from the values of its headers.
-func checkHead(r *http.Request, idempotency balancer.Idempotency) error {
-	for _, name := range singleHeaders {
+// validateHead checks a head as a whole, apart from the values of its headers.
+func validateHead(r *http.Request, idempotency balancer.Idempotency) error {
+	for _, name := range singleValueHeaders {
 		if len(r.Header[name]) > 1 {
 			return badRequest(name + " twice")
 		}
@@ -220,8 +220,8 @@
 	return 0
 }
 
-// requestTarget is the path and query as the client sent them, unchanged.
-func requestTarget(r *http.Request) (*url.URL, error) {
+// parseTarget is the path and query as the client sent them, unchanged.
+func parseTarget(r *http.Request) (*url.URL, error) {
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return r.URL, nil
 	}
--- a/internal/frontend/parse_test.go
+++ b/internal/frontend/parse_test.go
@@ -51,7 +51,7 @@
 			t.Errorf("%s: status %d, want %d", test.name, response.StatusCode, test.want)
 		}
 	}
-	if n := loop.submitted.Load(); n != 0 {
+	if n := loop.submittedCount.Load(); n != 0 {
 		t.Errorf("the event loop got %d requests", n)
 	}
 }
@@ -102,7 +102,7 @@
 			t.Errorf("%s: the connection was kept", test.name)
 		}
 	}
-	if n := loop.submitted.Load(); n != 0 {
+	if n := loop.submittedCount.Load(); n != 0 {
 		t.Errorf("the event loop got %d requests", n)
 	}
 }
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -15,11 +15,11 @@
 	Host           string
 	Target         *url.URL // path and query, as the client sent them
 	Body           []byte
-	Arrived        time.Duration // when its last byte had come, on the agent's clock
+	ArrivedAt      time.Duration // when its last byte had come, on the agent's clock
 	Deadline       time.Duration // when the client's timeout ends, on the agent's clock
-	// ClientGone reports whether the client has closed its connection, or has sent so much behind the request that a
+	// IsClientGone reports whether the client has closed its connection, or has sent so much behind the request that a
 	// close would not be seen. The event loop may not know it yet.
-	ClientGone func() bool
+	IsClientGone func() bool
 
 	response chan Response
 }
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -20,14 +20,14 @@
 	_, _ = w.Write(response.Body) // an error here means that the client has gone
 }
 
-// answerMalformed answers a malformed request and closes its connection, since what follows on it can't be trusted.
+// rejectMalformed answers a malformed request and closes its connection, since what follows on it can't be trusted.
 // Some of the body is read all the same: a close over unread bytes resets the connection, and the answer may be lost
 // with it. Errors are ignored, since the connection ends in any case.
-func (h *handler) answerMalformed(w http.ResponseWriter, r *http.Request, invalid *RequestError) {
+func (h *handler) rejectMalformed(w http.ResponseWriter, r *http.Request, requestErr *RequestError) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(h.timeouts.MalformedLinger))
 	w.Header().Set("Connection", "close")
-	http.Error(w, invalid.Reason, invalid.Status)
+	http.Error(w, requestErr.Reason, requestErr.Status)
 	_ = controller.Flush()
 	_, _ = io.CopyN(io.Discard, r.Body, maxLingerBytes)
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -19,11 +19,11 @@
 // The timeouts in service, one for each field of Timeouts.
 const (
 	// A first byte that comes just in time leaves minReadTime until ReadRequest, which counts from the connect, ends.
-	defaultFirstByteTimeout       = defaultReadRequestTimeout - minReadTime
-	defaultReadRequestTimeout     = 2800 * time.Millisecond
-	defaultReadSlowRequestTimeout = 4500 * time.Millisecond
-	defaultReclaimIdleTimeout     = 2 * time.Second
-	defaultReclaimUnusedTimeout   = 250 * time.Millisecond
+	defaultFirstByteTimeout     = defaultReadStallTimeout - minReadTimeout
+	defaultReadStallTimeout     = 2800 * time.Millisecond
+	defaultReadTotalTimeout     = 4500 * time.Millisecond
+	defaultReclaimIdleTimeout   = 2 * time.Second
+	defaultReclaimUnusedTimeout = 250 * time.Millisecond
 	// The connection stays a little longer than until it may be reclaimed; the reason of the size is not recorded.
 	defaultIdleTimeout                  = defaultReclaimIdleTimeout + 100*time.Millisecond
 	defaultMalformedLingerTimeout       = 100 * time.Millisecond
@@ -34,11 +34,11 @@
 type Timeouts struct {
 	// FirstByte is how long a new connection may be silent.
 	FirstByte time.Duration
-	// ReadRequest is how long a client may pause within a request. Until the request's second read it counts from the
+	// ReadStall is how long a client may pause within a request. Until the request's second read it counts from the
 	// first byte, or from the connect for the first request of a connection.
-	ReadRequest time.Duration
-	// ReadSlowRequest is how long a request may take in all if its client goes on sending.
-	ReadSlowRequest time.Duration
+	ReadStall time.Duration
+	// ReadTotal is how long a request may take in all if its client goes on sending.
+	ReadTotal time.Duration
 	// Idle ends a connection that has had no request for so long. Clients hold half of the descriptors at most: those
 	// that stay after one request would keep the others out.
 	Idle time.Duration
@@ -58,8 +58,8 @@
 func DefaultTimeouts() Timeouts {
 	return Timeouts{
 		FirstByte:             defaultFirstByteTimeout,
-		ReadRequest:           defaultReadRequestTimeout,
-		ReadSlowRequest:       defaultReadSlowRequestTimeout,
+		ReadStall:             defaultReadStallTimeout,
+		ReadTotal:             defaultReadTotalTimeout,
 		Idle:                  defaultIdleTimeout,
 		ReclaimIdle:           defaultReclaimIdleTimeout,
 		ReclaimUnused:         defaultReclaimUnusedTimeout,
@@ -83,12 +83,12 @@
 func NewServer(listener net.Listener, c *config.Config, agentClock clock.Clock, loop EventLoop,
 	log *slog.Logger) *Server {
 	s := &Server{Timeouts: DefaultTimeouts()}
-	s.connections = newConnectionTable(c.ClientConnections(), &s.Timeouts)
-	s.listener = newListener(listener, s.connections, log)
-	s.handler = newHandler(c, agentClock, loop, &s.Timeouts, s.connections.nearLimit)
+	s.connections = newConnectionTable(c.MaxClientConnections(), &s.Timeouts)
+	s.listener = newConnectionListener(listener, s.connections, log)
+	s.handler = newHandler(c, agentClock, loop, &s.Timeouts, s.connections.isNearLimit)
 	s.http = &http.Server{
 		Handler:        s.handler,
-		ConnState:      s.connections.trackState,
+		ConnState:      s.connections.handleConnState,
 		ConnContext:    withConnection,
 		MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
@@ -124,11 +124,11 @@
 // in any case.
 func (s *Server) StopAccepting() { _ = s.listener.Close() }
 
-// WaitUntilEmpty waits until no connection is open, or ctx ends.
-func (s *Server) WaitUntilEmpty(ctx context.Context) { s.connections.waitUntilEmpty(ctx) }
+// WaitForAllClosed waits until no connection is open, or ctx ends.
+func (s *Server) WaitForAllClosed(ctx context.Context) { s.connections.waitForAllClosed(ctx) }
 
 // Close closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Connections returns how many connections are open, and how many of these are on the idle list. It is for tests alone.
-func (s *Server) Connections() (open, idle int) { return s.connections.counts() }
+// ConnectionCounts returns how many connections are open, and how many of these are on the idle list. It is for tests alone.
+func (s *Server) ConnectionCounts() (open, idle int) { return s.connections.counts() }
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -18,20 +18,20 @@
 	otherID = "00000000000000a2"
 )
 
-// fakeLoop is an event loop whose answers come from the test.
-type fakeLoop struct {
-	answer     func(*Request)
-	submitted  atomic.Int32
-	received   chan *Request
-	abandoned  chan *Request
-	ready      chan struct{}
-	done       chan struct{}
-	noEndpoint atomic.Bool
+// fakeEventLoop is an event loop whose answers come from the test.
+type fakeEventLoop struct {
+	respond        func(*Request)
+	submittedCount atomic.Int32
+	received       chan *Request
+	abandoned      chan *Request
+	ready          chan struct{}
+	done           chan struct{}
+	noEndpoint     atomic.Bool
 }
 
-func newFakeLoop(answer func(*Request)) *fakeLoop {
-	return &fakeLoop{
-		answer:    answer,
+func newFakeEventLoop(respond func(*Request)) *fakeEventLoop {
+	return &fakeEventLoop{
+		respond:   respond,
 		received:  make(chan *Request, 100),
 		abandoned: make(chan *Request, 100),
 		ready:     make(chan struct{}),
@@ -39,16 +39,16 @@
 	}
 }
 
-func (l *fakeLoop) Submit(r *Request) {
-	l.submitted.Add(1)
+func (l *fakeEventLoop) Submit(r *Request) {
+	l.submittedCount.Add(1)
 	l.received <- r
-	go l.answer(r)
+	go l.respond(r)
 }
 
-func (l *fakeLoop) Abandon(r *Request)       { l.abandoned <- r }
-func (l *fakeLoop) Ready() <-chan struct{}   { return l.ready }
-func (l *fakeLoop) Done() <-chan struct{}    { return l.done }
-func (l *fakeLoop) HasServingEndpoint() bool { return !l.noEndpoint.Load() }
+func (l *fakeEventLoop) Abandon(r *Request)       { l.abandoned <- r }
+func (l *fakeEventLoop) Ready() <-chan struct{}   { return l.ready }
+func (l *fakeEventLoop) Done() <-chan struct{}    { return l.done }
+func (l *fakeEventLoop) HasServingEndpoint() bool { return !l.noEndpoint.Load() }
 
 // echo answers with the body of the request.
 func echo(r *Request) {
@@ -57,23 +57,24 @@
 
 // startServer runs a server with an event loop that has taken its first step until the test ends. prepare, if there is
 // one, may change it first.
-func startServer(t *testing.T, c *config.Config, answer func(*Request), prepare func(*Server)) (*Server, *fakeLoop) {
+func startServer(t *testing.T, c *config.Config, respond func(*Request),
+	configure func(*Server)) (*Server, *fakeEventLoop) {
 	t.Helper()
-	loop := newFakeLoop(answer)
+	loop := newFakeEventLoop(respond)
 	close(loop.ready)
-	return startServerOf(t, c, loop, prepare), loop
+	return startServerWithLoop(t, c, loop, configure), loop
 }
 
-// startServerOf is startServer with a given event loop.
-func startServerOf(t *testing.T, c *config.Config, loop *fakeLoop, prepare func(*Server)) *Server {
+// startServerWithLoop is startServer with a given event loop.
+func startServerWithLoop(t *testing.T, c *config.Config, loop *fakeEventLoop, configure func(*Server)) *Server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := NewServer(listener, c, clock.New(), loop, testutil.NewLogger(&testutil.Log{}))
-	if prepare != nil {
-		prepare(server)
+	if configure != nil {
+		configure(server)
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve() }()
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -12,8 +12,8 @@
 	"ashshunt/balancer"
 )
 
-// Open has what an instance starts with. Nothing of an earlier instance with its number is kept.
-type Open struct {
+// OpenInstance has what an instance starts with. Nothing of an earlier instance with its number is kept.
+type OpenInstance struct {
 	Seed     uint64
 	Settings balancer.Settings
 }
@@ -23,7 +23,7 @@
 type InstanceEvent struct {
 	Line   int            // line number in the stream, from 1
 	Agent  int            // number of the instance
-	Open   *Open          // the instance starts
+	Open   *OpenInstance  // the instance starts
 	Retire bool           // the instance is killed
 	Event  balancer.Event // for the instance's balancer
 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -20,20 +20,20 @@
 // eventDecoders has a decoder for each kind of message that holds an event. Each checks that the fields of its kind are
 // there; the number of the instance is left to decoder.event.
 var eventDecoders = map[string]func(*decoder, *message) (InstanceEvent, error){
-	KindOpenInstance: (*decoder).openInstance,
-	kindRetire:       (*decoder).retire,
-	kindView:         (*decoder).endpointList,
-	kindSubmit:       (*decoder).request,
-	kindEnded:        (*decoder).outcome,
-	kindProbeDone:    (*decoder).healthCheckResult,
-	kindStreaming:    (*decoder).streamStarted,
-	kindExpired:      (*decoder).abandoned,
-	kindReminder:     (*decoder).timerFired,
-	kindPeer:         (*decoder).gossipMessage,
+	KindOpenInstance: (*decoder).decodeOpenInstance,
+	kindRetire:       (*decoder).decodeRetire,
+	kindView:         (*decoder).decodeEndpointList,
+	kindSubmit:       (*decoder).decodeRequest,
+	kindEnded:        (*decoder).decodeOutcome,
+	kindProbeDone:    (*decoder).decodeHealthCheckResult,
+	kindStreaming:    (*decoder).decodeStreamStarted,
+	kindExpired:      (*decoder).decodeAbandoned,
+	kindReminder:     (*decoder).decodeTimerFired,
+	kindPeer:         (*decoder).decodeGossipMessage,
 }
 
-// event returns the event that m holds.
-func (d *decoder) event(m *message) (InstanceEvent, error) {
+// decodeEvent returns the decodeEvent that m holds.
+func (d *decoder) decodeEvent(m *message) (InstanceEvent, error) {
 	decode, ok := eventDecoders[m.Kind]
 	if !ok {
 		return InstanceEvent{}, ErrUnknownMessage
@@ -43,7 +43,7 @@
 		return InstanceEvent{}, err
 	}
 	if m.Agent == nil {
-		return InstanceEvent{}, missing("Agent")
+		return InstanceEvent{}, newMissingFieldError("Agent")
 	}
 	event.Agent = *m.Agent
 	return event, nil
@@ -52,11 +52,11 @@
 // defineList keeps the endpoint list that m holds.
 func (d *decoder) defineList(m *message) error {
 	if m.Sheet == nil || m.Items == nil {
-		return missing("Sheet", "Items")
+		return newMissingFieldError("Sheet", "Items")
 	}
 	list := make([]balancer.Endpoint, 0, len(*m.Items))
 	for _, item := range *m.Items {
-		endpoint, err := item.endpoint()
+		endpoint, err := item.toEndpoint()
 		if err != nil {
 			return err
 		}
@@ -66,13 +66,13 @@
 	return nil
 }
 
-func (item *listItem) endpoint() (balancer.Endpoint, error) {
-	state, err := endpointStateWords.meaning(item.Availability)
+func (item *listItem) toEndpoint() (balancer.Endpoint, error) {
+	state, err := endpointStateField.parse(item.Availability)
 	if err != nil {
 		return balancer.Endpoint{}, err
 	}
 	if item.Backend == "" {
-		return balancer.Endpoint{}, missing("Backend")
+		return balancer.Endpoint{}, newMissingFieldError("Backend")
 	}
 	return balancer.Endpoint{
 		ID:        item.Backend,
@@ -85,24 +85,26 @@
 	}, nil
 }
 
-func (d *decoder) openInstance(m *message) (InstanceEvent, error) {
+func (d *decoder) decodeOpenInstance(m *message) (InstanceEvent, error) {
 	if m.RandomSeed == nil || m.Facts == nil {
-		return InstanceEvent{}, missing("RandomSeed", "Facts")
+		return InstanceEvent{}, newMissingFieldError("RandomSeed", "Facts")
 	}
 	settings, _, err := config.ParseSettings(m.Facts)
 	if err != nil {
 		return InstanceEvent{}, err
 	}
-	return InstanceEvent{Open: &Open{Seed: *m.RandomSeed, Settings: settings}}, nil
+	return InstanceEvent{Open: &OpenInstance{Seed: *m.RandomSeed, Settings: settings}}, nil
 }
 
-func (d *decoder) retire(*message) (InstanceEvent, error) { return InstanceEvent{Retire: true}, nil }
+func (d *decoder) decodeRetire(*message) (InstanceEvent, error) {
+	return InstanceEvent{Retire: true}, nil
+}
 
-func (d *decoder) endpointList(m *message) (InstanceEvent, error) {
+func (d *decoder) decodeEndpointList(m *message) (InstanceEvent, error) {
 	if m.How == nil {
-		return InstanceEvent{}, missing("How")
+		return InstanceEvent{}, newMissingFieldError("How")
 	}
-	kind, err := listKindWords.meaning(*m.How)
+	kind, err := listKindField.parse(*m.How)
 	if err != nil {
 		return InstanceEvent{}, err
 	}
@@ -110,7 +112,7 @@
 		return InstanceEvent{Event: balancer.EndpointList{Kind: kind}}, nil
 	}
 	if m.Sheet == nil {
-		return InstanceEvent{}, missing("Sheet")
+		return InstanceEvent{}, newMissingFieldError("Sheet")
 	}
 	list, ok := d.lists[*m.Sheet]
 	if !ok {
@@ -119,9 +121,9 @@
 	return InstanceEvent{Event: balancer.EndpointList{Kind: kind, Endpoints: list}}, nil
 }
 
-func (d *decoder) request(m *message) (InstanceEvent, error) {
+func (d *decoder) decodeRequest(m *message) (InstanceEvent, error) {
 	if m.Job == nil || m.TierClass == nil || m.GraceMs == nil {
-		return InstanceEvent{}, missing("Job", "TierClass", "GraceMs")
+		return InstanceEvent{}, newMissingFieldError("Job", "TierClass", "GraceMs")
 	}
 	request := balancer.Request{
 		ID:          *m.Job,
@@ -138,11 +140,11 @@
 	return InstanceEvent{Event: request}, nil
 }
 
-func (d *decoder) outcome(m *message) (InstanceEvent, error) {
+func (d *decoder) decodeOutcome(m *message) (InstanceEvent, error) {
 	if m.Job == nil || m.Outcome == nil || m.SendNo == nil || m.Backend == nil || m.WaitTimeMs == nil {
-		return InstanceEvent{}, missing("Job", "Outcome", "SendNo", "Backend", "WaitTimeMs")
+		return InstanceEvent{}, newMissingFieldError("Job", "Outcome", "SendNo", "Backend", "WaitTimeMs")
 	}
-	result, err := resultWords.meaning(*m.Outcome)
+	result, err := resultField.parse(*m.Outcome)
 	if err != nil {
 		return InstanceEvent{}, err
 	}
@@ -157,11 +159,11 @@
 	}}, nil
 }
 
-func (d *decoder) healthCheckResult(m *message) (InstanceEvent, error) {
+func (d *decoder) decodeHealthCheckResult(m *message) (InstanceEvent, error) {
 	if m.Backend == nil || m.Outcome == nil || m.WaitTimeMs == nil {
-		return InstanceEvent{}, missing("Backend", "Outcome", "WaitTimeMs")
+		return InstanceEvent{}, newMissingFieldError("Backend", "Outcome", "WaitTimeMs")
 	}
-	result, err := resultWords.meaning(*m.Outcome)
+	result, err := resultField.parse(*m.Outcome)
 	if err != nil {
 		return InstanceEvent{}, err
 	}
@@ -173,30 +175,30 @@
 	}}, nil
 }
 
-func (d *decoder) streamStarted(m *message) (InstanceEvent, error) {
+func (d *decoder) decodeStreamStarted(m *message) (InstanceEvent, error) {
 	if m.Job == nil || m.SendNo == nil {
-		return InstanceEvent{}, missing("Job", "SendNo")
+		return InstanceEvent{}, newMissingFieldError("Job", "SendNo")
 	}
 	return InstanceEvent{Event: balancer.StreamStarted{Request: *m.Job, Attempt: *m.SendNo}}, nil
 }
 
-func (d *decoder) abandoned(m *message) (InstanceEvent, error) {
+func (d *decoder) decodeAbandoned(m *message) (InstanceEvent, error) {
 	if m.Job == nil {
-		return InstanceEvent{}, missing("Job")
+		return InstanceEvent{}, newMissingFieldError("Job")
 	}
 	return InstanceEvent{Event: balancer.Abandoned{Request: *m.Job}}, nil
 }
 
-func (d *decoder) timerFired(m *message) (InstanceEvent, error) {
+func (d *decoder) decodeTimerFired(m *message) (InstanceEvent, error) {
 	if m.Cookie == nil {
-		return InstanceEvent{}, missing("Cookie")
+		return InstanceEvent{}, newMissingFieldError("Cookie")
 	}
 	return InstanceEvent{Event: balancer.TimerFired{Token: *m.Cookie}}, nil
 }
 
-func (d *decoder) gossipMessage(m *message) (InstanceEvent, error) {
+func (d *decoder) decodeGossipMessage(m *message) (InstanceEvent, error) {
 	if m.From == nil || m.Text == nil {
-		return InstanceEvent{}, missing("From", "Msg")
+		return InstanceEvent{}, newMissingFieldError("From", "Msg")
 	}
 	data, err := hex.DecodeString(*m.Text)
 	if err != nil {
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -12,13 +12,13 @@
 
 const ms = time.Millisecond
 
-// frame returns a batch of messages.
-func frame(lines ...string) string {
+// batchOf returns a batch of messages.
+func batchOf(lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":1500.25}\n" + strings.Join(lines, "\n") + "\n{\"msg\":\"End\"}\n"
 }
 
 // Each kind of message becomes its event, and fields that the package does not know are ignored.
-func TestEvents(t *testing.T) {
+func TestDecodeEvents(t *testing.T) {
 	const list = `{"msg":"DefineList","Sheet":3,"Items":[` +
 		`{"Backend":"10.0.0.1:80","Availability":"on","Rating":1.5,"Block":2,"LaunchedMs":900,"Sku":1,"Dc":1},` +
 		`{"Backend":"10.0.0.2:80","Availability":"fading"},{"Backend":"10.0.0.3:80","Availability":"off"}]}`
@@ -59,7 +59,7 @@
 			balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: entries}},
 	}
 	for _, tt := range tests {
-		b, err := NewReader(strings.NewReader(frame(tt.line))).Next()
+		b, err := NewReader(strings.NewReader(batchOf(tt.line))).Next()
 		if err != nil {
 			t.Errorf("%s: %v", tt.line, err)
 			continue
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -53,8 +53,8 @@
 	return "missing " + strings.Join(e.Fields[:last], ", ") + " or " + e.Fields[last]
 }
 
-// missing returns a *MissingFieldError for the fields of which at least one is absent.
-func missing(fields ...string) error { return &MissingFieldError{Fields: fields} }
+// newMissingFieldError returns a *MissingFieldError for the fields of which at least one is absent.
+func newMissingFieldError(fields ...string) error { return &MissingFieldError{Fields: fields} }
 
 // FieldError reports a field whose value can't be decoded.
 type FieldError struct {
--- a/internal/simwire/line.go
+++ b/internal/simwire/line.go
@@ -21,79 +21,79 @@
 func (e *lineEncoder) encode(agent int, action balancer.Action) error {
 	switch a := action.(type) {
 	case balancer.Send:
-		e.begin(kindTry, agent).text("Job", a.Request).text("Backend", a.Endpoint)
-		e.positiveMilliseconds("PatienceMs", a.Timeout)
+		e.startMessage(kindTry, agent).text("Job", a.Request).text("Backend", a.Endpoint)
+		e.optionalMilliseconds("PatienceMs", a.Timeout)
 	case balancer.Cancel:
-		e.begin(kindCancel, agent).text("Job", a.Request).integer("SendNo", int64(a.Attempt))
+		e.startMessage(kindCancel, agent).text("Job", a.Request).integer("SendNo", int64(a.Attempt))
 	case balancer.Reject:
-		e.begin(kindSayNo, agent).text("Job", a.Request)
-		e.positiveMilliseconds("WaitMs", a.RetryAfter)
+		e.startMessage(kindSayNo, agent).text("Job", a.Request)
+		e.optionalMilliseconds("WaitMs", a.RetryAfter)
 	case balancer.Fail:
-		e.begin(kindDropRequest, agent).text("Job", a.Request)
+		e.startMessage(kindDropRequest, agent).text("Job", a.Request)
 	case balancer.SetTimer:
-		e.begin(kindSetTimer, agent).milliseconds("SpanMs", a.After).integer("Cookie", a.Token)
+		e.startMessage(kindSetTimer, agent).milliseconds("SpanMs", a.After).integer("Cookie", a.Token)
 	case balancer.HealthCheck:
-		e.begin(kindTest, agent).text("Backend", a.Endpoint)
+		e.startMessage(kindTest, agent).text("Backend", a.Endpoint)
 	case balancer.Gossip:
-		e.begin(kindWritePeer, agent).recipient("Whom", a).text("Msg", hex.EncodeToString(a.Data))
+		e.startMessage(kindWritePeer, agent).recipient("Whom", a).text("Msg", hex.EncodeToString(a.Data))
 	case balancer.Subscribe:
-		e.begin(kindKeepInformed, agent).literal("Enable", "true")
+		e.startMessage(kindKeepInformed, agent).literal("Enable", "true")
 	case balancer.Unsubscribe:
-		e.begin(kindKeepInformed, agent).literal("Enable", "false")
+		e.startMessage(kindKeepInformed, agent).literal("Enable", "false")
 	case balancer.PollEndpoints:
-		e.begin(kindListAll, agent)
+		e.startMessage(kindListAll, agent)
 	case balancer.CloseIdle:
-		e.begin(kindCloseIdle, agent).text("Backend", a.Endpoint)
+		e.startMessage(kindCloseIdle, agent).text("Backend", a.Endpoint)
 	case balancer.LogMessage:
-		e.begin(kindTrace, agent).text("Msg", a.Text)
+		e.startMessage(kindTrace, agent).text("Msg", a.Text)
 	default:
 		return &UnknownActionError{Action: action}
 	}
 	return nil
 }
 
-// begin starts a message of an instance. The methods below add fields to it.
-func (e *lineEncoder) begin(kind string, agent int) *lineEncoder {
-	e.beginObject(kind)
+// startMessage starts a message of an instance. The methods below add fields to it.
+func (e *lineEncoder) startMessage(kind string, agent int) *lineEncoder {
+	e.startObject(kind)
 	return e.integer("Agent", int64(agent))
 }
 
-// beginReplyEnd starts the message that ends a reply, which has no further field.
-func (e *lineEncoder) beginReplyEnd() { e.beginObject(kindEndOfReply) }
+// startReplyEnd starts the message that ends a reply, which has no further field.
+func (e *lineEncoder) startReplyEnd() { e.startObject(kindEndOfReply) }
 
-func (e *lineEncoder) beginObject(kind string) {
+func (e *lineEncoder) startObject(kind string) {
 	e.buffer = append(e.buffer[:0], `{"msg":"`...)
 	e.buffer = append(e.buffer, kind...)
 	e.buffer = append(e.buffer, '"')
 }
 
-// end returns the whole line, which is valid until the next begin.
-func (e *lineEncoder) end() []byte {
+// finish returns the whole line, which is valid until the next begin.
+func (e *lineEncoder) finish() []byte {
 	e.buffer = append(e.buffer, "}\n"...)
 	return e.buffer
 }
 
-func (e *lineEncoder) name(name string) {
+func (e *lineEncoder) fieldName(name string) {
 	e.buffer = append(e.buffer, `,"`...)
 	e.buffer = append(e.buffer, name...)
 	e.buffer = append(e.buffer, `":`...)
 }
 
 func (e *lineEncoder) integer(name string, value int64) *lineEncoder {
-	e.name(name)
+	e.fieldName(name)
 	e.buffer = strconv.AppendInt(e.buffer, value, decimal)
 	return e
 }
 
 func (e *lineEncoder) milliseconds(name string, value time.Duration) *lineEncoder {
-	e.name(name)
+	e.fieldName(name)
 	milliseconds := float64(value) / float64(time.Millisecond)
 	e.buffer = strconv.AppendFloat(e.buffer, milliseconds, 'f', -1, float64Bits)
 	return e
 }
 
-// positiveMilliseconds adds a time, which is left out where there is none.
-func (e *lineEncoder) positiveMilliseconds(name string, value time.Duration) {
+// optionalMilliseconds adds a time, which is left out where there is none.
+func (e *lineEncoder) optionalMilliseconds(name string, value time.Duration) {
 	if value > 0 {
 		e.milliseconds(name, value)
 	}
@@ -101,7 +101,7 @@
 
 // literal adds a value that is JSON already.
 func (e *lineEncoder) literal(name, value string) *lineEncoder {
-	e.name(name)
+	e.fieldName(name)
 	e.buffer = append(e.buffer, value...)
 	return e
 }
@@ -115,19 +115,19 @@
 }
 
 func (e *lineEncoder) text(name, value string) *lineEncoder {
-	if !isPlain(value) {
+	if !needsNoEscaping(value) {
 		quoted, _ := json.Marshal(value) // a string always marshals
 		return e.literal(name, string(quoted))
 	}
-	e.name(name)
+	e.fieldName(name)
 	e.buffer = append(e.buffer, '"')
 	e.buffer = append(e.buffer, value...)
 	e.buffer = append(e.buffer, '"')
 	return e
 }
 
-// isPlain reports whether a string needs nothing but quotes around it.
-func isPlain(value string) bool {
+// needsNoEscaping reports whether a string needs nothing but quotes around it.
+func needsNoEscaping(value string) bool {
 	for i := range len(value) {
 		if c := value[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
 			return false
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -88,14 +88,14 @@
 	bitWrite       = 4
 )
 
-// vocabulary gives the meanings of the words that one field of a message may hold. internal/config looks up those of
+// enumField gives the meanings of the words that one field of a message may hold. internal/config looks up those of
 // the settings object, whose errors say more.
-type vocabulary[T any] struct {
-	field    string
-	meanings map[string]T
+type enumField[T any] struct {
+	name   string
+	values map[string]T
 }
 
-var resultWords = vocabulary[balancer.Result]{"Outcome", map[string]balancer.Result{
+var resultField = enumField[balancer.Result]{"Outcome", map[string]balancer.Result{
 	"pass":       balancer.Served,
 	"fault":      balancer.ServerError,
 	"no_room":    balancer.Rejected,
@@ -106,24 +106,24 @@
 	"stale_send": balancer.NotSent,
 }}
 
-var listKindWords = vocabulary[balancer.ListKind]{"How", map[string]balancer.ListKind{
+var listKindField = enumField[balancer.ListKind]{"How", map[string]balancer.ListKind{
 	"diff":     balancer.ListDelta,
 	"snapshot": balancer.ListComplete,
 	"disk":     balancer.ListCached,
 	"error":    balancer.ListFailed,
 }}
 
-var endpointStateWords = vocabulary[balancer.EndpointState]{"Availability", map[string]balancer.EndpointState{
+var endpointStateField = enumField[balancer.EndpointState]{"Availability", map[string]balancer.EndpointState{
 	"on":     balancer.Serving,
 	"fading": balancer.Draining,
 	"off":    balancer.Removed,
 }}
 
-// meaning returns an *UnknownWordError for a word that the field may not hold.
-func (v *vocabulary[T]) meaning(word string) (T, error) {
-	value, ok := v.meanings[word]
+// parse returns an *UnknownWordError for a word that the field may not hold.
+func (v *enumField[T]) parse(word string) (T, error) {
+	value, ok := v.values[word]
 	if !ok {
-		return value, &UnknownWordError{Field: v.field, Word: word}
+		return value, &UnknownWordError{Field: v.name, Word: word}
 	}
 	return value, nil
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -28,14 +28,14 @@
 // Next reads one batch. It returns io.EOF where the input ends between batches, and a *LineError where the input is
 // malformed.
 func (r *Reader) Next() (*Batch, error) {
-	batch, err := r.startBatch()
+	batch, err := r.readBatchStart()
 	if err != nil {
 		return nil, err
 	}
 	for {
 		m, err := r.readMessage()
 		if errors.Is(err, io.EOF) {
-			return nil, r.errorIn("", ErrUnfinishedBatch)
+			return nil, r.lineError("", ErrUnfinishedBatch)
 		}
 		if err != nil {
 			return nil, err
@@ -43,40 +43,40 @@
 		if m.Kind == kindEnd {
 			return batch, nil
 		}
-		if err := r.addTo(batch, m); err != nil {
+		if err := r.addMessage(batch, m); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// startBatch reads the message that starts a batch.
-func (r *Reader) startBatch() (*Batch, error) {
+// readBatchStart reads the message that starts a batch.
+func (r *Reader) readBatchStart() (*Batch, error) {
 	m, err := r.readMessage()
 	if err != nil {
 		return nil, err
 	}
 	if m.Kind != kindFrame {
-		return nil, r.errorIn("", &OutsideBatchError{Message: m.Kind})
+		return nil, r.lineError("", &OutsideBatchError{Message: m.Kind})
 	}
 	if m.ClockMs == nil {
-		return nil, r.errorIn(m.Kind, missing("ClockMs"))
+		return nil, r.lineError(m.Kind, newMissingFieldError("ClockMs"))
 	}
 	return &Batch{Now: clock.Milliseconds(*m.ClockMs)}, nil
 }
 
-// addTo appends the event that m holds, or keeps the endpoint list that it defines.
-func (r *Reader) addTo(batch *Batch, m *message) error {
+// addMessage appends the event that m holds, or keeps the endpoint list that it defines.
+func (r *Reader) addMessage(batch *Batch, m *message) error {
 	switch m.Kind {
 	case kindFrame:
-		return r.errorIn("", ErrNestedBatch)
+		return r.lineError("", ErrNestedBatch)
 	case kindDefineList:
 		if err := r.decoder.defineList(m); err != nil {
-			return r.errorIn(m.Kind, err)
+			return r.lineError(m.Kind, err)
 		}
 	default:
-		event, err := r.decoder.event(m)
+		event, err := r.decoder.decodeEvent(m)
 		if err != nil {
-			return r.errorIn(m.Kind, err)
+			return r.lineError(m.Kind, err)
 		}
 		event.Line = r.lineNumber
 		batch.Events = append(batch.Events, event)
@@ -93,20 +93,20 @@
 		}
 		r.lineNumber++
 		if err != nil && !errors.Is(err, io.EOF) {
-			return nil, r.errorIn("", err)
+			return nil, r.lineError("", err)
 		}
 		if len(bytes.Trim(text, " \t\r\n")) == 0 {
 			continue
 		}
 		var m message
 		if err := json.Unmarshal(text, &m); err != nil {
-			return nil, r.errorIn("", err)
+			return nil, r.lineError("", err)
 		}
 		return &m, nil
 	}
 }
 
-// errorIn returns an error in the line that was read last; message is the kind of its message, or "".
-func (r *Reader) errorIn(message string, err error) error {
+// lineError returns an error in the line that was read last; message is the kind of its message, or "".
+func (r *Reader) lineError(message string, err error) error {
 	return &LineError{Line: r.lineNumber, Message: message, Err: err}
 }
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -16,23 +16,23 @@
 }
 
 // An error says in its text where it was found and what is wrong.
-func TestBadInput(t *testing.T) {
+func TestErrorTexts(t *testing.T) {
 	tests := []struct{ name, in, want string }{
-		{"not JSON", frame("{oops"), "line 2: "},
-		{"unknown message", frame(`{"msg":"Nope","Agent":1}`), "line 2: Nope: unknown message"},
-		{"missing field", frame(`{"msg":"Submit","Agent":1,"Job":"x"}`), "line 2: Submit: missing"},
-		{"missing instance", frame(`{"msg":"Expired","Job":"x"}`), "line 2: Expired: missing Agent"},
-		{"ill-typed field", frame(`{"msg":"Expired","Agent":"one","Job":"x"}`), "line 2: "},
-		{"list never defined", frame(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`),
+		{"not JSON", batchOf("{oops"), "line 2: "},
+		{"unknown message", batchOf(`{"msg":"Nope","Agent":1}`), "line 2: Nope: unknown message"},
+		{"missing field", batchOf(`{"msg":"Submit","Agent":1,"Job":"x"}`), "line 2: Submit: missing"},
+		{"missing instance", batchOf(`{"msg":"Expired","Job":"x"}`), "line 2: Expired: missing Agent"},
+		{"ill-typed field", batchOf(`{"msg":"Expired","Agent":"one","Job":"x"}`), "line 2: "},
+		{"list never defined", batchOf(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`),
 			"line 2: View: Sheet 5 was never defined"},
-		{"unknown outcome", frame(`{"msg":"Ended","Agent":1,"Job":"x","Outcome":"huh","WaitTimeMs":1,` +
+		{"unknown outcome", batchOf(`{"msg":"Ended","Agent":1,"Job":"x","Outcome":"huh","WaitTimeMs":1,` +
 			`"Backend":"b","SendNo":0}`), `unknown Outcome "huh"`},
-		{"unknown kind of class", frame(openInstance(1, `{"Profiles":[{"Semantics":"maybe"}]}`)),
+		{"unknown kind of class", batchOf(openInstance(1, `{"Profiles":[{"Semantics":"maybe"}]}`)),
 			`Profiles[0].Semantics: unknown kind "maybe"`},
-		{"unknown weights", frame(openInstance(1, `{"Weights":"x"}`)), `Weights: unknown meaning "x"`},
-		{"unknown report source", frame(openInstance(1, `{"Report":{"Source":"x"}}`)),
+		{"unknown weights", batchOf(openInstance(1, `{"Weights":"x"}`)), `Weights: unknown meaning "x"`},
+		{"unknown report source", batchOf(openInstance(1, `{"Report":{"Source":"x"}}`)),
 			`Report.Source: unknown source "x"`},
-		{"ill-typed setting", frame(openInstance(1, `{"Goal":{"Whole":"much"}}`)), "Goal.Whole"},
+		{"ill-typed setting", batchOf(openInstance(1, `{"Goal":{"Whole":"much"}}`)), "Goal.Whole"},
 		{"ends within a batch", "{\"msg\":\"Frame\",\"ClockMs\":1}\n", "line 1: the input ends within a batch"},
 		{"frame without clock", "{\"msg\":\"Frame\"}\n", "line 1: Frame: missing ClockMs"},
 		{"event outside a batch", "{\"msg\":\"Expired\",\"Agent\":1,\"Job\":\"x\"}\n", "outside a batch"},
@@ -56,15 +56,15 @@
 		is       func(error) bool
 	}{
 		{"ends within a batch", "{\"msg\":\"Frame\",\"ClockMs\":1}\n", 1, "", isError(ErrUnfinishedBatch)},
-		{"batch within a batch", frame(`{"msg":"Frame","ClockMs":2}`), 2, "", isError(ErrNestedBatch)},
+		{"batch within a batch", batchOf(`{"msg":"Frame","ClockMs":2}`), 2, "", isError(ErrNestedBatch)},
 		{"outside a batch", `{"msg":"Expired","Agent":1,"Job":"x"}`, 1, "", isType[*OutsideBatchError]},
-		{"unknown message", frame(`{"msg":"Nope","Agent":1}`), 2, "Nope", isError(ErrUnknownMessage)},
-		{"missing fields", frame(`{"msg":"Submit","Agent":1}`), 2, "Submit", isType[*MissingFieldError]},
-		{"unknown word", frame(`{"msg":"View","Agent":1,"How":"x"}`), 2, "View", isType[*UnknownWordError]},
-		{"undefined list", frame(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`), 2, "View",
+		{"unknown message", batchOf(`{"msg":"Nope","Agent":1}`), 2, "Nope", isError(ErrUnknownMessage)},
+		{"missing fields", batchOf(`{"msg":"Submit","Agent":1}`), 2, "Submit", isType[*MissingFieldError]},
+		{"unknown word", batchOf(`{"msg":"View","Agent":1,"How":"x"}`), 2, "View", isType[*UnknownWordError]},
+		{"undefined list", batchOf(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`), 2, "View",
 			isType[*UndefinedListError]},
-		{"unreadable bytes", frame(`{"msg":"Peer","Agent":1,"From":2,"Msg":"6"}`), 2, "Peer", isType[*FieldError]},
-		{"not JSON", frame("{oops"), 2, "", isType[*json.SyntaxError]},
+		{"unreadable bytes", batchOf(`{"msg":"Peer","Agent":1,"From":2,"Msg":"6"}`), 2, "Peer", isType[*FieldError]},
+		{"not JSON", batchOf("{oops"), 2, "", isType[*json.SyntaxError]},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -95,7 +95,7 @@
 		{[]string{"From", "Msg"}, "missing From or Msg"},
 		{[]string{"Job", "TierClass", "GraceMs"}, "missing Job, TierClass or GraceMs"},
 	} {
-		if got := missing(tt.fields...).Error(); got != tt.want {
+		if got := newMissingFieldError(tt.fields...).Error(); got != tt.want {
 			t.Errorf("got %q, want %q", got, tt.want)
 		}
 	}
@@ -108,7 +108,7 @@
 		fmt.Fprintf(&in, "{\"msg\":\"Expired\",\"Agent\":1,\"Job\":\"%016x\"}\n", i)
 	}
 	pad := `{"msg":"Expired","Agent":1,"Job":"x","Later":"` + strings.Repeat("y", 3<<20) + `"}`
-	b, err := NewReader(strings.NewReader(frame(in.String() + pad))).Next()
+	b, err := NewReader(strings.NewReader(batchOf(in.String() + pad))).Next()
 	if err != nil || len(b.Events) != 50001 {
 		t.Fatalf("%v: read %d events", err, len(b.Events))
 	}
@@ -116,11 +116,11 @@
 
 // Whatever comes in, a batch or a plain error comes out.
 func FuzzNext(f *testing.F) {
-	f.Add(frame(`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":240.5,"Project":-1,"Item":""}`))
-	f.Add(frame(`{"msg":"DefineList","Sheet":3,"Items":[{"Backend":"a","Availability":"on"}]}`,
+	f.Add(batchOf(`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":240.5,"Project":-1,"Item":""}`))
+	f.Add(batchOf(`{"msg":"DefineList","Sheet":3,"Items":[{"Backend":"a","Availability":"on"}]}`,
 		`{"msg":"View","Agent":3,"How":"diff","Sheet":3}`))
-	f.Add(frame(openInstance(1, allSettings)))
-	f.Add(frame(`{"msg":"Peer","Agent":3,"From":2,"Msg":"6"}`))
+	f.Add(batchOf(openInstance(1, allSettings)))
+	f.Add(batchOf(`{"msg":"Peer","Agent":3,"From":2,"Msg":"6"}`))
 	f.Add("{\"msg\":\"End\"}\n")
 	f.Add("null\n[]\n")
 	f.Fuzz(func(t *testing.T, in string) {
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -27,8 +27,8 @@
 "Prices":{"CrossZone":0.02,"Waste":0.15,"LateFail":0.08,"Probe":0.01,"Peer":0.03,"Handshake":0.04,"Connection":0.05,
  "MembershipMode":0.06,"Moves":0.07,"Origin":0.09,"Fleet":0.11}}`
 
-func TestSettings(t *testing.T) {
-	b, err := NewReader(strings.NewReader(frame(openInstance(77, allSettings)))).Next()
+func TestDecodeSettings(t *testing.T) {
+	b, err := NewReader(strings.NewReader(batchOf(openInstance(77, allSettings)))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -24,8 +24,8 @@
 	return fmt.Sprintf("no wire form for action %T", e.Action)
 }
 
-// Actions writes the actions of one instance.
-func (w *Writer) Actions(agent int, actions []balancer.Action) error {
+// WriteActions writes the actions of one instance.
+func (w *Writer) WriteActions(agent int, actions []balancer.Action) error {
 	for _, action := range actions {
 		if err := w.encoder.encode(agent, action); err != nil {
 			return err
@@ -37,15 +37,15 @@
 	return nil
 }
 
-// Broken reports that the decision code of an instance has failed.
-func (w *Writer) Broken(agent int, text string) error {
-	w.encoder.begin(kindBroken, agent).text("Msg", text)
+// WriteBroken reports that the decision code of an instance has failed.
+func (w *Writer) WriteBroken(agent int, text string) error {
+	w.encoder.startMessage(kindBroken, agent).text("Msg", text)
 	return w.writeLine()
 }
 
-// End closes a reply and flushes it.
-func (w *Writer) End() error {
-	w.encoder.beginReplyEnd()
+// FinishReply closes a reply and flushes it.
+func (w *Writer) FinishReply() error {
+	w.encoder.startReplyEnd()
 	if err := w.writeLine(); err != nil {
 		return err
 	}
@@ -53,6 +53,6 @@
 }
 
 func (w *Writer) writeLine() error {
-	_, err := w.out.Write(w.encoder.end())
+	_, err := w.out.Write(w.encoder.finish())
 	return err
 }
--- a/internal/simwire/writer_test.go
+++ b/internal/simwire/writer_test.go
@@ -8,7 +8,7 @@
 	"ashshunt/balancer"
 )
 
-func TestActions(t *testing.T) {
+func TestEncodeActions(t *testing.T) {
 	tests := []struct {
 		action balancer.Action
 		want   string
@@ -34,10 +34,10 @@
 	for _, tt := range tests {
 		var out bytes.Buffer
 		w := NewWriter(&out)
-		if err := w.Actions(4, []balancer.Action{tt.action}); err != nil {
+		if err := w.WriteActions(4, []balancer.Action{tt.action}); err != nil {
 			t.Fatal(err)
 		}
-		if err := w.End(); err != nil {
+		if err := w.FinishReply(); err != nil {
 			t.Fatal(err)
 		}
 		if want := tt.want + "\n{\"msg\":\"Eor\"}\n"; out.String() != want {
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// initialRepeatDelay is the wait before a read or a write is repeated; it doubles with each repeat.
-	initialRepeatDelay = time.Millisecond
-	// maxRepeats is how many calls in a row a read or an examination makes at most, and how often a write without
+	// initialRetryDelay is the wait before a read or a write is repeated; it doubles with each repeat.
+	initialRetryDelay = time.Millisecond
+	// maxRetries is how many calls in a row a read or an examination makes at most, and how often a write without
 	// progress is repeated after its first call. The waits take about a quarter of a second in all.
-	maxRepeats = 8
+	maxRetries = 8
 )
 
 // Conn is a TCP connection whose reads and writes are repeated if they fail transiently (see isTransient): the
@@ -24,8 +24,8 @@
 
 // Read implements net.Conn.
 func (c Conn) Read(p []byte) (n int, err error) {
-	delay := initialRepeatDelay
-	for range maxRepeats {
+	delay := initialRetryDelay
+	for range maxRetries {
 		if n, err = c.Conn.Read(p); n > 0 || !isTransient(err) {
 			return n, err
 		}
@@ -56,10 +56,10 @@
 
 // writeSome writes until at least one byte is written, and repeats writes that fail transiently without that.
 func (c Conn) writeSome(p []byte) (n int, err error) {
-	delay := initialRepeatDelay
-	for repeats := 0; ; repeats++ {
+	delay := initialRetryDelay
+	for retries := 0; ; retries++ {
 		n, err = c.Conn.Write(p)
-		if n > 0 || !isTransient(err) || repeats == maxRepeats {
+		if n > 0 || !isTransient(err) || retries == maxRetries {
 			return n, err
 		}
 		time.Sleep(delay)
--- a/internal/socket/dialer.go
+++ b/internal/socket/dialer.go
@@ -15,12 +15,12 @@
 const (
 	// initialRedialDelay is the wait before the first repeat of a dial. Each wait is redialFactor times the last, up to
 	// maxRedialDelay.
-	initialRedialDelay = time.Millisecond
-	redialFactor       = 2
-	maxRedialDelay     = 16 * time.Millisecond
-	// redialShare is the share of a dial's timeout within which it is repeated. The rest is left to its caller, who
+	initialRedialDelay  = time.Millisecond
+	redialBackoffFactor = 2
+	maxRedialDelay      = 16 * time.Millisecond
+	// redialTimeoutFraction is the share of a dial's timeout within which it is repeated. The rest is left to its caller, who
 	// may have another address.
-	redialShare = 0.5
+	redialTimeoutFraction = 0.5
 )
 
 // Dialer opens TCP connections. A dial that fails by a cause that may lie with this machine, such as a lack of buffers
@@ -32,25 +32,25 @@
 // DialContext connects to an address within the dialer's timeout and deadline. Its error is ErrLocalFailure if the
 // cause persisted and may lie with this machine.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	once := d.Dialer
+	dialer := d.Dialer
 	start := time.Now()
-	lastRedial := start
+	redialUntil := start
 	if d.Timeout > 0 {
-		lastRedial = start.Add(time.Duration(redialShare * float64(d.Timeout)))
-		if end := start.Add(d.Timeout); once.Deadline.IsZero() || end.Before(once.Deadline) {
-			once.Deadline = end // of all dials together
+		redialUntil = start.Add(time.Duration(redialTimeoutFraction * float64(d.Timeout)))
+		if end := start.Add(d.Timeout); dialer.Deadline.IsZero() || end.Before(dialer.Deadline) {
+			dialer.Deadline = end // of all dials together
 		}
-		once.Timeout = 0
+		dialer.Timeout = 0
 	}
-	for delay := initialRedialDelay; ; delay = min(redialFactor*delay, maxRedialDelay) {
-		conn, err := once.DialContext(ctx, network, address)
+	for delay := initialRedialDelay; ; delay = min(redialBackoffFactor*delay, maxRedialDelay) {
+		conn, err := dialer.DialContext(ctx, network, address)
 		if err == nil {
 			return NewConn(conn), nil
 		}
 		if !isLocalFailure(err) {
 			return nil, err
 		}
-		if time.Now().Add(delay).After(lastRedial) || !sleep(ctx, delay) {
+		if time.Now().Add(delay).After(redialUntil) || !sleep(ctx, delay) {
 			return nil, fmt.Errorf("%w: %w", ErrLocalFailure, err)
 		}
 	}
--- a/internal/socket/export_test.go
+++ b/internal/socket/export_test.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// FailCalls has each system call that examines a socket fail count times by a cause. The end of the test undoes it.
-func FailCalls(t *testing.T, count int, cause error) {
+// FailSyscalls has each system call that examines a socket fail count times by a cause. The end of the test undoes it.
+func FailSyscalls(t *testing.T, count int, cause error) {
 	t.Helper()
 	recvfromLeft, pollLeft, ioctlLeft := count, count, count
 	fails := func(left *int) bool {
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -18,16 +18,16 @@
 	ioctlGetInt = unix.IoctlGetInt
 )
 
-// maxUnread is how many bytes a peer may send behind an open request before it counts as flooding.
-const maxUnread = 16 << 10
+// maxUnreadBytes is how many bytes a peer may send behind an open request before it counts as flooding.
+const maxUnreadBytes = 16 << 10
 
 // ReceiveState is what the receive side of a socket holds.
 type ReceiveState uint8
 
 // The states of a receive side.
 const (
-	Ended    ReceiveState = iota // nothing will come: either side has closed it, or it failed, or it is no socket
-	Quiet                        // open, with nothing to read
+	Closed   ReceiveState = iota // nothing will come: either side has closed it, or it failed, or it is no socket
+	Empty                        // open, with nothing to read
 	Readable                     // bytes wait to be read; the other side may have closed it behind them
 	Unknown                      // the system call fails transiently, however often it is repeated
 )
@@ -36,11 +36,11 @@
 func Peek(conn net.Conn) ReceiveState {
 	raw, err := rawConn(conn)
 	if err != nil {
-		return Ended
+		return Closed
 	}
 	state := Unknown
 	if raw.Control(func(fd uintptr) { state = peek(fd) }) != nil {
-		return Ended
+		return Closed
 	}
 	return state
 }
@@ -51,13 +51,13 @@
 	return state == Readable || state == Unknown
 }
 
-// WaitReadable waits until a socket may have bytes to be read, or has ended.
-func WaitReadable(conn net.Conn) error {
+// WaitForReadable waits until a socket may have bytes to be read, or has ended.
+func WaitForReadable(conn net.Conn) error {
 	raw, err := rawConn(conn)
 	if err != nil {
 		return err
 	}
-	return raw.Read(func(fd uintptr) bool { return peek(fd) != Quiet })
+	return raw.Read(func(fd uintptr) bool { return peek(fd) != Empty })
 }
 
 // PeerState is what a socket shows of the other side while that waits for a response.
@@ -66,8 +66,8 @@
 	Flooded bool // it has sent more than maxUnread behind its request
 }
 
-// Gone reports whether the other side gets no answer any more.
-func (s PeerState) Gone() bool { return s.Closed || s.Flooded }
+// IsGone reports whether the other side gets no answer any more.
+func (s PeerState) IsGone() bool { return s.Closed || s.Flooded }
 
 // Peer examines the other side of a socket. It sees a close behind unread bytes too.
 func Peer(conn net.Conn) PeerState {
@@ -77,7 +77,7 @@
 	}
 	var state PeerState
 	err = raw.Control(func(fd uintptr) {
-		state = PeerState{Closed: hungUp(fd), Flooded: unread(fd) > maxUnread}
+		state = PeerState{Closed: isHungUp(fd), Flooded: unreadBytes(fd) > maxUnreadBytes}
 	})
 	if err != nil { // closed by this side: no answer can be sent on it
 		state.Closed = true
@@ -97,40 +97,40 @@
 // peek examines the receive side of a socket.
 func peek(fd uintptr) ReceiveState {
 	var buffer [1]byte
-	n, err := repeatTransient(func() (int, error) {
+	n, err := retryTransient(func() (int, error) {
 		n, _, err := recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return n, err
 	})
 	switch {
 	case errors.Is(err, syscall.EAGAIN):
-		return Quiet
+		return Empty
 	case isTransient(err):
 		return Unknown
 	case err == nil && n > 0:
 		return Readable
 	}
-	return Ended
+	return Closed
 }
 
-// hungUp reports whether the other side has closed its sending side or the connection has failed.
-func hungUp(fd uintptr) bool {
+// isHungUp reports whether the other side has closed its sending side or the connection has failed.
+func isHungUp(fd uintptr) bool {
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := repeatTransient(func() (int, error) { return poll(polled, 0) })
+	n, err := retryTransient(func() (int, error) { return poll(polled, 0) })
 	return err == nil && n > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// unread is the number of bytes that wait to be read; 0 if the system call fails.
-func unread(fd uintptr) int {
-	n, err := repeatTransient(func() (int, error) { return ioctlGetInt(int(fd), unix.TIOCINQ) })
+// unreadBytes is the number of bytes that wait to be read; 0 if the system call fails.
+func unreadBytes(fd uintptr) int {
+	n, err := retryTransient(func() (int, error) { return ioctlGetInt(int(fd), unix.TIOCINQ) })
 	if err != nil {
 		return 0
 	}
 	return n
 }
 
-// repeatTransient makes a system call that does not wait, and repeats it at once while it fails transiently.
-func repeatTransient(call func() (int, error)) (n int, err error) {
-	for range maxRepeats {
+// retryTransient makes a system call that does not wait, and repeats it at once while it fails transiently.
+func retryTransient(call func() (int, error)) (n int, err error) {
+	for range maxRetries {
 		if n, err = call(); !isTransient(err) {
 			break
 		}
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -50,7 +50,7 @@
 
 func TestPeek(t *testing.T) {
 	local, peer := connect(t)
-	if state := socket.Peek(local); state != socket.Quiet || socket.HasUnread(local) {
+	if state := socket.Peek(local); state != socket.Empty || socket.HasUnread(local) {
 		t.Errorf("before any byte: state %d, want Quiet", state)
 	}
 	send(t, peer, "x")
@@ -62,7 +62,7 @@
 		t.Errorf("Peek has taken the byte: %v", err)
 	}
 	closeWrite(t, peer)
-	testutil.Eventually(t, "the end", func() bool { return socket.Peek(local) == socket.Ended })
+	testutil.Eventually(t, "the end", func() bool { return socket.Peek(local) == socket.Closed })
 }
 
 func TestPeekAtUnusableConnections(t *testing.T) {
@@ -73,10 +73,10 @@
 		t.Fatal(err)
 	}
 	for name, conn := range map[string]net.Conn{"not a socket": pipe, "closed by this side": closed} {
-		if state := socket.Peek(conn); state != socket.Ended {
+		if state := socket.Peek(conn); state != socket.Closed {
 			t.Errorf("%s: state %d, want Ended", name, state)
 		}
-		if err := socket.WaitReadable(conn); err == nil {
+		if err := socket.WaitForReadable(conn); err == nil {
 			t.Errorf("%s: WaitReadable reports no error", name)
 		}
 	}
@@ -96,12 +96,12 @@
 		t.Run(name, func(t *testing.T) {
 			local, peer := connect(t)
 			done := make(chan error, 1)
-			go func() { done <- socket.WaitReadable(local) }()
+			go func() { done <- socket.WaitForReadable(local) }()
 			event(t, peer)
 			if err := testutil.Receive(t, done); err != nil {
 				t.Error(err)
 			}
-			if state := socket.Peek(local); state == socket.Quiet {
+			if state := socket.Peek(local); state == socket.Empty {
 				t.Error("the wait ended with nothing to read")
 			}
 		})
@@ -129,7 +129,7 @@
 				closeWrite(t, peer)
 			}
 			testutil.Eventually(t, "the state", func() bool { return socket.Peer(local) == tt.want })
-			if got, want := socket.Peer(local).Gone(), tt.want != (socket.PeerState{}); got != want {
+			if got, want := socket.Peer(local).IsGone(), tt.want != (socket.PeerState{}); got != want {
 				t.Errorf("gone %v, want %v", got, want)
 			}
 		})
--- a/internal/socket/transient_test.go
+++ b/internal/socket/transient_test.go
@@ -17,17 +17,17 @@
 var transientCauses = []error{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
 
 // What a socket holds, and whether the other side has gone, is seen also where system calls fail for a moment.
-func TestExaminationAfterTransientFailures(t *testing.T) {
+func TestPeekRetriesTransientFailures(t *testing.T) {
 	for _, cause := range transientCauses {
 		t.Run(fmt.Sprint(cause), func(t *testing.T) {
 			local, peer := connect(t)
-			socket.FailCalls(t, 3, cause)
-			if state := socket.Peek(local); state != socket.Quiet {
+			socket.FailSyscalls(t, 3, cause)
+			if state := socket.Peek(local); state != socket.Empty {
 				t.Errorf("before any byte: state %d, want Quiet", state)
 			}
 			send(t, peer, strings.Repeat("x", 17<<10))
 			testutil.Eventually(t, "the bytes", func() bool { return socket.Peer(local).Flooded })
-			socket.FailCalls(t, 3, cause)
+			socket.FailSyscalls(t, 3, cause)
 			if !socket.HasUnread(local) {
 				t.Error("unread bytes are not reported")
 			}
@@ -36,7 +36,7 @@
 			}
 			closeWrite(t, peer)
 			testutil.Eventually(t, "the end", func() bool { return socket.Peer(local).Closed })
-			socket.FailCalls(t, 3, cause)
+			socket.FailSyscalls(t, 3, cause)
 			if !socket.Peer(local).Closed {
 				t.Error("the other side's end is not reported")
 			}
@@ -45,44 +45,44 @@
 }
 
 // A connection that can't be examined at all may hold a request: it does not count as idle.
-func TestExaminationThatKeepsFailing(t *testing.T) {
+func TestPeekPersistentFailure(t *testing.T) {
 	local, peer := connect(t)
 	send(t, peer, "x")
 	testutil.Eventually(t, "the byte", func() bool { return socket.HasUnread(local) })
-	socket.FailCalls(t, 1<<30, syscall.ENOBUFS)
+	socket.FailSyscalls(t, 1<<30, syscall.ENOBUFS)
 	if !socket.HasUnread(local) {
 		t.Error("a connection that can't be examined counts as idle")
 	}
-	if socket.Peer(local).Gone() {
+	if socket.Peer(local).IsGone() {
 		t.Error("the other side counts as gone")
 	}
 }
 
-// unsteadyConn is a connection that reads and writes one byte at a time, with a failure before each.
-type unsteadyConn struct {
+// flakyConn is a connection that reads and writes one byte at a time, with a failure before each.
+type flakyConn struct {
 	net.Conn
 	cause error
 	calls int
 }
 
-func (c *unsteadyConn) attempt(p []byte, operation func([]byte) (int, error)) (int, error) {
+func (c *flakyConn) failAlternately(p []byte, operation func([]byte) (int, error)) (int, error) {
 	if c.calls++; c.calls%2 == 1 {
 		return 0, &net.OpError{Op: "operation", Err: c.cause}
 	}
 	return operation(p[:min(1, len(p))])
 }
 
-func (c *unsteadyConn) Read(p []byte) (int, error) { return c.attempt(p, c.Conn.Read) }
+func (c *flakyConn) Read(p []byte) (int, error) { return c.failAlternately(p, c.Conn.Read) }
 
-func (c *unsteadyConn) Write(p []byte) (int, error) { return c.attempt(p, c.Conn.Write) }
+func (c *flakyConn) Write(p []byte) (int, error) { return c.failAlternately(p, c.Conn.Write) }
 
 // Reads and writes that are short, or fail for a moment, lose nothing.
-func TestUnsteadyReadsAndWrites(t *testing.T) {
+func TestConnRetriesTransientFailures(t *testing.T) {
 	const text = "a request, or the response to it"
 	for _, cause := range transientCauses {
 		t.Run(fmt.Sprint(cause), func(t *testing.T) {
 			local, peer := connect(t)
-			conn := socket.NewConn(&unsteadyConn{Conn: local, cause: cause})
+			conn := socket.NewConn(&flakyConn{Conn: local, cause: cause})
 			send(t, conn, text)
 			received := make([]byte, len(text))
 			if _, err := io.ReadFull(peer, received); err != nil || string(received) != text {
@@ -97,7 +97,7 @@
 }
 
 // Connections that are dialled withstand such failures.
-func TestDialledConnectionsAreSteady(t *testing.T) {
+func TestDialerReturnsRetryingConn(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -45,7 +45,7 @@
 	for group := p.groups[endpointID]; group != nil && len(group.idle) > 0; {
 		conn := group.popNewest()
 		// One that is not quiet has ended, has brought more than its last response, or can't be examined at present.
-		if socket.Peek(conn.netConn) == socket.Quiet && time.Since(conn.idleSince) < p.maxIdle {
+		if socket.Peek(conn.netConn) == socket.Empty && time.Since(conn.idleSince) < p.maxIdle {
 			return conn
 		}
 		p.closeLocked(conn)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -40,7 +40,7 @@
 	})
 	client := newTestClient(t, server.Addr())
 	client.mustServe(t)
-	testutil.Eventually(t, "the close", func() bool { return socket.Peek(client.firstIdle()) != socket.Quiet })
+	testutil.Eventually(t, "the close", func() bool { return socket.Peek(client.firstIdle()) != socket.Empty })
 	client.mustServe(t) // on a new connection
 }
 
