--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -114,5 +114,5 @@
 func (a *Agent) waitForDisconnects(ctx context.Context, timeout time.Duration) {
 	waitCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	a.frontend.WaitUntilEmpty(waitCtx)
+	a.frontend.WaitForAllClosed(waitCtx)
 }
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -52,7 +52,7 @@
 			Target:         inbound.Target,
 			Body:           inbound.Body,
 			Lifetime:       lifetime,
-			ClientGone:     inbound.ClientGone,
+			ClientGone:     inbound.IsClientGone,
 		},
 		cancelLifetime: cancelLifetime,
 	}
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -108,7 +108,7 @@
 		testutil.Receive(t, server.Received)
 	}
 	testutil.WaitFor(t, "the connections to be accepted", func() bool {
-		open, idle := a.frontend.Connections()
+		open, idle := a.frontend.ConnectionCounts()
 		return open == 3 && idle == 2
 	})
 	a.stop()
@@ -202,7 +202,7 @@
 		clients[name] = testutil.Dial(t, a.Addr(), text)
 	}
 	testutil.WaitFor(t, "the connections", func() bool {
-		open, idle := a.frontend.Connections()
+		open, idle := a.frontend.ConnectionCounts()
 		return open == 3 && idle == 0
 	})
 	a.stop()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -40,7 +40,7 @@
 	})
 	client := newTestClient(t, server.Addr())
 	client.mustServe(t)
-	testutil.WaitFor(t, "the close", func() bool { return socket.Peek(client.firstIdle()) != socket.Quiet })
+	testutil.WaitFor(t, "the close", func() bool { return socket.Peek(client.firstIdle()) != socket.Empty })
 	client.mustServe(t) // on a new connection
 }
 
