--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -134,7 +134,7 @@
 	old, listener := testutil.NewDiscovery(t), newTCPListener(t)
 	c := newWatchConfig(t, old.Addr)
 	a, logged := startPrepared(t, c, func(a *Agent) {
-		changeDiscovery(a, c, func(o *discovery.Options) { o.WatchSilence = testutil.Timeout }) // the old watch stays
+		changeDiscovery(a, c, func(o *discovery.Options) { o.IdleTimeout = testutil.Timeout }) // the old watch stays
 	})
 	testutil.Eventually(t, "the old watch", func() bool { return logged.Contains("watch established") })
 	a.Reload(&config.Config{Discovery: listener.Addr().String()})
@@ -210,7 +210,7 @@
 				c.Settings.PollWithin = time.Minute // the waits come from the bound
 				a, _ := startPrepared(t, c, func(a *Agent) {
 					changeDiscovery(a, c, func(o *discovery.Options) {
-						o.WatchSilence, o.CallTimeout = 50*time.Millisecond, 50*time.Millisecond
+						o.IdleTimeout, o.CallTimeout = 50*time.Millisecond, 50*time.Millisecond
 					})
 				})
 				testutil.Eventually(t, "the list", func() bool { return isServing(a, "s7") })
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -121,7 +121,7 @@
 
 // isServing reports whether an agent knows an endpoint that may get requests.
 func isServing(a *Agent, endpointID string) bool {
-	_, ok := a.loop.endpoints.Serving(endpointID)
+	_, ok := a.loop.endpoints.LookupServing(endpointID)
 	return ok
 }
 
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -90,30 +90,30 @@
 
 func upstreamOptions(c *config.Config, endpoints *endpoint.Table, log *slog.Logger) upstream.Options {
 	return upstream.Options{
-		Table:          endpoints,
-		LoadReports:    c.Settings.LoadReports,
-		ConnectTimeout: c.Settings.ConnectTimeout,
-		IdleClose:      c.Settings.IdleClose,
-		MaxConnections: c.EndpointConnections(),
-		Log:            log,
+		Table:               endpoints,
+		LoadReports:         c.Settings.LoadReports,
+		ConnectTimeout:      c.Settings.ConnectTimeout,
+		EndpointIdleTimeout: c.Settings.IdleClose,
+		MaxConnections:      c.EndpointConnections(),
+		Log:                 log,
 	}
 }
 
 func (l *eventLoop) discoveryOptions(c *config.Config) discovery.Options {
 	return discovery.Options{
-		Addr:           c.Discovery,
-		CachedList:     c.CachedList,
-		Table:          l.endpoints,
-		OnStale:        l.upstream.DrainConnections,
-		OnList:         func(list balancer.EndpointList) { l.post(moduleEvent{list}) },
-		Zones:          c.Names.Zones,
-		Kinds:          c.Names.Kinds,
-		Clock:          l.clock,
-		Log:            l.log,
-		KeepWatch:      !c.Settings.Subscribe,
-		ConnectTimeout: c.Settings.ConnectTimeout,
-		DrainGrace:     c.Settings.DrainGrace,
-		Seed:           c.Seed,
+		Addr:               c.Discovery,
+		CachedList:         c.CachedList,
+		Table:              l.endpoints,
+		OnStaleConnections: l.upstream.DrainConnections,
+		OnList:             func(list balancer.EndpointList) { l.post(moduleEvent{list}) },
+		Zones:              c.Names.Zones,
+		Kinds:              c.Names.Kinds,
+		Clock:              l.clock,
+		Log:                l.log,
+		AutoWatch:          !c.Settings.Subscribe,
+		ConnectTimeout:     c.Settings.ConnectTimeout,
+		DrainGrace:         c.Settings.DrainGrace,
+		Seed:               c.Seed,
 		SlowStart: discovery.SlowStart{
 			Duration:    c.Settings.SlowStartDuration,
 			MinCapacity: c.Settings.SlowStartMinCapacity,
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -69,4 +69,4 @@
 func (l *eventLoop) Done() <-chan struct{} { return l.done }
 
 // HasServingEndpoint implements frontend.EventLoop.
-func (l *eventLoop) HasServingEndpoint() bool { return l.endpoints.AnyServing() }
+func (l *eventLoop) HasServingEndpoint() bool { return l.endpoints.HasServing() }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -115,11 +115,11 @@
 
 func (c *Config) parseAddresses(f *file) error {
 	c.Listen = valueOrEnv(f.Listen, envListen)
-	if err := endpoint.CheckAddress(c.Listen); err != nil {
+	if err := endpoint.ValidateAddress(c.Listen); err != nil {
 		return &KeyError{Key: keyListen, Err: err}
 	}
 	c.Discovery = valueOrEnv(f.Discovery, envDiscovery)
-	if err := endpoint.CheckAddress(c.Discovery); err != nil {
+	if err := endpoint.ValidateAddress(c.Discovery); err != nil {
 		return &KeyError{Key: keyDiscovery, Err: err}
 	}
 	return nil
--- a/internal/config/mapping.go
+++ b/internal/config/mapping.go
@@ -209,7 +209,7 @@
 	loadreport.InFlight:        balancer.FieldInFlight,
 	loadreport.Queue:           balancer.FieldQueue,
 	loadreport.Utilization:     balancer.FieldUtilization,
-	loadreport.ServiceMs:       balancer.FieldService,
+	loadreport.ServiceTimeMs:   balancer.FieldService,
 	loadreport.Throughput:      balancer.FieldThroughput,
 	loadreport.ErrorsPerSecond: balancer.FieldErrors,
 }
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -5,8 +5,8 @@
 	"ashshunt/internal/endpoint"
 )
 
-// applyWatched applies a list of a watch, unless a later watch has replaced that one, and reports whether it did.
-func (c *Client) applyWatched(w *watch, list endpoint.List) bool {
+// applyWatchedList applies a list of a watch, unless a later watch has replaced that one, and reports whether it did.
+func (c *Client) applyWatchedList(w *watch, list endpoint.List) bool {
 	c.applyMu.Lock()
 	defer c.applyMu.Unlock()
 	if !c.source.activateWatch(w, list.Complete) {
@@ -16,8 +16,8 @@
 	return true
 }
 
-// applyPolled applies a list that was polled from an address, unless discovery has another address by now.
-func (c *Client) applyPolled(addr string, list endpoint.List) {
+// applyPolledList applies a list that was polled from an address, unless discovery has another address by now.
+func (c *Client) applyPolledList(addr string, list endpoint.List) {
 	c.applyMu.Lock()
 	defer c.applyMu.Unlock()
 	if freshness := c.source.recordVersion(addr, list.Version); freshness != incomparable {
@@ -40,7 +40,7 @@
 // applyToTable applies a list to the endpoint table and reports the endpoints whose connections that makes stale.
 func (c *Client) applyToTable(list endpoint.List) {
 	for _, id := range c.table.Apply(list) {
-		c.onStale(id)
+		c.onStaleConnections(id)
 	}
 }
 
@@ -51,5 +51,5 @@
 		kind = balancer.ListComplete
 	}
 	c.converter.starts.update(list)
-	c.onList(c.converter.event(list, kind))
+	c.onList(c.converter.toEvent(list, kind))
 }
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// minRestartDelay is the lower bound of the backoff's unit and limit. Delays are drawn from zero on.
-	minRestartDelay = 10 * time.Millisecond
-	// delaysPerDrainGrace is how many of the longest delays fit into the drain grace.
-	delaysPerDrainGrace = 4
+	// minDelayBound is the lower bound of the backoff's unit and limit. Delays are drawn from zero on.
+	minDelayBound = 10 * time.Millisecond
+	// drainGraceDivisor is how many of the longest delays fit into the drain grace.
+	drainGraceDivisor = 4
 	// maxDoublings bounds the growth of the delay: all agents of a machine room lose their watches at once.
 	maxDoublings = 3
 )
@@ -17,24 +17,24 @@
 // backoff gives the exponential, fully jittered delays before a watch is started again. It is not safe for concurrent
 // use.
 type backoff struct {
-	unit     time.Duration // upper bound of the first delay
-	limit    time.Duration // upper bound of each delay
-	failures int           // watches that ended since one was last established
-	random   *rand.Rand
+	baseDelay time.Duration // upper bound of the first delay
+	maxDelay  time.Duration // upper bound of each delay
+	failures  int           // watches that ended since one was last established
+	random    *rand.Rand
 }
 
 // newBackoff returns a backoff whose delays start at the connect timeout.
 func newBackoff(connectTimeout, drainGrace time.Duration, seed uint64) backoff {
 	return backoff{
-		unit:   max(connectTimeout, minRestartDelay),
-		limit:  min(max(drainGrace/delaysPerDrainGrace, minRestartDelay), maxRestartDelay),
-		random: rand.New(rand.NewPCG(seed, 1)),
+		baseDelay: max(connectTimeout, minDelayBound),
+		maxDelay:  min(max(drainGrace/drainGraceDivisor, minDelayBound), maxRestartDelay),
+		random:    rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
 // next returns the delay after one more failure: a random part of unit * 2^failures, bounded by limit.
 func (b *backoff) next() time.Duration {
-	bound := min(b.unit<<min(b.failures, maxDoublings), b.limit)
+	bound := min(b.baseDelay<<min(b.failures, maxDoublings), b.maxDelay)
 	b.failures++
 	return time.Duration(b.random.Float64() * float64(bound))
 }
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -11,7 +11,7 @@
 func TestRestartDelayIsBounded(t *testing.T) {
 	client, _ := newClient(t, false)
 	client.source.backoff.failures = maxDoublings
-	client.source.backoff.unit = time.Hour
+	client.source.backoff.baseDelay = time.Hour
 	client.source.pending = &watch{} // so that none is started
 	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
@@ -21,15 +21,15 @@
 }
 
 func TestBackoff(t *testing.T) {
-	const unit, limit = 100 * time.Millisecond, 500 * time.Millisecond
-	b := newBackoff(unit, 4*limit, 1)
-	for _, bound := range []time.Duration{unit, 2 * unit, 4 * unit, limit, limit} {
+	const baseDelay, maxDelay = 100 * time.Millisecond, 500 * time.Millisecond
+	b := newBackoff(baseDelay, 4*maxDelay, 1)
+	for _, bound := range []time.Duration{baseDelay, 2 * baseDelay, 4 * baseDelay, maxDelay, maxDelay} {
 		if delay := b.next(); delay < 0 || delay > bound {
 			t.Errorf("delay %v, want at most %v", delay, bound)
 		}
 	}
 	b.reset()
-	if delay := b.next(); delay > unit {
-		t.Errorf("delay %v after a reset, want at most %v", delay, unit)
+	if delay := b.next(); delay > baseDelay {
+		t.Errorf("delay %v after a reset, want at most %v", delay, baseDelay)
 	}
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -20,18 +20,18 @@
 
 // Client polls and watches the endpoint list. Its methods may be called on any goroutine.
 type Client struct {
-	http           *http.Client
-	table          *endpoint.Table
-	onStale        func(endpointID string)
-	onList         func(balancer.EndpointList)
-	converter      converter // used by the holder of applyMu
-	cachedList     endpoint.List
-	keepWatch      bool
-	silenceTimeout time.Duration
-	callTimeout    time.Duration
-	listTimeout    *listTimeout
-	log            *slog.Logger
-	source         *source
+	http               *http.Client
+	table              *endpoint.Table
+	onStaleConnections func(endpointID string)
+	onList             func(balancer.EndpointList)
+	converter          converter // used by the holder of applyMu
+	cachedList         endpoint.List
+	autoWatch          bool
+	idleTimeout        time.Duration
+	callTimeout        time.Duration
+	listTimeout        *adaptiveListTimeout
+	log                *slog.Logger
+	source             *source
 
 	// applyMu puts lists in one order, from the check of their version to the event. It is held while OnList runs, and
 	// taken before the source's mutex.
@@ -41,27 +41,27 @@
 // New returns a client that has applied the cached list to the table. It calls nobody yet.
 func New(options Options) *Client {
 	c := &Client{
-		http:    newHTTPClient(),
-		table:   options.Table,
-		onStale: options.OnStale,
-		onList:  options.OnList,
+		http:               newHTTPClient(),
+		table:              options.Table,
+		onStaleConnections: options.OnStaleConnections,
+		onList:             options.OnList,
 		converter: converter{
 			zones:  options.Zones,
 			kinds:  options.Kinds,
 			starts: newStartTimes(options.Clock, options.SlowStart),
 		},
-		cachedList:     options.CachedList,
-		keepWatch:      options.KeepWatch,
-		silenceTimeout: cmp.Or(options.WatchSilence, defaultSilenceTimeout),
-		callTimeout:    cmp.Or(options.CallTimeout, defaultCallTimeout),
-		log:            options.Log,
+		cachedList:  options.CachedList,
+		autoWatch:   options.AutoWatch,
+		idleTimeout: cmp.Or(options.IdleTimeout, defaultIdleTimeout),
+		callTimeout: cmp.Or(options.CallTimeout, defaultCallTimeout),
+		log:         options.Log,
 		source: &source{
 			addr:    options.Addr,
 			version: options.CachedList.Version,
 			backoff: newBackoff(options.ConnectTimeout, options.DrainGrace, options.Seed),
 		},
 	}
-	c.listTimeout = newListTimeout(c.callTimeout)
+	c.listTimeout = newAdaptiveListTimeout(c.callTimeout)
 	c.cachedList.Complete = true
 	c.table.Apply(c.cachedList)
 	return c
@@ -70,12 +70,12 @@
 // CachedList returns the event of the list that the client was given. It must be called before any watch or poll.
 func (c *Client) CachedList() balancer.EndpointList {
 	c.converter.starts.update(c.cachedList)
-	return c.converter.event(c.cachedList, balancer.ListCached)
+	return c.converter.toEvent(c.cachedList, balancer.ListCached)
 }
 
 // Start starts the watch that the client keeps open, if Options.KeepWatch says so.
 func (c *Client) Start(ctx context.Context) {
-	if c.keepWatch {
+	if c.autoWatch {
 		c.Subscribe(ctx)
 	}
 }
@@ -88,7 +88,7 @@
 		return
 	}
 	c.log.Info(telemetry.MsgDiscoveryAddressChanged, telemetry.Discovery(addr))
-	if watched || c.keepWatch {
+	if watched || c.autoWatch {
 		c.Subscribe(ctx)
 	}
 }
--- a/internal/discovery/convert.go
+++ b/internal/discovery/convert.go
@@ -14,8 +14,8 @@
 	starts *startTimes
 }
 
-// event converts a list whose start times have been recorded.
-func (c converter) event(list endpoint.List, kind balancer.ListKind) balancer.EndpointList {
+// toEvent converts a list whose start times have been recorded.
+func (c converter) toEvent(list endpoint.List, kind balancer.ListKind) balancer.EndpointList {
 	event := balancer.EndpointList{Kind: kind, Endpoints: make([]balancer.Endpoint, 0, len(list.Entries))}
 	for _, entry := range list.Entries {
 		event.Endpoints = append(event.Endpoints, balancer.Endpoint{
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -17,23 +17,23 @@
 func TestWatchErrors(t *testing.T) {
 	endless := strings.Repeat(" ", maxListSize+1)
 	for name, tt := range map[string]struct {
-		since   int64
-		silence time.Duration
-		text    string
-		want    error
+		since       int64
+		idleTimeout time.Duration
+		text        string
+		want        error
 	}{
-		"silent":    {since: 1, silence: 100 * time.Millisecond, want: errSilentWatch},
-		"malformed": {since: 1, silence: testutil.Timeout, text: "{}", want: endpoint.ErrMalformedList},
-		"too long":  {since: 1, silence: testutil.Timeout, text: endless, want: errListTooLong},
+		"silent":    {since: 1, idleTimeout: 100 * time.Millisecond, want: errWatchIdle},
+		"malformed": {since: 1, idleTimeout: testutil.Timeout, text: "{}", want: endpoint.ErrMalformedList},
+		"too long":  {since: 1, idleTimeout: testutil.Timeout, text: endless, want: errListTooLarge},
 		"changes first": {
-			since: unknownVersion, silence: testutil.Timeout, text: changes(2), want: errChangesBeforeAll,
+			since: unknownVersion, idleTimeout: testutil.Timeout, text: deltaListJSON(2), want: errDeltaBeforeComplete,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := testutil.NewDiscovery(t)
 			options, _ := newOptions(t, testutil.Config(t, server.Addr))
 			options.CachedList.Version = tt.since
-			options.WatchSilence, options.CallTimeout = tt.silence, testutil.Timeout
+			options.IdleTimeout, options.CallTimeout = tt.idleTimeout, testutil.Timeout
 			client := New(options)
 			server.Say <- tt.text
 			err := client.runWatch(context.Background(), client.source.addWatch(func() {}))
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -19,20 +19,20 @@
 	t.Helper()
 	events := make(chan balancer.EndpointList, 10)
 	return Options{
-		Addr:           c.Discovery,
-		CachedList:     c.CachedList,
-		Table:          endpoint.NewTable(),
-		OnStale:        func(string) {},
-		OnList:         func(event balancer.EndpointList) { events <- event },
-		Zones:          c.Names.Zones,
-		Kinds:          c.Names.Kinds,
-		Clock:          clock.New(),
-		Log:            testutil.NewLogger(&testutil.Log{}),
-		KeepWatch:      !c.Settings.Subscribe,
-		ConnectTimeout: c.Settings.ConnectTimeout,
-		DrainGrace:     c.Settings.DrainGrace,
-		Seed:           c.Seed,
-		SlowStart:      SlowStart{Duration: c.Settings.SlowStartDuration, MinCapacity: c.Settings.SlowStartMinCapacity},
+		Addr:               c.Discovery,
+		CachedList:         c.CachedList,
+		Table:              endpoint.NewTable(),
+		OnStaleConnections: func(string) {},
+		OnList:             func(event balancer.EndpointList) { events <- event },
+		Zones:              c.Names.Zones,
+		Kinds:              c.Names.Kinds,
+		Clock:              clock.New(),
+		Log:                testutil.NewLogger(&testutil.Log{}),
+		AutoWatch:          !c.Settings.Subscribe,
+		ConnectTimeout:     c.Settings.ConnectTimeout,
+		DrainGrace:         c.Settings.DrainGrace,
+		Seed:               c.Seed,
+		SlowStart:          SlowStart{Duration: c.Settings.SlowStartDuration, MinCapacity: c.Settings.SlowStartMinCapacity},
 	}, events
 }
 
@@ -46,13 +46,13 @@
 	return New(options), c.Settings
 }
 
-// subscribed returns a client that has the endpoints s0 and s1, by version 1, in its cached list and has begun to watch
+// newSubscribedClient returns a client that has the endpoints s0 and s1, by version 1, in its cached list and has begun to watch
 // discovery. silence is the timeout of its watches and calls.
-func subscribed(t *testing.T, server *testutil.Discovery,
-	silence time.Duration) (*Client, chan balancer.EndpointList) {
+func newSubscribedClient(t *testing.T, server *testutil.Discovery,
+	timeout time.Duration) (*Client, chan balancer.EndpointList) {
 	t.Helper()
-	options, events := newOptions(t, testutil.Config(t, server.Addr, entry("s0", "SERVING"), entry("s1", "SERVING")))
-	options.WatchSilence, options.CallTimeout = silence, silence
+	options, events := newOptions(t, testutil.Config(t, server.Addr, entryJSON("s0", "SERVING"), entryJSON("s1", "SERVING")))
+	options.IdleTimeout, options.CallTimeout = timeout, timeout
 	client := New(options)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -60,16 +60,16 @@
 	return client, events
 }
 
-// entry is one entry of a list, as discovery writes it.
-func entry(id string, state endpoint.State) string {
+// entryJSON is one entryJSON of a list, as discovery writes it.
+func entryJSON(id string, state endpoint.State) string {
 	return testutil.EntryJSON(id, "127.0.0.1:1", string(state))
 }
 
-// completeList is a list with all entries, as discovery writes it.
-func completeList(version int, entries ...string) string { return listJSON(version, true, entries) }
+// completeListJSON is a list with all entries, as discovery writes it.
+func completeListJSON(version int, entries ...string) string { return listJSON(version, true, entries) }
 
-// changes is a list with the entries that changed, as discovery writes it.
-func changes(version int, entries ...string) string { return listJSON(version, false, entries) }
+// deltaListJSON is a list with the entries that changed, as discovery writes it.
+func deltaListJSON(version int, entries ...string) string { return listJSON(version, false, entries) }
 
 func listJSON(version int, complete bool, entries []string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, complete, strings.Join(entries, ","))
@@ -102,7 +102,7 @@
 // expectServing checks whether attempts may go to an endpoint.
 func expectServing(t *testing.T, client *Client, id string, want bool) {
 	t.Helper()
-	if _, serving := client.table.Serving(id); serving != want {
+	if _, serving := client.table.LookupServing(id); serving != want {
 		t.Errorf("endpoint %s: serving %v, want %v", id, serving, want)
 	}
 }
--- a/internal/discovery/listtimeout.go
+++ b/internal/discovery/listtimeout.go
@@ -13,42 +13,42 @@
 	maxListTimeoutFactor = 8
 )
 
-// listTimeout is the time that one list of a watch may take from its first byte to its end. It adapts to slow lists,
+// adaptiveListTimeout is the time that one list of a watch may take from its first byte to its end. It adapts to slow lists,
 // so that lists of a slow discovery arrive in the end. It is safe for concurrent use.
-type listTimeout struct {
-	minimum time.Duration
+type adaptiveListTimeout struct {
+	minTimeout time.Duration
 
 	mu      sync.Mutex // protects timeout
 	timeout time.Duration
 }
 
-func newListTimeout(minimum time.Duration) *listTimeout {
-	return &listTimeout{minimum: minimum, timeout: minimum}
+func newAdaptiveListTimeout(minimum time.Duration) *adaptiveListTimeout {
+	return &adaptiveListTimeout{minTimeout: minimum, timeout: minimum}
 }
 
 // current is the timeout of the next list.
-func (l *listTimeout) current() time.Duration {
+func (l *adaptiveListTimeout) current() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.timeout
 }
 
-// expired grows the timeout after a list that did not come in time.
-func (l *listTimeout) expired() {
+// increase grows the timeout after a list that did not come in time.
+func (l *adaptiveListTimeout) increase() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.set(listTimeoutFactor * l.timeout)
 }
 
-// received adapts the timeout to the time that a list took. One that came along with the list before it took none, and
+// update adapts the timeout to the time that a list took. One that came along with the list before it took none, and
 // so resets the timeout to its minimum.
-func (l *listTimeout) received(took time.Duration) {
+func (l *adaptiveListTimeout) update(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.set(listTimeoutFactor * took)
+	l.set(listTimeoutFactor * duration)
 }
 
 // set sets the timeout within its bounds. The caller holds mu.
-func (l *listTimeout) set(timeout time.Duration) {
-	l.timeout = min(max(l.minimum, timeout), maxListTimeoutFactor*l.minimum)
+func (l *adaptiveListTimeout) set(timeout time.Duration) {
+	l.timeout = min(max(l.minTimeout, timeout), maxListTimeoutFactor*l.minTimeout)
 }
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -38,6 +38,6 @@
 		return err
 	}
 	list.Complete = true // a poll always brings all entries, whatever the list says
-	c.applyPolled(addr, list)
+	c.applyPolledList(addr, list)
 	return nil
 }
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -11,8 +11,8 @@
 
 func TestPoll(t *testing.T) {
 	server := testutil.NewDiscovery(t)
-	server.Complete = func() string { return completeList(9, entry("s7", "SERVING")) }
-	client, events := subscribed(t, server, testutil.Timeout)
+	server.Complete = func() string { return completeListJSON(9, entryJSON("s7", "SERVING")) }
+	client, events := newSubscribedClient(t, server, testutil.Timeout)
 	client.Poll(context.Background())
 	if event := expectEvent(t, events, balancer.ListComplete, 1); event.Endpoints[0].ID != "s7" {
 		t.Errorf("event %+v", event)
@@ -21,20 +21,20 @@
 
 // A list must not be applied in part: endpoints would look as if they were gone.
 func TestMalformedLists(t *testing.T) {
-	good := entry("s0", "SERVING")
+	good := entryJSON("s0", "SERVING")
 	for name, text := range map[string]string{
 		"no JSON":          `{"version":2,"servers":[}`,
 		"no version":       `{"full":true,"servers":[` + good + `]}`,
 		"no servers":       `{"version":2,"full":true}`,
-		"no id":            completeList(2, entry("", "SERVING")),
-		"an unknown state": completeList(2, strings.Replace(good, "SERVING", "ASLEEP", 1)),
-		"a bad address":    completeList(2, testutil.EntryJSON("s0", "here", "SERVING")),
+		"no id":            completeListJSON(2, entryJSON("", "SERVING")),
+		"an unknown state": completeListJSON(2, strings.Replace(good, "SERVING", "ASLEEP", 1)),
+		"a bad address":    completeListJSON(2, testutil.EntryJSON("s0", "here", "SERVING")),
 		"a bad type":       `{"version":2,"full":true,"servers":{}}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := testutil.NewDiscovery(t)
 			server.Complete = func() string { return text }
-			client, events := subscribed(t, server, testutil.Timeout)
+			client, events := newSubscribedClient(t, server, testutil.Timeout)
 			testutil.Receive(t, server.Watches)
 			server.Say <- text
 			expectFailure(t, events) // of the watch
@@ -53,17 +53,17 @@
 	server.Complete = func() string {
 		close(polled)
 		<-gate
-		return completeList(1, entry("s0", "SERVING"))
+		return completeListJSON(1, entryJSON("s0", "SERVING"))
 	}
-	client, events := subscribed(t, server, testutil.Timeout)
+	client, events := newSubscribedClient(t, server, testutil.Timeout)
 	testutil.Receive(t, server.Watches)
 	client.Poll(context.Background())
 	testutil.Receive(t, polled)
-	server.Say <- changes(2, entry("s0", "DRAINING"))
+	server.Say <- deltaListJSON(2, entryJSON("s0", "DRAINING"))
 	testutil.Receive(t, events)
 	close(gate)
 	expectEvent(t, events, balancer.ListDelta, 0) // a poll always has an event
-	server.Say <- completeList(1, entry("s0", "SERVING"))
+	server.Say <- completeListJSON(1, entryJSON("s0", "SERVING"))
 	if event := testutil.Receive(t, events); len(event.Endpoints) != 0 {
 		t.Errorf("event %+v of an outdated line", event)
 	}
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -7,8 +7,8 @@
 	"ashshunt/internal/endpoint"
 )
 
-// maxListDelay is the usual age of an endpoint when a list first reports its start, and the upper bound of listDelay.
-const maxListDelay = 2 * time.Second
+// maxListingDelay is the usual age of an endpoint when a list first reports its start, and the upper bound of listDelay.
+const maxListingDelay = 2 * time.Second
 
 // SlowStart says how endpoints warm up.
 type SlowStart struct {
@@ -16,17 +16,17 @@
 	MinCapacity float64       // share of its capacity that it starts with
 }
 
-// listDelay is the age beyond the one that the list proves which an endpoint may be given, if this machine's clock
+// listingDelay is the age beyond the one that the list proves which an endpoint may be given, if this machine's clock
 // agrees. Where a list comes sooner and that clock is ahead, the endpoint is estimated too old by this much; that must
 // not double the capacity at which it is estimated.
 //
 // Capacity grows linearly from m = MinCapacity to 1 within Duration, by 1-m; it has doubled when it has grown by m.
-func (s SlowStart) listDelay() time.Duration {
+func (s SlowStart) listingDelay() time.Duration {
 	if s.MinCapacity <= 0 || s.MinCapacity >= 1 {
-		return maxListDelay
+		return maxListingDelay
 	}
 	timeToDouble := s.MinCapacity / (1 - s.MinCapacity) * float64(s.Duration)
-	return time.Duration(min(float64(maxListDelay), timeToDouble))
+	return time.Duration(min(float64(maxListingDelay), timeToDouble))
 }
 
 // startTimes converts the start times of endpoints from Unix time to the agent's clock. It is not safe for concurrent
@@ -44,8 +44,8 @@
 	slowStart SlowStart
 	starts    map[string]start // the last start of each endpoint, by its ID
 
-	newestUnix   time.Duration // the latest start that was listed, since the Unix epoch
-	newestSeenAt time.Duration // when it was first listed, on the agent's clock
+	newestStartUnix time.Duration // the latest start that was listed, since the Unix epoch
+	newestListedAt  time.Duration // when it was first listed, on the agent's clock
 }
 
 // start is one start of an endpoint.
@@ -67,9 +67,9 @@
 func (s *startTimes) update(list endpoint.List) {
 	now := s.clock.Now()
 	for _, entry := range list.Entries {
-		s.observeNewest(entry.StartedAtUnix(), now)
+		s.updateNewest(entry.StartedAtUnix(), now)
 	}
-	wallClockOnly := list.Complete && s.mostUnproven(list, now)
+	wallClockOnly := list.Complete && s.isMajorityUnconfirmed(list, now)
 	previous := s.starts
 	if list.Complete {
 		s.starts = make(map[string]start, len(list.Entries))
@@ -82,48 +82,48 @@
 		case known && last.unix == unix:
 			s.starts[entry.ID] = last
 		case unix > 0:
-			s.starts[entry.ID] = start{unix: unix, startedAt: s.estimate(unix, last, now, wallClockOnly)}
+			s.starts[entry.ID] = start{unix: unix, startedAt: s.estimateStart(unix, last, now, wallClockOnly)}
 		}
 	}
 }
 
-// observeNewest records a start if it proves that the endpoints' clock is ahead of what was known. unix is Unix time,
+// updateNewest records a start if it proves that the endpoints' clock is ahead of what was known. unix is Unix time,
 // now is on the agent's clock.
-func (s *startTimes) observeNewest(unix, now time.Duration) {
-	if unix-now > s.newestUnix-s.newestSeenAt {
-		s.newestUnix, s.newestSeenAt = unix, now
+func (s *startTimes) updateNewest(unix, now time.Duration) {
+	if unix-now > s.newestStartUnix-s.newestListedAt {
+		s.newestStartUnix, s.newestListedAt = unix, now
 	}
 }
 
-// provenAge is the age at now, on the agent's clock, that the newest start proves for a start at Unix time.
-func (s *startTimes) provenAge(unix, now time.Duration) time.Duration {
-	minEndpointClock := s.newestUnix + (now - s.newestSeenAt)
+// minAge is the age at now, on the agent's clock, that the newest start proves for a start at Unix time.
+func (s *startTimes) minAge(unix, now time.Duration) time.Duration {
+	minEndpointClock := s.newestStartUnix + (now - s.newestListedAt)
 	return minEndpointClock - unix
 }
 
-// mostUnproven reports whether a complete list can't prove that most of its endpoints are warm, since they started at
+// isMajorityUnconfirmed reports whether a complete list can't prove that most of its endpoints are warm, since they started at
 // about the same time, be it long ago. To treat all of them as cold would shed most requests during a slow start.
-func (s *startTimes) mostUnproven(list endpoint.List, now time.Duration) bool {
-	unproven := 0
+func (s *startTimes) isMajorityUnconfirmed(list endpoint.List, now time.Duration) bool {
+	unconfirmed := 0
 	for _, entry := range list.Entries {
 		unix := entry.StartedAtUnix()
-		if unix > 0 && s.provenAge(unix, now) < s.slowStart.Duration {
-			unproven++
+		if unix > 0 && s.minAge(unix, now) < s.slowStart.Duration {
+			unconfirmed++
 		}
 	}
-	return unproven > len(list.Entries)-unproven
+	return unconfirmed > len(list.Entries)-unconfirmed
 }
 
-// estimate returns when an endpoint started, on the agent's clock: now minus its estimated age, but later than its last
+// estimateStart returns when an endpoint started, on the agent's clock: now minus its estimated age, but later than its last
 // start. unix is the start by Unix time, last the endpoint's start before it, if any; wallClockOnly leaves out the age
 // that the list proves.
-func (s *startTimes) estimate(unix time.Duration, last start, now time.Duration, wallClockOnly bool) time.Duration {
+func (s *startTimes) estimateStart(unix time.Duration, last start, now time.Duration, wallClockOnly bool) time.Duration {
 	if unix < last.unix { // some clock was set back: it started since the list before, and no one knows when
 		return now
 	}
 	age := time.Duration(time.Now().UnixNano()) - unix
 	if !wallClockOnly {
-		age = min(age, s.provenAge(unix, now)+s.slowStart.listDelay())
+		age = min(age, s.minAge(unix, now)+s.slowStart.listingDelay())
 	}
 	startedAt := now - max(0, age)
 	earliest := last.startedAt + 1 // by a nanosecond: the decision module tells starts apart by their times
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -23,7 +23,7 @@
 			return
 		}
 		c.log.Warn(telemetry.MsgWatchEnded, telemetry.Discovery(w.addr), telemetry.Err(err))
-		if c.keepWatch {
+		if c.autoWatch {
 			c.restartWatch(ctx)
 		} else {
 			c.onList(failureEvent(err))
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -11,22 +11,22 @@
 //   - where the client keeps the watch open by itself: two silent watches in a row, the backoff after each, and the
 //     next watch. Such calls fail on this machine and wait in no queue.
 const (
-	// defaultSilenceTimeout ends a watch that has brought nothing for so long. An empty line is due every 2 s, and a
+	// defaultIdleTimeout ends a watch that has brought nothing for so long. An empty line is due every 2 s, and a
 	// machine that was cut off says nothing at all.
-	defaultSilenceTimeout = 2500 * time.Millisecond
+	defaultIdleTimeout = 2500 * time.Millisecond
 	// defaultCallTimeout bounds a poll, and the time to the first byte of a watch.
 	defaultCallTimeout = 2500 * time.Millisecond
 	// maxQueueTime is how long a call may wait in discovery's queue before discovery refuses it.
 	maxQueueTime = 2 * time.Second
-	// propagationLimit is how long a change may take to reach this agent.
-	propagationLimit = 6 * time.Second
+	// maxPropagationDelay is how long a change may take to reach this agent.
+	maxPropagationDelay = 6 * time.Second
 	// SubscribeSpread is the time over which agents spread their calls after a start or a failure.
-	SubscribeSpread = propagationLimit - max(defaultSilenceTimeout, defaultCallTimeout) - maxQueueTime
+	SubscribeSpread = maxPropagationDelay - max(defaultIdleTimeout, defaultCallTimeout) - maxQueueTime
 	// RefusedSubscribeSpread is the same after a refusal, which proves that discovery could not be reached until then.
-	RefusedSubscribeSpread = propagationLimit - maxQueueTime
-	// restartDelays is how many of the longest backoffs fit into what two silent watches leave of the limit. Two occur
+	RefusedSubscribeSpread = maxPropagationDelay - maxQueueTime
+	// restartDelayDivisor is how many of the longest backoffs fit into what two silent watches leave of the limit. Two occur
 	// there, and half is left for the next watch.
-	restartDelays = 4
+	restartDelayDivisor = 4
 	// maxRestartDelay bounds the backoff before a watch that the client keeps is started again.
-	maxRestartDelay = (propagationLimit - defaultSilenceTimeout - defaultCallTimeout) / restartDelays
+	maxRestartDelay = (maxPropagationDelay - defaultIdleTimeout - defaultCallTimeout) / restartDelayDivisor
 )
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -13,10 +13,10 @@
 
 // Why a watch was ended by this side.
 var (
-	errSilentWatch      = errors.New("watch fell silent")
-	errListTooLong      = errors.New("list too long")
-	errListTooSlow      = errors.New("list too slow")
-	errChangesBeforeAll = errors.New("changes came before the complete list")
+	errWatchIdle           = errors.New("watch fell silent")
+	errListTooLarge        = errors.New("list too long")
+	errListTimeout         = errors.New("list too slow")
+	errDeltaBeforeComplete = errors.New("changes came before the complete list")
 )
 
 // watch is one watch of an address. It is run by the goroutine that Subscribe starts for it.
@@ -37,21 +37,21 @@
 func (c *Client) runWatch(ctx context.Context, w *watch) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(c.callTimeout, func() { cancel(errSilentWatch) })
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(c.callTimeout, func() { cancel(errWatchIdle) })
+	defer idleTimer.Stop()
 	body, err := c.get(ctx, w.addr, w.query())
 	if err != nil {
 		return err
 	}
 	defer func() { _ = body.Close() }()
-	silence.Reset(c.silenceTimeout)
+	idleTimer.Reset(c.idleTimeout)
 	c.source.activateWatch(w, false)
 	c.log.Info(telemetry.MsgWatchEstablished, telemetry.Discovery(w.addr), "since", w.since)
-	reader := newWatchReader(body, silence, c.silenceTimeout, func() { cancel(errListTooSlow) })
+	reader := newWatchReader(body, idleTimer, c.idleTimeout, func() { cancel(errListTimeout) })
 	defer reader.stop()
 	err = c.readLists(ctx, w, reader)
-	if errors.Is(err, errListTooSlow) {
-		c.listTimeout.expired()
+	if errors.Is(err, errListTimeout) {
+		c.listTimeout.increase()
 	}
 	return err
 }
@@ -59,7 +59,7 @@
 // readLists applies the lists that a watch brings.
 func (c *Client) readLists(ctx context.Context, w *watch, reader *watchReader) error {
 	for decoder := json.NewDecoder(reader); ; {
-		reader.expectList(c.listTimeout.current())
+		reader.prepareForList(c.listTimeout.current())
 		list, err := readList(ctx, decoder)
 		if err != nil {
 			return err
@@ -67,10 +67,10 @@
 		if ctx.Err() != nil { // replaced or silent meanwhile: another watch brings what follows
 			return ctx.Err()
 		}
-		c.listTimeout.received(reader.listDuration())
+		c.listTimeout.update(reader.listDuration())
 		// A watch that was replaced ends here too, with an error that nobody sees: its context has been cancelled.
-		if !c.applyWatched(w, list) {
-			return errChangesBeforeAll
+		if !c.applyWatchedList(w, list) {
+			return errDeltaBeforeComplete
 		}
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -12,16 +12,16 @@
 
 func TestWatch(t *testing.T) {
 	server := testutil.NewDiscovery(t)
-	client, events := subscribed(t, server, testutil.Timeout)
+	client, events := newSubscribedClient(t, server, testutil.Timeout)
 	expectWatch(t, server, "follow=1&since=1")
 	server.Say <- ""
-	server.Say <- changes(2, entry("s0", "DRAINING"))
+	server.Say <- deltaListJSON(2, entryJSON("s0", "DRAINING"))
 	event := expectEvent(t, events, balancer.ListDelta, 1)
 	if event.Endpoints[0].State != balancer.Draining || event.Endpoints[0].Zone != 0 {
 		t.Errorf("event %+v", event)
 	}
 	expectServing(t, client, "s0", false)
-	server.Say <- completeList(3, entry("s0", "SERVING"))
+	server.Say <- completeListJSON(3, entryJSON("s0", "SERVING"))
 	expectEvent(t, events, balancer.ListComplete, 1)
 	expectServing(t, client, "s1", false)
 	server.Cut <- struct{}{}
@@ -32,8 +32,8 @@
 }
 
 // A watch that a cut-off network holds open for ever is ended.
-func TestSilentWatch(t *testing.T) {
-	_, events := subscribed(t, testutil.NewDiscovery(t), 100*time.Millisecond)
+func TestWatchIdleTimeout(t *testing.T) {
+	_, events := newSubscribedClient(t, testutil.NewDiscovery(t), 100*time.Millisecond)
 	expectFailure(t, events)
 }
 
@@ -51,7 +51,7 @@
 func TestIndentedLists(t *testing.T) {
 	server := testutil.NewDiscovery(t)
 	server.Complete = func() string { return strings.Replace(indentedList, `"version": 2`, `"version": 4`, 1) }
-	client, events := subscribed(t, server, testutil.Timeout)
+	client, events := newSubscribedClient(t, server, testutil.Timeout)
 	testutil.Receive(t, server.Watches)
 	server.Say <- ""
 	server.Say <- indentedList
@@ -68,17 +68,17 @@
 func TestWatchEndsWithinList(t *testing.T) {
 	half := indentedList[:len(indentedList)/2]
 	for name, tt := range map[string]struct {
-		text    string
-		silence time.Duration
-		cut     bool
+		text        string
+		idleTimeout time.Duration
+		cut         bool
 	}{
-		"silent":      {text: half, silence: 100 * time.Millisecond},
-		"cut off":     {text: half, silence: testutil.Timeout, cut: true},
-		"without end": {text: `{"version":2,"x":"` + strings.Repeat("x", maxListSize), silence: testutil.Timeout},
+		"silent":      {text: half, idleTimeout: 100 * time.Millisecond},
+		"cut off":     {text: half, idleTimeout: testutil.Timeout, cut: true},
+		"without end": {text: `{"version":2,"x":"` + strings.Repeat("x", maxListSize), idleTimeout: testutil.Timeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := testutil.NewDiscovery(t)
-			client, events := subscribed(t, server, tt.silence)
+			client, events := newSubscribedClient(t, server, tt.idleTimeout)
 			testutil.Receive(t, server.Watches)
 			server.Say <- tt.text
 			if tt.cut {
@@ -92,8 +92,8 @@
 	}
 }
 
-// tricklingList begins a list that keeps coming, a blank at a time, until the test ends.
-func tricklingList(t *testing.T, server *testutil.Discovery, every time.Duration) {
+// sendTricklingList begins a list that keeps coming, a blank at a time, until the test ends.
+func sendTricklingList(t *testing.T, server *testutil.Discovery, every time.Duration) {
 	t.Helper()
 	stopped := make(chan struct{})
 	t.Cleanup(func() { close(stopped) })
@@ -113,9 +113,9 @@
 // A list that never becomes complete is given up, however steadily it comes: its changes count as received soon.
 func TestTricklingList(t *testing.T) {
 	server := testutil.NewDiscovery(t)
-	client, events := subscribed(t, server, 200*time.Millisecond)
+	client, events := newSubscribedClient(t, server, 200*time.Millisecond)
 	testutil.Receive(t, server.Watches)
-	tricklingList(t, server, 20*time.Millisecond)
+	sendTricklingList(t, server, 20*time.Millisecond)
 	expectFailure(t, events)
 	expectServing(t, client, "s0", true)
 }
@@ -123,8 +123,8 @@
 // A list that takes longer than the silence timeout is applied if it comes.
 func TestSlowList(t *testing.T) {
 	server := testutil.NewDiscovery(t)
-	options, events := newOptions(t, testutil.Config(t, server.Addr, entry("s0", "SERVING")))
-	options.WatchSilence, options.CallTimeout = time.Second, testutil.Timeout
+	options, events := newOptions(t, testutil.Config(t, server.Addr, entryJSON("s0", "SERVING")))
+	options.IdleTimeout, options.CallTimeout = time.Second, testutil.Timeout
 	client := New(options)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -142,20 +142,20 @@
 // nothing and may number its versions differently; after that the old one is ignored.
 func TestSetAddress(t *testing.T) {
 	oldServer, newServer := testutil.NewDiscovery(t), testutil.NewDiscovery(t)
-	client, events := subscribed(t, oldServer, testutil.Timeout)
+	client, events := newSubscribedClient(t, oldServer, testutil.Timeout)
 	testutil.Receive(t, oldServer.Watches)
-	oldServer.Say <- changes(2)
+	oldServer.Say <- deltaListJSON(2)
 	testutil.Receive(t, events)
 	client.SetAddress(context.Background(), "127.0.0.1:1") // refused: the module is notified, and subscribes again
 	expectFailure(t, events)
-	oldServer.Say <- changes(3, entry("s0", "DRAINING"))
+	oldServer.Say <- deltaListJSON(3, entryJSON("s0", "DRAINING"))
 	expectEvent(t, events, balancer.ListDelta, 1) // from the old address, which is still watched
 	client.SetAddress(context.Background(), newServer.Addr)
 	client.SetAddress(context.Background(), newServer.Addr) // once more changes nothing
 	expectWatch(t, newServer, "follow=1")                   // for the complete list
 	oldServer.Cut <- struct{}{}                             // no failure: the new one is under way
 	newServer.Say <- ""
-	newServer.Say <- completeList(1, entry("s1", "SERVING"))
+	newServer.Say <- completeListJSON(1, entryJSON("s1", "SERVING"))
 	expectEvent(t, events, balancer.ListComplete, 1)
 	expectServing(t, client, "s0", false) // which only the old address knew
 	newServer.Cut <- struct{}{}
--- a/internal/endpoint/entry.go
+++ b/internal/endpoint/entry.go
@@ -44,14 +44,14 @@
 // BalancerState is the entry's state in the decision module's terms.
 func (e Entry) BalancerState() balancer.EndpointState { return balancerStates[e.State] }
 
-// Serving reports whether the endpoint may get new requests.
-func (e Entry) Serving() bool { return e.State == StateServing }
+// IsServing reports whether the endpoint may get new requests.
+func (e Entry) IsServing() bool { return e.State == StateServing }
 
 // StartedAtUnix is when the endpoint last started, as the time since the Unix epoch; 0: long ago.
 func (e Entry) StartedAtUnix() time.Duration { return max(0, clock.Milliseconds(e.StartedAtUnixMs)) }
 
-// SameProcess reports whether two entries of an endpoint describe one process: the same start at the same address.
-func (e Entry) SameProcess(other Entry) bool {
+// IsSameProcess reports whether two entries of an endpoint describe one process: the same start at the same address.
+func (e Entry) IsSameProcess(other Entry) bool {
 	return e.Addr == other.Addr && e.StartedAtUnixMs == other.StartedAtUnixMs
 }
 
@@ -66,7 +66,7 @@
 	if e.State == StateDeleted {
 		return nil
 	}
-	if err := CheckAddress(e.Addr); err != nil {
+	if err := ValidateAddress(e.Addr); err != nil {
 		return fmt.Errorf("%w: server %s: %w", ErrMalformedList, e.ID, err)
 	}
 	return nil
@@ -75,8 +75,8 @@
 // maxPort is the highest port number of TCP.
 const maxPort = 65535
 
-// CheckAddress returns an error unless an address is host:port with a valid port.
-func CheckAddress(addr string) error {
+// ValidateAddress returns an error unless an address is host:port with a valid port.
+func ValidateAddress(addr string) error {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return fmt.Errorf("%q is not host:port", addr)
--- a/internal/endpoint/list_test.go
+++ b/internal/endpoint/list_test.go
@@ -21,17 +21,17 @@
 		t.Fatalf("list %+v", list)
 	}
 	first, second := list.Entries[0], list.Entries[1]
-	if first.ID != "s0" || first.Addr != "127.0.0.1:1" || !first.Serving() ||
+	if first.ID != "s0" || first.Addr != "127.0.0.1:1" || !first.IsServing() ||
 		first.BalancerState() != balancer.Serving {
 		t.Errorf("first entry %+v", first)
 	}
-	if second.ID != "s1" || second.Serving() || second.BalancerState() != balancer.Removed {
+	if second.ID != "s1" || second.IsServing() || second.BalancerState() != balancer.Removed {
 		t.Errorf("second entry %+v", second)
 	}
 }
 
 // Names are matched whatever their case, as encoding/json does.
-func TestParseListInOtherSpellings(t *testing.T) {
+func TestParseListIgnoresFieldCase(t *testing.T) {
 	entry := testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING")
 	for _, names := range [][3]string{
 		{"version", "full", "servers"}, {"Version", "Full", "Servers"}, {"VERSION", "FULL", "sErVeRs"},
@@ -64,12 +64,12 @@
 	}
 }
 
-func TestCheckAddress(t *testing.T) {
+func TestValidateAddress(t *testing.T) {
 	for addr, valid := range map[string]bool{
 		"10.1.0.18:9000": true, "host:0": true, "[::1]:65535": true,
 		"": false, "host": false, "host:": false, "host:http": false, "host:-1": false, "host:65536": false,
 	} {
-		if err := endpoint.CheckAddress(addr); (err == nil) != valid {
+		if err := endpoint.ValidateAddress(addr); (err == nil) != valid {
 			t.Errorf("%q: error %v, want valid %v", addr, err, valid)
 		}
 	}
--- a/internal/endpoint/table.go
+++ b/internal/endpoint/table.go
@@ -37,7 +37,7 @@
 	} else {
 		t.entries[entry.ID] = entry
 	}
-	return known && (!entry.Serving() || !entry.SameProcess(previous))
+	return known && (!entry.IsServing() || !entry.IsSameProcess(previous))
 }
 
 // removeUnlisted removes all entries that are not in a complete list and returns their IDs. The caller holds t.mu.
@@ -55,20 +55,20 @@
 	return removed
 }
 
-// Serving returns the entry of an endpoint, and whether it may get new requests.
-func (t *Table) Serving(id string) (Entry, bool) {
+// LookupServing returns the entry of an endpoint, and whether it may get new requests.
+func (t *Table) LookupServing(id string) (Entry, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	entry, known := t.entries[id]
-	return entry, known && entry.Serving()
+	return entry, known && entry.IsServing()
 }
 
-// AnyServing reports whether some endpoint may get new requests.
-func (t *Table) AnyServing() bool {
+// HasServing reports whether some endpoint may get new requests.
+func (t *Table) HasServing() bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	for _, entry := range t.entries {
-		if entry.Serving() {
+		if entry.IsServing() {
 			return true
 		}
 	}
--- a/internal/endpoint/table_test.go
+++ b/internal/endpoint/table_test.go
@@ -35,7 +35,7 @@
 
 func TestServing(t *testing.T) {
 	table := endpoint.NewTable()
-	if table.AnyServing() {
+	if table.HasServing() {
 		t.Error("an empty table has an endpoint to send to")
 	}
 	table.Apply(endpoint.List{Complete: true, Entries: []endpoint.Entry{
@@ -45,15 +45,15 @@
 	}})
 	table.Apply(endpoint.List{Entries: []endpoint.Entry{newEntry("c", "", endpoint.StateDeleted, 0)}})
 	for id, want := range map[string]bool{"a": true, "b": false, "c": false, "unknown": false} {
-		if _, got := table.Serving(id); got != want {
+		if _, got := table.LookupServing(id); got != want {
 			t.Errorf("endpoint %s: serving %v, want %v", id, got, want)
 		}
 	}
-	if !table.AnyServing() {
+	if !table.HasServing() {
 		t.Error("no endpoint to send to, although one is serving")
 	}
 	table.Apply(endpoint.List{Complete: true})
-	if _, serving := table.Serving("a"); serving || table.AnyServing() {
+	if _, serving := table.LookupServing("a"); serving || table.HasServing() {
 		t.Error("an endpoint that a complete list leaves out is still serving")
 	}
 }
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -31,7 +31,7 @@
 	protocol.HeaderTimeout,
 	protocol.HeaderIdempotencyKey,
 	protocol.HeaderTenant,
-	protocol.HeaderKey,
+	protocol.HeaderAffinityKey,
 }
 
 // RequestError says what is wrong with a request, and how its client is answered.
@@ -130,9 +130,9 @@
 		ID:          id,
 		Class:       class,
 		Tenant:      h.parseTenant(r),
-		Key:         r.Header.Get(protocol.HeaderKey),
+		Key:         r.Header.Get(protocol.HeaderAffinityKey),
 		Timeout:     min(timeout, h.settings.Classes[class].Deadline), // no client of the class waits longer
-		ClientRetry: r.Header.Get(protocol.HeaderClientRetry) == protocol.Yes,
+		ClientRetry: r.Header.Get(protocol.HeaderClientRetry) == protocol.FlagTrue,
 		Work:        parseWork(r),
 	}, nil
 }
@@ -213,7 +213,7 @@
 
 // parseWork returns the client's estimate of the work; 0 if there is none that can be used.
 func parseWork(r *http.Request) time.Duration {
-	micros, err := strconv.ParseFloat(r.Header.Get(protocol.HeaderWork), 64)
+	micros, err := strconv.ParseFloat(r.Header.Get(protocol.HeaderWorkEstimate), 64)
 	if err == nil && micros > 0 && micros < maxWorkMicros {
 		return time.Duration(micros * float64(time.Microsecond))
 	}
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -22,17 +22,17 @@
 	InFlight        = "outstanding"
 	Queue           = "backlog"
 	Utilization     = "utilization"
-	ServiceMs       = "recent_ms"
+	ServiceTimeMs   = "recent_ms"
 	Throughput      = "throughput"
 	ErrorsPerSecond = "errors_per_s"
 )
 
-// endpointReportNames maps the names that real endpoints use to the simulator's. A report may use either.
-var endpointReportNames = map[string]string{
+// canonicalNames maps the names that real endpoints use to the simulator's. A report may use either.
+var canonicalNames = map[string]string{
 	"inflight":   InFlight,
 	"queue":      Queue,
 	"util":       Utilization,
-	"latency_ms": ServiceMs,
+	"latency_ms": ServiceTimeMs,
 	"qps":        Throughput,
 	"eps":        ErrorsPerSecond,
 }
@@ -52,7 +52,7 @@
 		}
 		values[name] = value
 	}
-	for endpointName, name := range endpointReportNames {
+	for endpointName, name := range canonicalNames {
 		if value, ok := values[endpointName]; ok {
 			values[name] = value
 		}
@@ -87,7 +87,7 @@
 		Service:      notReported,
 		ErrorsPerSec: value(ErrorsPerSecond),
 	}
-	if ms, ok := values[ServiceMs]; ok {
+	if ms, ok := values[ServiceTimeMs]; ok {
 		report.Service = clock.Milliseconds(ms)
 	}
 	return report
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestNoValuesAreNoReport(t *testing.T) {
+func TestFromValuesNil(t *testing.T) {
 	if got := FromValues(nil); got.Valid {
 		t.Errorf("read as %+v", got)
 	}
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -8,15 +8,15 @@
 	HeaderTimeout        = "X-Budget-Ms"     // how long the sender waits, in whole milliseconds
 	HeaderIdempotencyKey = "Idempotency-Key" // of requests that are deduplicated by a key
 	HeaderTenant         = "X-Caller"        // the tenant's name in the settings
-	HeaderKey            = "X-Route-Hash"    // the key for cache affinity and order
+	HeaderAffinityKey    = "X-Route-Hash"    // the key for cache affinity and order
 	HeaderClientRetry    = "X-Again"         // Yes on a client's retry, where clients mark them
-	HeaderWork           = "X-Call-Cost"     // the client's estimate of the work, in microseconds
+	HeaderWorkEstimate   = "X-Call-Cost"     // the client's estimate of the work, in microseconds
 	HeaderRejected       = "X-Rejected"      // Yes on the response to a request that has not run
 	HeaderLoadReport     = "X-Load-Report"   // an endpoint's load report
 )
 
-// Yes is the value of headers that are flags.
-const Yes = "1"
+// FlagTrue is the value of headers that are flags.
+const FlagTrue = "1"
 
 // Paths of health checks, which belong to no class of requests.
 const (
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -20,9 +20,9 @@
 	// startMargin is how much earlier than Bounds.NotAfter an attempt must begin: the machine may stall for 0.15 s
 	// between the reading of its clock and the write, and endpoints tolerate 0.05 s of that.
 	startMargin = 100 * time.Millisecond
-	// minIdleBeforeBreak is how long a connection must have been idle for a break at its next request to count as
+	// minIdleBeforeFailure is how long a connection must have been idle for a break at its next request to count as
 	// caused by the idle time.
-	minIdleBeforeBreak = 100 * time.Millisecond
+	minIdleBeforeFailure = 100 * time.Millisecond
 )
 
 // Bounds are the latest times at which an attempt may begin and end.
@@ -31,8 +31,8 @@
 	NotAfter time.Time // it must not begin after this; zero: no such bound
 }
 
-// allowStart reports whether an attempt may begin now.
-func (b Bounds) allowStart() bool {
+// allowsStart reports whether an attempt may begin now.
+func (b Bounds) allowsStart() bool {
 	now := time.Now()
 	return now.Before(b.Deadline) && (b.NotAfter.IsZero() || now.Add(startMargin).Before(b.NotAfter))
 }
@@ -44,16 +44,16 @@
 	bounds Bounds) (balancer.Result, Response) {
 	dialCtx, cancelDial := context.WithCancel(ctx)
 	defer cancelDial()
-	stopWaiting := context.AfterFunc(request.Lifetime, cancelDial)
-	defer stopWaiting()
+	stopAfterFunc := context.AfterFunc(request.Lifetime, cancelDial)
+	defer stopAfterFunc()
 	conn, failure := c.connect(dialCtx, endpointID, bounds.Deadline)
 	if failure != nil {
-		return failure.result, unsent(failure)
+		return failure.result, unsentResponse(failure)
 	}
 	// The request may have ended during the dial. From here to the first byte nothing blocks.
-	if request.isOver() || ctx.Err() != nil || !bounds.allowStart() {
+	if request.isFinished() || ctx.Err() != nil || !bounds.allowsStart() {
 		c.pool.release(conn)
-		return balancer.NotSent, unsent(nil)
+		return balancer.NotSent, unsentResponse(nil)
 	}
 	return c.exchange(ctx, conn, newForwardedRequest(request, bounds.Deadline), bounds.Deadline)
 }
@@ -63,7 +63,7 @@
 	deadline := time.Now().Add(c.healthCheckTimeout)
 	conn, failure := c.connect(ctx, endpointID, deadline)
 	if failure != nil {
-		return failure.result, unsent(failure)
+		return failure.result, unsentResponse(failure)
 	}
 	path := protocol.HealthPath
 	if c.loadReports != balancer.LoadReportsNone {
@@ -71,13 +71,13 @@
 	}
 	result, response := c.exchange(ctx, conn, newHealthCheckRequest(path, conn.netConn.RemoteAddr().String()), deadline)
 	if path == protocol.LoadReportPath {
-		response.copyLoadReport()
+		response.copyLoadReportToHeader()
 	}
 	return result, response
 }
 
-// unsent is the response of an attempt that sent no byte; err may be nil.
-func unsent(err error) Response { return Response{EndedAt: time.Now(), Err: err} }
+// unsentResponse is the response of an attempt that sent no byte; err may be nil.
+func unsentResponse(err error) Response { return Response{EndedAt: time.Now(), Err: err} }
 
 // connect returns a connection to an endpoint, idle or new. By the time it is open the endpoint may be draining or have
 // been restarted: nothing is sent to a process that has ended, since the reset of that connection would look like the
@@ -87,11 +87,11 @@
 // nil.
 func (c *Client) connect(ctx context.Context, endpointID string, deadline time.Time) (*connection, *connectError) {
 	for {
-		entry, serving := c.table.Serving(endpointID)
+		entry, serving := c.table.LookupServing(endpointID)
 		if !serving { // nothing was sent, so another endpoint may serve the request
 			return nil, &connectError{endpointID, balancer.ConnectFailed, ErrNotServing}
 		}
-		conn, failure := c.takeOrDial(ctx, entry, deadline)
+		conn, failure := c.takeIdleOrDial(ctx, entry, deadline)
 		if failure != nil {
 			return nil, failure
 		}
@@ -104,12 +104,12 @@
 
 // isCurrent reports whether a connection leads to the process that the endpoint table lists as serving.
 func (c *Client) isCurrent(conn *connection) bool {
-	entry, serving := c.table.Serving(conn.endpointID())
-	return serving && conn.entry.SameProcess(entry)
+	entry, serving := c.table.LookupServing(conn.endpointID())
+	return serving && conn.entry.IsSameProcess(entry)
 }
 
-// takeOrDial takes an idle connection, or dials one if there is none.
-func (c *Client) takeOrDial(ctx context.Context, entry endpoint.Entry,
+// takeIdleOrDial takes an idle connection, or dials one if there is none.
+func (c *Client) takeIdleOrDial(ctx context.Context, entry endpoint.Entry,
 	deadline time.Time) (*connection, *connectError) {
 	if conn := c.pool.takeIdle(entry.ID); conn != nil {
 		return conn, nil
@@ -145,10 +145,10 @@
 	encoded, err := encodeRequest(request)
 	if err != nil { // no byte went out: it can't have run
 		c.pool.release(conn)
-		return balancer.NotSent, unsent(err)
+		return balancer.NotSent, unsentResponse(err)
 	}
 	// Once it is released, the connection belongs to others.
-	before := connectionBefore{conn.endpointID(), conn.idleSince, conn.idleTime()}
+	snapshot := connectionSnapshot{conn.endpointID(), conn.idleSince, conn.idleDuration()}
 	outcome := roundTrip(ctx, conn.netConn, encoded, deadline, c.stallTimeout)
 	if outcome.reusable {
 		c.pool.release(conn)
@@ -156,8 +156,8 @@
 		c.pool.close(conn)
 	}
 	result := classify(outcome, ctx.Err() != nil)
-	c.closeDeadConnections(before, result)
-	c.logUnusable(before.endpointID, result, outcome.response)
+	c.closeDeadConnections(snapshot, result)
+	c.logUnexpectedResponse(snapshot.endpointID, result, outcome.response)
 	return result, outcome.response
 }
 
@@ -167,7 +167,7 @@
 	switch {
 	case response.Err == nil && response.Status == http.StatusOK:
 		return balancer.Served
-	case response.Err == nil && response.rejected():
+	case response.Err == nil && response.isRejected():
 		return balancer.Rejected
 	case response.Err == nil || errors.Is(response.Err, ErrMalformedResponse):
 		return balancer.ServerError
@@ -181,32 +181,32 @@
 	return balancer.Reset
 }
 
-// connectionBefore is what is known of a connection before its exchange.
-type connectionBefore struct {
-	endpointID string
-	idleSince  time.Time     // zero for a new one
-	idle       time.Duration // until the exchange
+// connectionSnapshot is what is known of a connection before its exchange.
+type connectionSnapshot struct {
+	endpointID   string
+	idleSince    time.Time     // zero for a new one
+	idleDuration time.Duration // until the exchange
 }
 
 // closeDeadConnections closes the idle connections to an endpoint that are dead as well, judging by the result of an
 // exchange and the state of its connection before: an unsafe request that is sent on a dead connection may not be sent
 // again.
-func (c *Client) closeDeadConnections(before connectionBefore, result balancer.Result) {
+func (c *Client) closeDeadConnections(snapshot connectionSnapshot, result balancer.Result) {
 	switch {
 	case result == balancer.TimedOut:
 		// Idle connections to a machine that vanished swallow what is written to them; a new one fails fast, and
 		// proves that nothing ran.
-		c.pool.closeIdle(before.endpointID)
-	case (result == balancer.Reset || result == balancer.ConnectFailed) && before.idle > minIdleBeforeBreak:
+		c.pool.closeIdle(snapshot.endpointID)
+	case (result == balancer.Reset || result == balancer.ConnectFailed) && snapshot.idleDuration > minIdleBeforeFailure:
 		// Whatever ended the connection while it was idle, such as a middlebox or a restart of the machine, has ended
 		// those that have been idle for longer too. A break of a busy connection says nothing about the others, and
 		// to close them would cost the endpoint a handshake each.
-		c.pool.closeIdleSince(before.endpointID, before.idleSince)
+		c.pool.closeIdleSince(snapshot.endpointID, snapshot.idleSince)
 	}
 }
 
-// logUnusable logs a response that no endpoint should send.
-func (c *Client) logUnusable(endpointID string, result balancer.Result, response Response) {
+// logUnexpectedResponse logs a response that no endpoint should send.
+func (c *Client) logUnexpectedResponse(endpointID string, result balancer.Result, response Response) {
 	if errors.Is(response.Err, ErrMalformedResponse) {
 		c.log.Warn(telemetry.MsgMalformedResponse, telemetry.Endpoint(endpointID), telemetry.Err(response.Err))
 		return
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -35,8 +35,8 @@
 }
 
 // An attempt to a machine that vanished ends within the connect timeout, with proof that it never ran.
-func TestConnectionNeverComesUp(t *testing.T) {
-	client := newTestClient(t, listenWithFullQueue(t))
+func TestConnectTimeout(t *testing.T) {
+	client := newTestClient(t, listenWithFullBacklog(t))
 	client.pool.dialer.Timeout = 250 * time.Millisecond
 	start := time.Now()
 	result, _ := client.attempt(testutil.Timeout)
@@ -46,7 +46,7 @@
 }
 
 // A request whose endpoint begins to drain, or that ends, while its connection is dialled is not sent.
-func TestNothingIsSentAfterDial(t *testing.T) {
+func TestRequestNotSentAfterDial(t *testing.T) {
 	const dialAbandoned = "request ended"
 	draining := endpoint.Entry{ID: "s0", Addr: "127.0.0.1:1", State: endpoint.StateDraining}
 	tests := []struct {
@@ -76,7 +76,7 @@
 				tt.duringDial(client, request, end)
 				return nil
 			}
-			result, _ := client.Attempt(context.Background(), request, "s0", within(testutil.Timeout))
+			result, _ := client.Attempt(context.Background(), request, "s0", newBounds(testutil.Timeout))
 			if result != tt.want {
 				t.Errorf("result %d, want %d", result, tt.want)
 			}
@@ -169,12 +169,12 @@
 }
 
 // An attempt that must not begin after a time does not, also where the agent is held up right before its first byte.
-func TestAttemptDoesNotBeginTooLate(t *testing.T) {
+func TestAttemptNotStartedAfterBound(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		left   time.Duration // until the time, as the agent begins to look for a connection
-		heldUp time.Duration
-		want   balancer.Result
+		name     string
+		timeLeft time.Duration // until the time, as the agent begins to look for a connection
+		delay    time.Duration
+		want     balancer.Result
 	}{
 		{"in time", testutil.Timeout, 0, balancer.Served},
 		{"too late", -time.Second, 0, balancer.NotSent},
@@ -185,9 +185,9 @@
 			t.Parallel()
 			server := testutil.NewServer(t, testutil.Echo)
 			client, request := newTestClient(t, server.Addr()), newUnsafeRequest()
-			request.ClientGone = func() bool { time.Sleep(tt.heldUp); return false }
-			bounds := within(testutil.Timeout)
-			bounds.NotAfter = time.Now().Add(tt.left)
+			request.ClientGone = func() bool { time.Sleep(tt.delay); return false }
+			bounds := newBounds(testutil.Timeout)
+			bounds.NotAfter = time.Now().Add(tt.timeLeft)
 			if result, _ := client.Attempt(t.Context(), request, "s0", bounds); result != tt.want {
 				t.Errorf("result %d, want %d", result, tt.want)
 			}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// maxIdleShare is the share of the endpoints' own idle timeout after which the pool closes a connection: a close
+	// idleTimeoutFactor is the share of the endpoints' own idle timeout after which the pool closes a connection: a close
 	// by the endpoint may cross a request.
-	maxIdleShare = 0.75
-	// maxIdleByDefault is how long connections stay idle to endpoints that never close one themselves.
-	maxIdleByDefault = time.Minute
+	idleTimeoutFactor = 0.75
+	// defaultIdleTimeout is how long connections stay idle to endpoints that never close one themselves.
+	defaultIdleTimeout = time.Minute
 	// healthCheckTimeoutFactor is the time that a health check may take, as a multiple of the connect timeout.
 	healthCheckTimeoutFactor = 2
 	// stallTimeoutFactor is how long a response that has begun may pause, as a multiple of the connect timeout.
@@ -30,12 +30,12 @@
 
 // Options are the parameters of a Client.
 type Options struct {
-	Table          *endpoint.Table // consulted right before the first byte of each attempt
-	LoadReports    balancer.LoadReportSource
-	ConnectTimeout time.Duration
-	IdleClose      time.Duration // the endpoints' idle timeout; 0: they never close an idle connection
-	MaxConnections int           // 0: no limit
-	Log            *slog.Logger
+	Table               *endpoint.Table // consulted right before the first byte of each attempt
+	LoadReports         balancer.LoadReportSource
+	ConnectTimeout      time.Duration
+	EndpointIdleTimeout time.Duration // the endpoints' idle timeout; 0: they never close an idle connection
+	MaxConnections      int           // 0: no limit
+	Log                 *slog.Logger
 	// DialControl is the Control function of the net.Dialer; may be nil.
 	DialControl func(network, address string, conn syscall.RawConn) error
 }
@@ -53,11 +53,11 @@
 
 // New returns a client without connections.
 func New(options Options) *Client {
-	maxIdle := time.Duration(maxIdleShare * float64(options.IdleClose))
-	if maxIdle == 0 {
-		maxIdle = maxIdleByDefault
+	idleTimeout := time.Duration(idleTimeoutFactor * float64(options.EndpointIdleTimeout))
+	if idleTimeout == 0 {
+		idleTimeout = defaultIdleTimeout
 	}
-	pool := newPool(maxIdle, options.ConnectTimeout, options.MaxConnections)
+	pool := newPool(idleTimeout, options.ConnectTimeout, options.MaxConnections)
 	pool.dialer.Control = options.DialControl
 	return &Client{
 		pool:               pool,
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -17,8 +17,8 @@
 
 func (c *connection) endpointID() string { return c.group.endpointID }
 
-// idleTime is how long a connection that was just taken has been idle; 0 for a new one.
-func (c *connection) idleTime() time.Duration {
+// idleDuration is how long a connection that was just taken has been idle; 0 for a new one.
+func (c *connection) idleDuration() time.Duration {
 	if c.idleSince.IsZero() {
 		return 0
 	}
@@ -31,9 +31,9 @@
 type endpointGroup struct {
 	endpointID string
 
-	idle    []*connection // by idleSince, the longest idle first
-	open    int           // idle, in use and being dialled
-	retired bool
+	idle     []*connection // by idleSince, the longest idle first
+	numOpen  int           // idle, in use and being dialled
+	draining bool
 }
 
 // popNewest takes out the connection that became idle last; there must be one.
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -10,8 +10,8 @@
 	"ashshunt/internal/testutil"
 )
 
-// localCauses are errors of socket and connect that say nothing sure of the endpoint.
-var localCauses = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+// localErrnos are errors of socket and connect that say nothing sure of the endpoint.
+var localErrnos = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN,
 	syscall.ETIMEDOUT, syscall.EAGAIN, syscall.EACCES, syscall.EPERM, syscall.ECONNABORTED}
 
@@ -29,7 +29,7 @@
 // A connection that fails for a moment, by a cause that may be this machine's own, comes up within the connect timeout
 // for attempts and for health checks.
 func TestLocalConnectFailures(t *testing.T) {
-	for _, cause := range localCauses {
+	for _, cause := range localErrnos {
 		t.Run(fmt.Sprint(cause), func(t *testing.T) {
 			t.Parallel()
 			client := newTestClient(t, testutil.NewServer(t, testutil.Echo).Addr())
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -47,20 +47,20 @@
 	buffer.Reset(reader)
 	response, keepAlive := reader.readResponse()
 	response.EndedAt = time.Now()
-	unreadBytes := buffer.Buffered() > 0 // they would be read as the response to the next request
+	hasUnreadBytes := buffer.Buffered() > 0 // they would be read as the response to the next request
 	putBuffer(buffer)
 	return exchangeOutcome{
 		response:       response,
 		requestWritten: true,
-		reusable:       keepAlive && !unreadBytes && stopInterrupt(),
+		reusable:       keepAlive && !hasUnreadBytes && stopInterrupt(),
 	}
 }
 
-// buffers are the read buffers of exchanges; an idle connection has none.
-var buffers sync.Pool
+// bufferPool are the read bufferPool of exchanges; an idle connection has none.
+var bufferPool sync.Pool
 
 func getBuffer() *bufio.Reader {
-	if buffer, ok := buffers.Get().(*bufio.Reader); ok {
+	if buffer, ok := bufferPool.Get().(*bufio.Reader); ok {
 		return buffer
 	}
 	return bufio.NewReaderSize(nil, responseBufferSize)
@@ -68,5 +68,5 @@
 
 func putBuffer(buffer *bufio.Reader) {
 	buffer.Reset(nil) // keeps no connection alive
-	buffers.Put(buffer)
+	bufferPool.Put(buffer)
 }
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -19,23 +19,23 @@
 
 // Responses and parts of them.
 const (
-	okHead       = "HTTP/1.1 200 OK\r\n"
-	okResponse   = okHead + "Content-Length: 2\r\n\r\nok"
-	chunkedHead  = okHead + "Transfer-Encoding: chunked\r\n\r\n"
-	early        = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-	switching    = "HTTP/1.1 101 Switching Protocols\r\n\r\n"
-	bothFramings = okHead + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-	minusTwo     = okHead + "Content-Length: -2\r\n\r\n"
-	threeGB      = okHead + "Content-Length: 3000000000\r\n\r\nxxxx"
-	twoLengths   = okHead + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nfour"
-	halfBody     = okHead + "Content-Length: 9\r\n\r\nhalf"
+	okHead                 = "HTTP/1.1 200 OK\r\n"
+	okResponse             = okHead + "Content-Length: 2\r\n\r\nok"
+	chunkedHead            = okHead + "Transfer-Encoding: chunked\r\n\r\n"
+	informationalResponses = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
+	switchingProtocols     = "HTTP/1.1 101 Switching Protocols\r\n\r\n"
+	bothFramings           = okHead + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+	negativeLength         = okHead + "Content-Length: -2\r\n\r\n"
+	oversizedLength        = okHead + "Content-Length: 3000000000\r\n\r\nxxxx"
+	twoLengths             = okHead + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nfour"
+	halfBody               = okHead + "Content-Length: 9\r\n\r\nhalf"
 )
 
 // The protocol's table of outcomes, on which the rule on repeated requests rests. A request goes out only once for
 // one attempt.
-func TestResults(t *testing.T) {
+func TestAttemptResults(t *testing.T) {
 	endlessHead := okHead + strings.Repeat("A: b\r\n", 1<<16)
-	endlessEarly := strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)
+	endlessInformational := strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)
 	largest := strings.Repeat("x", protocol.MaxBodySize)
 	tests := []struct {
 		name    string
@@ -56,16 +56,16 @@
 		{"half a chunked body", respondAndClose(chunkedHead + "4\r\nhalf\r\n"), testutil.Timeout, balancer.Reset},
 		{"not HTTP", respondAndClose("220 mail\r\n\r\n"), testutil.Timeout, balancer.ServerError},
 		{"an endless head", respondAndClose(endlessHead), testutil.Timeout, balancer.ServerError},
-		{"informational responses ahead", respondAndClose(early + okResponse), testutil.Timeout, balancer.Served},
-		{"endless informational responses", respondAndClose(endlessEarly), testutil.Timeout, balancer.ServerError},
-		{"another protocol", respondAndClose(switching + okResponse), testutil.Timeout, balancer.ServerError},
+		{"informational responses ahead", respondAndClose(informationalResponses + okResponse), testutil.Timeout, balancer.Served},
+		{"endless informational responses", respondAndClose(endlessInformational), testutil.Timeout, balancer.ServerError},
+		{"another protocol", respondAndClose(switchingProtocols + okResponse), testutil.Timeout, balancer.ServerError},
 		{"chunks", respondAndClose(chunkedHead + "2\r\nok\r\n0\r\n\r\n"), testutil.Timeout, balancer.Served},
 		{"noise, then silence", respondAndHang("\x00\xff\x17"), testutil.Timeout, balancer.ServerError},
 		{"a body that stalls", respondAndHang(halfBody), testutil.Timeout, balancer.ServerError},
-		{"a body of 3 GB", respondAndHang(threeGB), testutil.Timeout, balancer.ServerError},
+		{"a body of 3 GB", respondAndHang(oversizedLength), testutil.Timeout, balancer.ServerError},
 		{"two lengths", respondAndHang(twoLengths), testutil.Timeout, balancer.ServerError},
 		{"length and encoding", respondAndHang(bothFramings), testutil.Timeout, balancer.ServerError},
-		{"a negative length", respondAndHang(minusTwo), testutil.Timeout, balancer.ServerError},
+		{"a negative length", respondAndHang(negativeLength), testutil.Timeout, balancer.ServerError},
 		{"no length", respondAndHang(okHead + "\r\nbody"), testutil.Timeout, balancer.ServerError},
 		{"too large a body", respond(200, largest+"x"), testutil.Timeout, balancer.ServerError},
 		{"the largest body", respond(200, largest), testutil.Timeout, balancer.Served},
@@ -92,7 +92,7 @@
 
 // A reused connection that breaks after the write may have run its request, even if nothing came back, and nothing
 // may send that again by itself.
-func TestReusedConnectionBreaks(t *testing.T) {
+func TestReusedConnectionFails(t *testing.T) {
 	var requests atomic.Int32
 	server := testutil.NewServer(t, func(conn net.Conn, request *http.Request, body []byte) bool {
 		if requests.Add(1) == 2 {
@@ -112,13 +112,13 @@
 
 // A cancelled attempt closes its connection, on which it would still count.
 func TestCancelClosesConnection(t *testing.T) {
-	readOn := func(net.Conn, *http.Request, []byte) bool { return true }
-	server := testutil.NewServer(t, readOn)
+	ignoreRequest := func(net.Conn, *http.Request, []byte) bool { return true }
+	server := testutil.NewServer(t, ignoreRequest)
 	client := newTestClient(t, server.Addr())
 	ctx, cancel := context.WithCancel(context.Background())
 	results := make(chan balancer.Result, 1)
 	go func() {
-		result, _ := client.Attempt(ctx, newUnsafeRequest(), "s0", within(testutil.Timeout))
+		result, _ := client.Attempt(ctx, newUnsafeRequest(), "s0", newBounds(testutil.Timeout))
 		results <- result
 	}()
 	testutil.Receive(t, server.Received)
@@ -131,8 +131,8 @@
 
 // Bytes behind a response must not be read as the response to the next request: the good response before them counts,
 // and the connection is not used again.
-func TestBytesBehindResponse(t *testing.T) {
-	const twice = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid xHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid x"
+func TestBytesAfterResponse(t *testing.T) {
+	const twoResponses = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid xHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid x"
 	sendMore := make(chan struct{})
 	respondAgainLater := func(conn net.Conn, request *http.Request, body []byte) bool {
 		testutil.Echo(conn, request, body)
@@ -145,12 +145,12 @@
 		respond handler
 		late    bool
 	}{
-		{"at once", respondRaw(twice), false},
+		{"at once", respondRaw(twoResponses), false},
 		{"later, while idle", respondAgainLater, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			client := newTestClient(t, testutil.NewServer(t, tt.respond).Addr())
-			hasUnread := func() bool { return socket.HasUnread(client.firstIdle()) }
+			hasUnread := func() bool { return socket.HasUnread(client.oldestIdle()) }
 			for i := range 3 {
 				result, response := client.attempt(testutil.Timeout)
 				if result != balancer.Served || string(response.Body) != "did x" {
@@ -201,22 +201,22 @@
 	}
 }
 
-// brokenConn is a connection that breaks by a cause once the request is written.
-type brokenConn struct {
+// failingConn is a connection that breaks by a cause once the request is written.
+type failingConn struct {
 	net.Conn
 	cause error
 }
 
-func (c brokenConn) Write(p []byte) (int, error)     { return len(p), nil }
-func (c brokenConn) Read([]byte) (int, error)        { return 0, &net.OpError{Op: "read", Err: c.cause} }
-func (c brokenConn) SetDeadline(time.Time) error     { return nil }
-func (c brokenConn) SetReadDeadline(time.Time) error { return nil }
+func (c failingConn) Write(p []byte) (int, error)     { return len(p), nil }
+func (c failingConn) Read([]byte) (int, error)        { return 0, &net.OpError{Op: "read", Err: c.cause} }
+func (c failingConn) SetDeadline(time.Time) error     { return nil }
+func (c failingConn) SetReadDeadline(time.Time) error { return nil }
 
 // A connection that breaks is no time-out, whatever the system calls it.
-func TestBrokenConnections(t *testing.T) {
+func TestConnectionErrorsAreResets(t *testing.T) {
 	for _, cause := range []error{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
 		syscall.EPIPE, syscall.ENETDOWN, syscall.ECONNABORTED} {
-		conn := brokenConn{cause: cause}
+		conn := failingConn{cause: cause}
 		deadline := time.Now().Add(testutil.Timeout)
 		outcome := roundTrip(context.Background(), conn, []byte("x"), deadline, testutil.Timeout)
 		if result := classify(outcome, false); result != balancer.Reset {
--- a/internal/upstream/framing.go
+++ b/internal/upstream/framing.go
@@ -23,10 +23,10 @@
 	framedByClose                     // the body ends with its connection
 )
 
-// lengthBase and lengthBits are the form of a Content-Length; the bits make it fit into any int.
+// contentLengthBase and contentLengthBits are the form of a Content-Length; the bits make it fit into any int.
 const (
-	lengthBase = 10
-	lengthBits = 31
+	contentLengthBase = 10
+	contentLengthBits = 31
 )
 
 // framing is where the body of a response ends.
@@ -48,13 +48,13 @@
 		return framing{}, errors.New("framed twice")
 	case len(encodings) == 1:
 		if !strings.EqualFold(encodings[0], "chunked") {
-			return framing{}, fmt.Errorf("encoding %.*q", maxQuoted, encodings[0])
+			return framing{}, fmt.Errorf("encoding %.*q", maxQuotedLength, encodings[0])
 		}
 		return framing{kind: framedByChunks}, nil
 	}
-	length, err := strconv.ParseUint(lengths[0], lengthBase, lengthBits)
+	length, err := strconv.ParseUint(lengths[0], contentLengthBase, contentLengthBits)
 	if err != nil || length > protocol.MaxBodySize {
-		return framing{}, fmt.Errorf("length %.*q", maxQuoted, lengths[0])
+		return framing{}, fmt.Errorf("length %.*q", maxQuotedLength, lengths[0])
 	}
 	return framing{kind: framedByLength, length: int(length)}, nil
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -52,12 +52,12 @@
 	}
 }
 
-// within returns the bounds of an attempt with a timeout.
-func within(timeout time.Duration) Bounds { return Bounds{Deadline: time.Now().Add(timeout)} }
+// newBounds returns the bounds of an attempt with a timeout.
+func newBounds(timeout time.Duration) Bounds { return Bounds{Deadline: time.Now().Add(timeout)} }
 
 // attempt sends an unsafe request to the endpoint s0.
 func (c *Client) attempt(timeout time.Duration) (balancer.Result, Response) {
-	return c.Attempt(context.Background(), newUnsafeRequest(), "s0", within(timeout))
+	return c.Attempt(context.Background(), newUnsafeRequest(), "s0", newBounds(timeout))
 }
 
 // startAttempt is attempt on a goroutine of its own, which passes the result on.
@@ -76,16 +76,16 @@
 	}
 }
 
-// firstIdle returns the connection to s0 that has been idle for longest.
-func (c *Client) firstIdle() net.Conn {
+// oldestIdle returns the connection to s0 that has been idle for longest.
+func (c *Client) oldestIdle() net.Conn {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	return c.pool.groups["s0"].idle[0].netConn
 }
 
-// twoIdleConnections returns a client with two idle connections to one server. After a value on next, the server
+// newClientWithTwoIdle returns a client with two idle connections to one server. After a value on next, the server
 // hands one request to exceptional.
-func twoIdleConnections(t *testing.T, exceptional handler) (client *Client, next chan<- struct{}) {
+func newClientWithTwoIdle(t *testing.T, exceptional handler) (client *Client, next chan<- struct{}) {
 	t.Helper()
 	trigger, gate := make(chan struct{}, 1), make(chan struct{})
 	server := testutil.NewServer(t, func(conn net.Conn, request *http.Request, body []byte) bool {
@@ -114,8 +114,8 @@
 	return client, trigger
 }
 
-// listenWithFullQueue returns an address whose connections never come up, as with a machine that vanished.
-func listenWithFullQueue(t *testing.T) string {
+// listenWithFullBacklog returns an address whose connections never come up, as with a machine that vanished.
+func listenWithFullBacklog(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -19,19 +19,19 @@
 // The pool has no goroutine of its own. While connections are idle, a timer runs a sweep that closes those that have
 // been idle for too long and schedules the next sweep.
 type pool struct {
-	maxIdle        time.Duration // a connection that is idle for longer is closed
+	idleTimeout    time.Duration // a connection that is idle for longer is closed
 	maxConnections int           // 0: no limit
 	dialer         socket.Dialer
 
 	mu             sync.Mutex                // protects what follows and the groups
-	open           int                       // connections that are idle, in use or being dialled
+	numOpen        int                       // connections that are idle, in use or being dialled
 	groups         map[string]*endpointGroup // by endpoint ID, while it has connections
 	sweepScheduled bool
 }
 
-func newPool(maxIdle, connectTimeout time.Duration, maxConnections int) *pool {
+func newPool(idleTimeout, connectTimeout time.Duration, maxConnections int) *pool {
 	return &pool{
-		maxIdle:        maxIdle,
+		idleTimeout:    idleTimeout,
 		maxConnections: maxConnections,
 		dialer:         socket.Dialer{Dialer: net.Dialer{Timeout: connectTimeout, KeepAlive: -1}},
 		groups:         map[string]*endpointGroup{},
@@ -45,7 +45,7 @@
 	for group := p.groups[endpointID]; group != nil && len(group.idle) > 0; {
 		conn := group.popNewest()
 		// One that is not quiet has ended, has brought more than its last response, or can't be examined at present.
-		if socket.Peek(conn.netConn) == socket.Quiet && time.Since(conn.idleSince) < p.maxIdle {
+		if socket.Peek(conn.netConn) == socket.Quiet && time.Since(conn.idleSince) < p.idleTimeout {
 			return conn
 		}
 		p.closeLocked(conn)
@@ -74,7 +74,7 @@
 func (p *pool) reserve(endpointID string) (*endpointGroup, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.maxConnections > 0 && p.open >= p.maxConnections && !p.evictLocked() {
+	if p.maxConnections > 0 && p.numOpen >= p.maxConnections && !p.evictIdleLocked() {
 		return nil, ErrPoolExhausted
 	}
 	group := p.groups[endpointID]
@@ -82,8 +82,8 @@
 		group = &endpointGroup{endpointID: endpointID}
 		p.groups[endpointID] = group
 	}
-	group.open++
-	p.open++
+	group.numOpen++
+	p.numOpen++
 	return group, nil
 }
 
@@ -91,17 +91,17 @@
 func (p *pool) unreserve(group *endpointGroup) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.uncountLocked(group)
+	p.decrementOpenLocked(group)
 }
 
-// evictLocked closes the connection that has been idle for longest and reports whether there was one. The caller
+// evictIdleLocked closes the connection that has been idle for longest and reports whether there was one. The caller
 // holds p.mu.
-func (p *pool) evictLocked() bool {
-	longest := p.longestIdleLocked()
-	if longest == nil {
+func (p *pool) evictIdleLocked() bool {
+	oldest := p.oldestIdleLocked()
+	if oldest == nil {
 		return false
 	}
-	p.closeLocked(longest.group.popOldest())
+	p.closeLocked(oldest.group.popOldest())
 	return true
 }
 
@@ -109,14 +109,14 @@
 func (p *pool) release(conn *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if conn.group.retired {
+	if conn.group.draining {
 		p.closeLocked(conn)
 		return
 	}
 	_ = conn.netConn.SetDeadline(time.Time{}) // fails on a connection that has ended, which takeIdle notices
 	conn.idleSince = time.Now()
 	conn.group.idle = append(conn.group.idle, conn)
-	p.scheduleSweepLocked(p.maxIdle)
+	p.scheduleSweepLocked(p.idleTimeout)
 }
 
 // scheduleSweepLocked has sweep run after a delay, unless one is scheduled already. The caller holds p.mu.
@@ -135,22 +135,22 @@
 	p.sweepScheduled = false
 	now := time.Now()
 	for _, group := range p.groups {
-		p.closeIdleSinceLocked(group, now.Add(-p.maxIdle))
+		p.closeIdleSinceLocked(group, now.Add(-p.idleTimeout))
 	}
-	if oldest := p.longestIdleLocked(); oldest != nil {
-		p.scheduleSweepLocked(p.maxIdle - now.Sub(oldest.idleSince))
+	if oldest := p.oldestIdleLocked(); oldest != nil {
+		p.scheduleSweepLocked(p.idleTimeout - now.Sub(oldest.idleSince))
 	}
 }
 
-// longestIdleLocked returns the connection that has been idle for longest, nil if none is idle. The caller holds p.mu.
-func (p *pool) longestIdleLocked() *connection {
-	var longest *connection
+// oldestIdleLocked returns the connection that has been idle for longest, nil if none is idle. The caller holds p.mu.
+func (p *pool) oldestIdleLocked() *connection {
+	var oldest *connection
 	for _, group := range p.groups {
-		if len(group.idle) > 0 && (longest == nil || group.idle[0].idleSince.Before(longest.idleSince)) {
-			longest = group.idle[0]
+		if len(group.idle) > 0 && (oldest == nil || group.idle[0].idleSince.Before(oldest.idleSince)) {
+			oldest = group.idle[0]
 		}
 	}
-	return longest
+	return oldest
 }
 
 // close closes a connection that was taken or dialled.
@@ -165,14 +165,14 @@
 // ones. The caller holds p.mu.
 func (p *pool) closeLocked(conn *connection) {
 	_ = conn.netConn.Close() // nothing is left to be written
-	p.uncountLocked(conn.group)
+	p.decrementOpenLocked(conn.group)
 }
 
-// uncountLocked takes one connection off the counts and drops a group that has none left. The caller holds p.mu.
-func (p *pool) uncountLocked(group *endpointGroup) {
-	p.open--
-	group.open--
-	if group.open == 0 && p.groups[group.endpointID] == group {
+// decrementOpenLocked takes one connection off the counts and drops a group that has none left. The caller holds p.mu.
+func (p *pool) decrementOpenLocked(group *endpointGroup) {
+	p.numOpen--
+	group.numOpen--
+	if group.numOpen == 0 && p.groups[group.endpointID] == group {
 		delete(p.groups, group.endpointID)
 	}
 }
@@ -184,7 +184,7 @@
 	defer p.mu.Unlock()
 	if group := p.groups[endpointID]; group != nil {
 		p.closeIdleSinceLocked(group, time.Now())
-		group.retired = true
+		group.draining = true
 		delete(p.groups, endpointID)
 	}
 }
@@ -215,5 +215,5 @@
 func (p *pool) openConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open
+	return p.numOpen
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -32,7 +32,7 @@
 
 // A connection that the endpoint has closed while it was idle is not written to: the request would end as a reset,
 // which an unsafe one does not survive.
-func TestIdleCloseIsNoticed(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	var requests atomic.Int32
 	server := testutil.NewServer(t, func(conn net.Conn, request *http.Request, body []byte) bool {
 		testutil.Echo(conn, request, body)
@@ -40,7 +40,7 @@
 	})
 	client := newTestClient(t, server.Addr())
 	client.mustServe(t)
-	testutil.Eventually(t, "the close", func() bool { return socket.Peek(client.firstIdle()) != socket.Quiet })
+	testutil.Eventually(t, "the close", func() bool { return socket.Peek(client.oldestIdle()) != socket.Quiet })
 	client.mustServe(t) // on a new connection
 }
 
@@ -48,19 +48,19 @@
 func TestIdleTimeout(t *testing.T) {
 	server := testutil.NewServer(t, testutil.Echo)
 	client := newTestClient(t, server.Addr())
-	client.pool.maxIdle = 10 * time.Millisecond
+	client.pool.idleTimeout = 10 * time.Millisecond
 	client.mustServe(t)
 	testutil.Receive(t, server.Closed)
 	testutil.Eventually(t, "the pool to forget it", func() bool { return client.OpenConnections() == 0 })
 }
 
-func TestIdleTimeoutFollowsSettings(t *testing.T) {
+func TestIdleTimeoutFromOptions(t *testing.T) {
 	for idleClose, want := range map[time.Duration]time.Duration{
-		0:                maxIdleByDefault,
+		0:                defaultIdleTimeout,
 		40 * time.Second: 30 * time.Second,
 	} {
-		client := New(Options{IdleClose: idleClose})
-		if got := client.pool.maxIdle; got != want {
+		client := New(Options{EndpointIdleTimeout: idleClose})
+		if got := client.pool.idleTimeout; got != want {
 			t.Errorf("endpoints close after %v: the pool does after %v, want %v", idleClose, got, want)
 		}
 	}
@@ -69,7 +69,7 @@
 // Idle connections to a machine that vanished swallow what is written to them, and an unsafe request never gets
 // another attempt.
 func TestTimeoutClosesIdleConnections(t *testing.T) {
-	client, next := twoIdleConnections(t, testutil.Hang)
+	client, next := newClientWithTwoIdle(t, testutil.Hang)
 	next <- struct{}{}
 	if result, _ := client.attempt(time.Second); result != balancer.TimedOut {
 		t.Fatalf("result %d, want TimedOut", result)
@@ -81,30 +81,30 @@
 
 // A busy connection that breaks says nothing about the others, which would cost a handshake each; one that breaks after
 // it was idle shows that those that were idle for as long are dead as well.
-func TestBreakAndIdleConnections(t *testing.T) {
+func TestIdleConnectionsAfterFailure(t *testing.T) {
 	closeConnection := func(net.Conn, *http.Request, []byte) bool { return false }
 	for _, tt := range []struct {
-		name   string
-		idle   time.Duration
-		remain int
+		name         string
+		idleDuration time.Duration
+		wantOpen     int
 	}{
 		{"in full use", 0, 1},
 		{"after it was idle", time.Minute, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			client, next := twoIdleConnections(t, closeConnection)
+			client, next := newClientWithTwoIdle(t, closeConnection)
 			client.pool.mu.Lock()
 			for i, conn := range client.pool.groups["s0"].idle { // the older one first
-				conn.idleSince = time.Now().Add(-tt.idle - time.Duration(1-i)*time.Microsecond)
+				conn.idleSince = time.Now().Add(-tt.idleDuration - time.Duration(1-i)*time.Microsecond)
 			}
 			client.pool.mu.Unlock()
-			client.pool.maxIdle = time.Hour
+			client.pool.idleTimeout = time.Hour
 			next <- struct{}{}
 			if result, _ := client.attempt(testutil.Timeout); result != balancer.Reset {
 				t.Fatalf("result %d, want Reset", result)
 			}
-			if n := client.OpenConnections(); n != tt.remain {
-				t.Errorf("%d connections are left, want %d", n, tt.remain)
+			if n := client.OpenConnections(); n != tt.wantOpen {
+				t.Errorf("%d connections are left, want %d", n, tt.wantOpen)
 			}
 		})
 	}
@@ -114,9 +114,9 @@
 // one to a process that was restarted closes with its response.
 func TestConnectionsInUse(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		event  func(client *Client)
-		remain int
+		name     string
+		event    func(client *Client)
+		wantOpen int
 	}{
 		{"another one failed", func(client *Client) { client.CloseIdle("s0") }, 1},
 		{"drained", func(client *Client) { client.DrainConnections("s0") }, 0},
@@ -134,8 +134,8 @@
 			tt.event(client)
 			close(gate)
 			result := testutil.Receive(t, results)
-			if open := client.OpenConnections(); result != balancer.Served || open != tt.remain {
-				t.Errorf("result %d, %d connections open, want %d", result, open, tt.remain)
+			if open := client.OpenConnections(); result != balancer.Served || open != tt.wantOpen {
+				t.Errorf("result %d, %d connections open, want %d", result, open, tt.wantOpen)
 			}
 		})
 	}
@@ -147,7 +147,7 @@
 	client := newTestClient(t, first.Addr(), second.Addr())
 	client.pool.maxConnections = 1
 	client.mustServe(t)
-	result, _ := client.Attempt(context.Background(), newUnsafeRequest(), "s1", within(testutil.Timeout))
+	result, _ := client.Attempt(context.Background(), newUnsafeRequest(), "s1", newBounds(testutil.Timeout))
 	if result != balancer.Served {
 		t.Errorf("result %d, want Served in place of the idle connection", result)
 	}
@@ -161,7 +161,7 @@
 }
 
 // Nothing is kept of an endpoint without connections.
-func TestPoolForgetsEndpoints(t *testing.T) {
+func TestPoolRemovesEmptyGroups(t *testing.T) {
 	server := testutil.NewServer(t, testutil.Echo)
 	client := newTestClient(t, server.Addr())
 	client.mustServe(t)
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	maxHeadSize        = 16 << 10                 // bytes of a response's head
-	maxInformational   = 8                        // 1xx responses ahead of the final one
-	maxEncodedBodySize = 2 * protocol.MaxBodySize // bytes of a body with the framing of its chunks
+	maxHeadSize               = 16 << 10                 // bytes of a response's head
+	maxInformationalResponses = 8                        // 1xx responses ahead of the final one
+	maxEncodedBodySize        = 2 * protocol.MaxBodySize // bytes of a body with the framing of its chunks
 )
 
 // responseReader reads one response off a connection and bounds the time and the bytes that it may take.
@@ -34,29 +34,29 @@
 // readResponse reads one response to its end, so that a partial one is never passed on. keepAlive reports whether
 // another one may follow on the connection.
 func (r *responseReader) readResponse() (response Response, keepAlive bool) {
-	for range maxInformational + 1 {
+	for range maxInformationalResponses + 1 {
 		r.bytesRemaining, r.started = maxHeadSize, r.buffer.Buffered() > 0
 		head, err := readHead(r.buffer)
 		if err != nil {
-			return r.failure(err), false
+			return r.failedResponse(err), false
 		}
-		if head.informational() {
+		if head.isInformational() {
 			r.setReadDeadline(r.deadline) // no stall timeout until the final one starts
 			continue
 		}
 		framing, err := head.parseFraming()
 		if err != nil {
-			return r.failure(err), false
+			return r.failedResponse(err), false
 		}
 		r.bytesRemaining = maxEncodedBodySize
 		body, err := framing.readBody(r.buffer)
 		if err != nil {
-			return r.failure(err), false
+			return r.failedResponse(err), false
 		}
 		keepAlive = head.keepAlive && framing.kind != framedByClose
 		return Response{Status: head.status, Header: head.header, Body: body}, keepAlive
 	}
-	return r.failure(errors.New("too many informational responses")), false
+	return r.failedResponse(errors.New("too many informational responses")), false
 }
 
 // Read reads from the connection, for the buffer. It notes how the connection ended, since the parsers' errors do not
@@ -89,16 +89,16 @@
 	}
 }
 
-// failure is the response of a read that ended early: with the error of the connection, or as malformed. A response
+// failedResponse is the response of a read that ended early: with the error of the connection, or as malformed. A response
 // that started and stalled is malformed: its connection stays open and brings no more.
-func (r *responseReader) failure(err error) Response {
-	if r.connErr != nil && !r.stalled() {
+func (r *responseReader) failedResponse(err error) Response {
+	if r.connErr != nil && !r.isStalled() {
 		return Response{Err: r.connErr}
 	}
 	return Response{Err: fmt.Errorf("%w: %w", ErrMalformedResponse, err)}
 }
 
-// stalled reports whether the read ended by the stall timeout, neither by the deadline nor by a cancel.
-func (r *responseReader) stalled() bool {
+// isStalled reports whether the read ended by the stall timeout, neither by the deadline nor by a cancel.
+func (r *responseReader) isStalled() bool {
 	return r.started && socket.IsTimeout(r.connErr) && time.Now().Before(r.deadline) && r.ctx.Err() == nil
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -25,8 +25,8 @@
 	ClientGone func() bool
 }
 
-// isOver reports whether nothing more may go out for the request.
-func (r *Request) isOver() bool { return r.Lifetime.Err() != nil || r.ClientGone() }
+// isFinished reports whether nothing more may go out for the request.
+func (r *Request) isFinished() bool { return r.Lifetime.Err() != nil || r.ClientGone() }
 
 // newForwardedRequest returns the HTTP request of an attempt, whose timeout is what remains until the deadline.
 func newForwardedRequest(request *Request, deadline time.Time) *http.Request {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -24,10 +24,10 @@
 	Err     error
 }
 
-// rejected reports whether the endpoint says that it has not run the request.
-func (r Response) rejected() bool {
+// isRejected reports whether the endpoint says that it has not run the request.
+func (r Response) isRejected() bool {
 	unavailable := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout
-	return unavailable && r.Header.Get(protocol.HeaderRejected) == protocol.Yes
+	return unavailable && r.Header.Get(protocol.HeaderRejected) == protocol.FlagTrue
 }
 
 // LoadReport returns the load report that the response carries, or an invalid one.
@@ -35,8 +35,8 @@
 	return loadreport.Parse(r.Header.Get(protocol.HeaderLoadReport))
 }
 
-// copyLoadReport has a response whose body is a load report carry it in its header, as other responses do.
-func (r Response) copyLoadReport() {
+// copyLoadReportToHeader has a response whose body is a load report carry it in its header, as other responses do.
+func (r Response) copyLoadReportToHeader() {
 	if r.Err == nil && r.Header.Get(protocol.HeaderLoadReport) == "" {
 		r.Header.Set(protocol.HeaderLoadReport, string(r.Body))
 	}
@@ -45,10 +45,10 @@
 const (
 	// protocolPrefix is how each response begins. The minor version follows: one byte, which may be any.
 	protocolPrefix = "HTTP/1."
-	// statusDigits is the length of a status code.
-	statusDigits = 3
-	// maxQuoted is the number of characters of a response that an error quotes at most.
-	maxQuoted = 40
+	// statusCodeDigits is the length of a status code.
+	statusCodeDigits = 3
+	// maxQuotedLength is the number of characters of a response that an error quotes at most.
+	maxQuotedLength = 40
 )
 
 // responseHead is the status line and the header of a response.
@@ -60,7 +60,7 @@
 
 // readHead reads the status line and the header.
 func readHead(in *bufio.Reader) (responseHead, error) {
-	if err := checkProtocol(in); err != nil {
+	if err := validateProtocol(in); err != nil {
 		return responseHead{}, err
 	}
 	reader := textproto.NewReader(in)
@@ -80,9 +80,9 @@
 	return responseHead{status: status, header: header, keepAlive: !closes}, nil
 }
 
-// checkProtocol examines the first bytes one by one: bytes that are not HTTP may stop anywhere, and a response that
+// validateProtocol examines the first bytes one by one: bytes that are not HTTP may stop anywhere, and a response that
 // starts wrong is not waited for.
-func checkProtocol(in *bufio.Reader) error {
+func validateProtocol(in *bufio.Reader) error {
 	for i := range len(protocolPrefix) {
 		start, err := in.Peek(i + 1)
 		if err != nil {
@@ -101,13 +101,13 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err = strconv.Atoi(code)
 	validVersion := len(version) == len(protocolPrefix)+1
-	if err != nil || len(code) != statusDigits || status < http.StatusContinue || !validVersion {
-		return "", 0, fmt.Errorf("status line %.*q", maxQuoted, line)
+	if err != nil || len(code) != statusCodeDigits || status < http.StatusContinue || !validVersion {
+		return "", 0, fmt.Errorf("status line %.*q", maxQuotedLength, line)
 	}
 	return version, status, nil
 }
 
-// informational reports whether the final response follows on the same connection.
-func (h responseHead) informational() bool {
+// isInformational reports whether the final response follows on the same connection.
+func (h responseHead) isInformational() bool {
 	return h.status < http.StatusOK && h.status != http.StatusSwitchingProtocols
 }
