--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -13,33 +13,33 @@
 	"ashshunt/internal/telemetry"
 )
 
-// This file is the life of an attempt: connect, check that the request may still go out, exchange, classify the
-// outcome, and draw the conclusions about the endpoint's other connections.
+// This file implements an attempt: get a connection, verify that the request may still be sent, exchange request and
+// response, classify the outcome, and close other idle connections to the endpoint that are probably dead as well.
 
 const (
-	// startMargin is how much earlier than Bounds.NotAfter an attempt must begin: the machine may stall for 0.15 s
-	// between the reading of its clock and the write, and endpoints tolerate 0.05 s of that.
+	// startMargin is the minimum time between the start of an attempt and Bounds.NotAfter. The process may stall for
+	// 150 ms between reading the clock and writing the request, of which endpoints tolerate 50 ms.
 	startMargin = 100 * time.Millisecond
-	// minIdleBeforeFailure is how long a connection must have been idle for a break at its next request to count as
-	// caused by the idle time.
+	// minIdleBeforeFailure is the minimum idle time of a connection for its failure at the next request to be
+	// attributed to the idle time.
 	minIdleBeforeFailure = 100 * time.Millisecond
 )
 
-// Bounds are the latest times at which an attempt may begin and end.
+// Bounds limits when an attempt may start and when it must finish.
 type Bounds struct {
-	Deadline time.Time // by which it has ended
-	NotAfter time.Time // it must not begin after this; zero: no such bound
+	Deadline time.Time // Time by which the attempt must have finished.
+	NotAfter time.Time // Latest start of the attempt; zero means no limit.
 }
 
-// allowsStart reports whether an attempt may begin now.
+// allowsStart reports whether an attempt may start now.
 func (b Bounds) allowsStart() bool {
 	now := time.Now()
 	return now.Before(b.Deadline) && (b.NotAfter.IsZero() || now.Add(startMargin).Before(b.NotAfter))
 }
 
-// Attempt forwards a request to an endpoint once and returns the result, and the response if there was one. The end of
-// ctx cancels the dial and the exchange; the end of request.Lifetime cancels the dial alone, since the outcome of an
-// exchange that has begun must become known.
+// Attempt sends a request to an endpoint once and returns the result and the response, if any. Cancelling ctx aborts
+// the dial and the exchange. Cancelling request.Lifetime aborts only the dial, since the outcome of an exchange that
+// has started must be known.
 func (c *Client) Attempt(ctx context.Context, request *Request, endpointID string,
 	bounds Bounds) (balancer.Result, Response) {
 	dialCtx, cancelDial := context.WithCancel(ctx)
@@ -50,7 +50,7 @@
 	if failure != nil {
 		return failure.result, unsentResponse(failure)
 	}
-	// The request may have ended during the dial. From here to the first byte nothing blocks.
+	// The request may have finished during the dial. Nothing blocks between this check and the write of the request.
 	if request.isFinished() || ctx.Err() != nil || !bounds.allowsStart() {
 		c.pool.release(conn)
 		return balancer.NotSent, unsentResponse(nil)
@@ -58,7 +58,8 @@
 	return c.exchange(ctx, conn, newForwardedRequest(request, bounds.Deadline), bounds.Deadline)
 }
 
-// HealthCheck examines an endpoint outside any request. Where load reports are used, it asks for one.
+// HealthCheck sends a health check to an endpoint. If load reports are enabled, it requests a load report instead of
+// the health path.
 func (c *Client) HealthCheck(ctx context.Context, endpointID string) (balancer.Result, Response) {
 	deadline := time.Now().Add(c.healthCheckTimeout)
 	conn, failure := c.connect(ctx, endpointID, deadline)
@@ -76,19 +77,19 @@
 	return result, response
 }
 
-// unsentResponse is the response of an attempt that sent no byte; err may be nil.
+// unsentResponse returns the response of an attempt that sent no byte. err may be nil.
 func unsentResponse(err error) Response { return Response{EndedAt: time.Now(), Err: err} }
 
-// connect returns a connection to an endpoint, idle or new. By the time it is open the endpoint may be draining or have
-// been restarted: nothing is sent to a process that has ended, since the reset of that connection would look like the
-// reset of a request that may have run.
+// connect returns an idle or a new connection to an endpoint. The endpoint may start to drain or be restarted during
+// the dial, so the connection is compared with the endpoint table and replaced if it leads to an earlier process: a
+// reset by a process that has exited can't be told from a reset of a request that may have run.
 //
-// It returns no error interface: each failure has the result of its attempt, and nil compared as an error would not be
-// nil.
+// It returns a *connectError instead of an error, because each failure carries the result of its attempt, and because
+// a nil *connectError in an error interface would not compare equal to nil.
 func (c *Client) connect(ctx context.Context, endpointID string, deadline time.Time) (*connection, *connectError) {
 	for {
 		entry, serving := c.table.LookupServing(endpointID)
-		if !serving { // nothing was sent, so another endpoint may serve the request
+		if !serving { // Nothing was sent, so the request may be sent to another endpoint.
 			return nil, &connectError{endpointID, balancer.ConnectFailed, ErrNotServing}
 		}
 		conn, failure := c.takeIdleOrDial(ctx, entry, deadline)
@@ -108,7 +109,7 @@
 	return serving && conn.entry.IsSameProcess(entry)
 }
 
-// takeIdleOrDial takes an idle connection, or dials one if there is none.
+// takeIdleOrDial takes an idle connection from the pool, or dials a new one if none is idle.
 func (c *Client) takeIdleOrDial(ctx context.Context, entry endpoint.Entry,
 	deadline time.Time) (*connection, *connectError) {
 	if conn := c.pool.takeIdle(entry.ID); conn != nil {
@@ -120,8 +121,8 @@
 	}
 	result := classifyDialError(ctx, err)
 	if result == balancer.ConnectFailed && socket.IsTimeout(err) {
-		// The machine is silent, so its idle connections are no better. A short deadline of the request looks the same,
-		// and costs handshakes at most.
+		// The machine does not respond, so idle connections to it are presumed dead too. A dial that was cut short by
+		// the request's deadline looks the same; closing connections then only costs handshakes.
 		c.pool.closeIdle(entry.ID)
 	}
 	return nil, &connectError{entry.ID, result, err}
@@ -138,16 +139,16 @@
 	return balancer.ConnectFailed
 }
 
-// exchange sends a request on a connection, gives the connection back to the pool or closes it, and returns the
-// result by the protocol's table.
+// exchange sends a request on a connection, reads the response, returns the connection to the pool or closes it, and
+// returns the classified result.
 func (c *Client) exchange(ctx context.Context, conn *connection, request *http.Request,
 	deadline time.Time) (balancer.Result, Response) {
 	encoded, err := encodeRequest(request)
-	if err != nil { // no byte went out: it can't have run
+	if err != nil { // No byte was sent, so the request can't have run.
 		c.pool.release(conn)
 		return balancer.NotSent, unsentResponse(err)
 	}
-	// Once it is released, the connection belongs to others.
+	// After its release another goroutine may use the connection, so the state that is needed later is copied here.
 	snapshot := connectionSnapshot{conn.endpointID(), conn.idleSince, conn.idleDuration()}
 	outcome := roundTrip(ctx, conn.netConn, encoded, deadline, c.stallTimeout)
 	if outcome.reusable {
@@ -161,7 +162,8 @@
 	return result, outcome.response
 }
 
-// classify is the protocol's table of outcomes. In doubt its result says that the request may have run.
+// classify returns the result of an exchange. If it is unknown whether the request ran, the result says that it may
+// have run.
 func classify(outcome exchangeOutcome, cancelled bool) balancer.Result {
 	response := outcome.response
 	switch {
@@ -172,7 +174,7 @@
 	case response.Err == nil || errors.Is(response.Err, ErrMalformedResponse):
 		return balancer.ServerError
 	case !outcome.requestWritten:
-		return balancer.ConnectFailed // its last byte never left
+		return balancer.ConnectFailed // The request was not sent completely, so it can't have run.
 	case cancelled:
 		return balancer.Cancelled
 	case socket.IsTimeout(response.Err):
@@ -181,31 +183,31 @@
 	return balancer.Reset
 }
 
-// connectionSnapshot is what is known of a connection before its exchange.
+// connectionSnapshot is the state of a connection right before an exchange.
 type connectionSnapshot struct {
 	endpointID   string
-	idleSince    time.Time     // zero for a new one
-	idleDuration time.Duration // until the exchange
+	idleSince    time.Time     // Start of the idle time; zero for a new connection.
+	idleDuration time.Duration // Idle time until the exchange; 0 for a new connection.
 }
 
-// closeDeadConnections closes the idle connections to an endpoint that are dead as well, judging by the result of an
-// exchange and the state of its connection before: an unsafe request that is sent on a dead connection may not be sent
-// again.
+// closeDeadConnections closes the idle connections to an endpoint that are presumed dead, given the result of an
+// exchange and the state of its connection before it. An unsafe request that is sent on a dead connection can't be
+// retried.
 func (c *Client) closeDeadConnections(snapshot connectionSnapshot, result balancer.Result) {
 	switch {
 	case result == balancer.TimedOut:
-		// Idle connections to a machine that vanished swallow what is written to them; a new one fails fast, and
-		// proves that nothing ran.
+		// If the machine has vanished, a request on an idle connection is lost without an error. A dial fails instead,
+		// and proves that the request did not run.
 		c.pool.closeIdle(snapshot.endpointID)
 	case (result == balancer.Reset || result == balancer.ConnectFailed) && snapshot.idleDuration > minIdleBeforeFailure:
-		// Whatever ended the connection while it was idle, such as a middlebox or a restart of the machine, has ended
-		// those that have been idle for longer too. A break of a busy connection says nothing about the others, and
-		// to close them would cost the endpoint a handshake each.
+		// The cause, such as a middlebox or a restart of the machine, has also ended the connections that were idle for
+		// longer. The failure of a connection that was not idle implies nothing about the others, and closing those
+		// would cost the endpoint one handshake each.
 		c.pool.closeIdleSince(snapshot.endpointID, snapshot.idleSince)
 	}
 }
 
-// logUnexpectedResponse logs a response that no endpoint should send.
+// logUnexpectedResponse logs malformed responses and responses with a status that the protocol does not define.
 func (c *Client) logUnexpectedResponse(endpointID string, result balancer.Result, response Response) {
 	if errors.Is(response.Err, ErrMalformedResponse) {
 		c.log.Warn(telemetry.MsgMalformedResponse, telemetry.Endpoint(endpointID), telemetry.Err(response.Err))
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,8 +1,7 @@
-// Package upstream is the endpoints' side of the agent: connections to endpoints, the attempts and health checks on
-// them, and the result of each.
+// Package upstream manages connections to endpoints and runs attempts and health checks on them.
 //
-// An attempt or a health check runs on its caller's goroutine (attempt.go). The only work in the background is the
-// pool's sweep of idle connections (pool.go).
+// An attempt or a health check runs on the goroutine of its caller (attempt.go). The only background work is the
+// pool's periodic close of idle connections (pool.go).
 package upstream
 
 import (
@@ -15,39 +14,38 @@
 )
 
 const (
-	// idleTimeoutFactor is the share of the endpoints' own idle timeout after which the pool closes a connection: a close
-	// by the endpoint may cross a request.
+	// idleTimeoutFactor is the pool's idle timeout as a fraction of that of the endpoints. It is below 1 because the
+	// endpoint could close a connection just as a request is sent on it.
 	idleTimeoutFactor = 0.75
-	// defaultIdleTimeout is how long connections stay idle to endpoints that never close one themselves.
+	// defaultIdleTimeout is the pool's idle timeout if endpoints never close idle connections.
 	defaultIdleTimeout = time.Minute
-	// healthCheckTimeoutFactor is the time that a health check may take, as a multiple of the connect timeout.
+	// healthCheckTimeoutFactor is the timeout of a health check as a multiple of the connect timeout.
 	healthCheckTimeoutFactor = 2
-	// stallTimeoutFactor is how long a response that has begun may pause, as a multiple of the connect timeout.
+	// stallTimeoutFactor is the stall timeout as a multiple of the connect timeout.
 	stallTimeoutFactor = 2
-	// minStallTimeout is the lower bound of that pause.
+	// minStallTimeout is the lower bound of the stall timeout.
 	minStallTimeout = 100 * time.Millisecond
 )
 
 // Options are the parameters of a Client.
 type Options struct {
-	Table               *endpoint.Table // consulted right before the first byte of each attempt
-	LoadReports         balancer.LoadReportSource
-	ConnectTimeout      time.Duration
-	EndpointIdleTimeout time.Duration // the endpoints' idle timeout; 0: they never close an idle connection
-	MaxConnections      int           // 0: no limit
+	Table               *endpoint.Table           // Consulted right before each attempt sends its request.
+	LoadReports         balancer.LoadReportSource // Whether health checks request load reports.
+	ConnectTimeout      time.Duration             // Timeout of a dial.
+	EndpointIdleTimeout time.Duration             // Idle timeout of the endpoints; 0 means that they have none.
+	MaxConnections      int                       // Maximum number of connections to all endpoints; 0 means no limit.
 	Log                 *slog.Logger
-	// DialControl is the Control function of the net.Dialer; may be nil.
+	// DialControl is the Control function of the net.Dialer. It may be nil.
 	DialControl func(network, address string, conn syscall.RawConn) error
 }
 
-// Client carries out attempts and health checks. Each ends with exactly one result. Its methods may be called on any
-// goroutine.
+// Client runs attempts and health checks. Each of them has exactly one result. Client is safe for concurrent use.
 type Client struct {
 	pool               *pool
 	table              *endpoint.Table
 	loadReports        balancer.LoadReportSource
 	healthCheckTimeout time.Duration
-	stallTimeout       time.Duration // a response that has begun and pauses for longer is malformed
+	stallTimeout       time.Duration // Maximum pause within a response; a response that pauses for longer is malformed.
 	log                *slog.Logger
 }
 
@@ -72,9 +70,9 @@
 // CloseIdle closes the idle connections to an endpoint.
 func (c *Client) CloseIdle(endpointID string) { c.pool.closeIdle(endpointID) }
 
-// DrainConnections ends the use of all connections to an endpoint that drains, is gone or was restarted: idle ones
-// are closed at once, those in use after their exchange.
+// DrainConnections closes the connections to an endpoint that is draining, was removed or was restarted: idle
+// connections at once, connections in use when their exchange finishes.
 func (c *Client) DrainConnections(endpointID string) { c.pool.drain(endpointID) }
 
-// OpenConnections is the number of connections that are open or being dialled.
+// OpenConnections returns the number of connections that are open or being dialled.
 func (c *Client) OpenConnections() int { return c.pool.openConnections() }
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -7,17 +7,18 @@
 	"ashshunt/internal/endpoint"
 )
 
-// connection is one connection to an endpoint. It belongs to whoever took or dialled it until release or close.
+// connection is a connection to an endpoint. Between takeIdle or dial and release or close, it is used by one goroutine
+// alone.
 type connection struct {
-	netConn   net.Conn // closed by the pool alone, which counts connections
+	netConn   net.Conn // Closed only by the pool, which counts connections.
 	group     *endpointGroup
-	entry     endpoint.Entry // as listed when it was dialled
-	idleSince time.Time      // zero before its first release; written under pool.mu
+	entry     endpoint.Entry // Table entry of the endpoint at the time of the dial.
+	idleSince time.Time      // Time of the last release; zero before the first one. Written under pool.mu.
 }
 
 func (c *connection) endpointID() string { return c.group.endpointID }
 
-// idleDuration is how long a connection that was just taken has been idle; 0 for a new one.
+// idleDuration returns how long a connection that was just taken has been idle. It is 0 for a new connection.
 func (c *connection) idleDuration() time.Duration {
 	if c.idleSince.IsZero() {
 		return 0
@@ -25,18 +26,19 @@
 	return time.Since(c.idleSince)
 }
 
-// endpointGroup holds the connections to one endpoint. A retired group is no longer in the pool, since its endpoint
-// drains, is gone or was restarted: its connections that are in use are closed when they are released. pool.mu protects
-// its fields, but for the ID.
+// endpointGroup holds the connections to one endpoint. pool.mu protects all fields but endpointID, which is constant.
 type endpointGroup struct {
 	endpointID string
 
-	idle     []*connection // by idleSince, the longest idle first
-	numOpen  int           // idle, in use and being dialled
+	idle    []*connection // Idle connections by idleSince, oldest first.
+	numOpen int           // Connections that are idle, in use or being dialled.
+
+	// draining is set when the group is removed from the pool because its endpoint is draining, was removed or was
+	// restarted. Connections that are in use are then closed on release.
 	draining bool
 }
 
-// popNewest takes out the connection that became idle last; there must be one.
+// popNewest removes and returns the connection that became idle last. There must be one.
 func (g *endpointGroup) popNewest() *connection {
 	last := len(g.idle) - 1
 	conn := g.idle[last]
@@ -44,7 +46,7 @@
 	return conn
 }
 
-// popOldest takes out the connection that has been idle for longest; there must be one.
+// popOldest removes and returns the connection that has been idle for the longest time. There must be one.
 func (g *endpointGroup) popOldest() *connection {
 	conn := g.idle[0]
 	g.idle = g.idle[1:]
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -7,19 +7,19 @@
 )
 
 var (
-	// ErrNotServing is why an attempt has no connection if its endpoint began to drain or left the list after the
-	// attempt was decided on.
+	// ErrNotServing means that the endpoint of an attempt started to drain, or was removed from the list, after the
+	// endpoint was picked.
 	ErrNotServing = errors.New("endpoint is not serving")
-	// ErrPoolExhausted is why an attempt has no connection if all that the pool may hold are in use.
+	// ErrPoolExhausted means that the pool has reached its connection limit and all connections are in use.
 	ErrPoolExhausted = errors.New("connection pool exhausted")
-	// ErrMalformedResponse marks a response that can't be used. Its request may have run.
+	// ErrMalformedResponse marks a response that violates the protocol. Its request may have run.
 	ErrMalformedResponse = errors.New("malformed response")
 )
 
-// connectError is why an attempt has no connection. No byte of its request went out.
+// connectError is the failure of an attempt to get a connection. No byte of the request was sent.
 type connectError struct {
 	endpointID string
-	result     balancer.Result // of the attempt
+	result     balancer.Result // Result of the attempt.
 	cause      error
 }
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// responseBufferSize is the size in bytes of the buffer through which a response is read.
+// responseBufferSize is the size in bytes of the read buffer of an exchange.
 const responseBufferSize = 4096
 
-// pastDeadline is a deadline in the past: it interrupts reads and writes that wait.
+// pastDeadline is a connection deadline in the past. Setting it interrupts blocked reads and writes.
 var pastDeadline = time.Unix(1, 0)
 
-// exchangeOutcome is how one request on one connection ended.
+// exchangeOutcome is the outcome of one request on one connection.
 type exchangeOutcome struct {
 	response       Response
-	requestWritten bool // the request's last byte went out
-	reusable       bool // the connection may carry another request
+	requestWritten bool // The request was written completely.
+	reusable       bool // The connection may be used for another request.
 }
 
-// encodeRequest returns the bytes of a request.
+// encodeRequest returns the encoded bytes of a request.
 func encodeRequest(request *http.Request) ([]byte, error) {
 	var encoded bytes.Buffer
 	if err := request.Write(&encoded); err != nil {
@@ -32,10 +32,10 @@
 	return encoded.Bytes(), nil
 }
 
-// roundTrip writes a request in one go and reads its response. The end of ctx interrupts it.
+// roundTrip writes a request with a single call to Write and reads its response. Cancelling ctx interrupts both.
 func roundTrip(ctx context.Context, conn net.Conn, request []byte, deadline time.Time,
 	stallTimeout time.Duration) exchangeOutcome {
-	// A deadline can't be set on a connection that has been closed, where the write and the read fail as well.
+	// SetDeadline fails on a closed connection, where the write and the read fail as well.
 	_ = conn.SetDeadline(deadline)
 	stopInterrupt := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(pastDeadline) })
 	defer stopInterrupt()
@@ -47,7 +47,7 @@
 	buffer.Reset(reader)
 	response, keepAlive := reader.readResponse()
 	response.EndedAt = time.Now()
-	hasUnreadBytes := buffer.Buffered() > 0 // they would be read as the response to the next request
+	hasUnreadBytes := buffer.Buffered() > 0 // They would be read as the response to the next request.
 	putBuffer(buffer)
 	return exchangeOutcome{
 		response:       response,
@@ -56,7 +56,7 @@
 	}
 }
 
-// bufferPool are the read bufferPool of exchanges; an idle connection has none.
+// bufferPool holds the read buffers of exchanges. Idle connections have no buffer.
 var bufferPool sync.Pool
 
 func getBuffer() *bufio.Reader {
@@ -67,6 +67,6 @@
 }
 
 func putBuffer(buffer *bufio.Reader) {
-	buffer.Reset(nil) // keeps no connection alive
+	buffer.Reset(nil) // Drops the reference to the connection, so that it can be garbage-collected.
 	bufferPool.Put(buffer)
 }
--- a/internal/upstream/framing.go
+++ b/internal/upstream/framing.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -14,47 +13,50 @@
 	"ashshunt/internal/protocol"
 )
 
-// framingKind is how the end of a response's body is marked.
+// framingKind is the method by which the end of a response body is determined.
 type framingKind uint8
 
 const (
 	framedByLength framingKind = iota // Content-Length
 	framedByChunks                    // Transfer-Encoding: chunked
-	framedByClose                     // the body ends with its connection
+	framedByClose                     // The body ends when the connection is closed.
 )
 
-// contentLengthBase and contentLengthBits are the form of a Content-Length; the bits make it fit into any int.
+// Number format of a Content-Length. 31 bits fit into an int on all platforms.
 const (
 	contentLengthBase = 10
 	contentLengthBits = 31
 )
 
-// framing is where the body of a response ends.
+// framing determines the end of a response body.
 type framing struct {
 	kind   framingKind
-	length int // in bytes, if it is framed by its length
+	length int // Length of the body in bytes; used only with framedByLength.
 }
 
-// parseFraming parses the framing of the body. Two lengths, or a length and an encoding, leave the end of the body
-// ambiguous. A body over the limit is not waited for.
+// parseFraming parses the framing of the body from the header. It returns an error for more than one Content-Length or
+// Transfer-Encoding, which would leave the end of the body ambiguous, and for a Content-Length above the limit.
 func (h responseHead) parseFraming() (framing, error) {
 	lengths, encodings := h.header["Content-Length"], h.header["Transfer-Encoding"]
 	switch {
 	case h.status < http.StatusOK:
-		return framing{}, fmt.Errorf("status %d", h.status)
+		return framing{}, fmt.Errorf("response has status %d, want a final status of 200 or above", h.status)
 	case len(lengths)+len(encodings) == 0:
 		return framing{kind: framedByClose}, nil
 	case len(lengths)+len(encodings) != 1:
-		return framing{}, errors.New("framed twice")
+		return framing{}, fmt.Errorf("response has %d Content-Length and %d Transfer-Encoding headers, want one",
+			len(lengths), len(encodings))
 	case len(encodings) == 1:
 		if !strings.EqualFold(encodings[0], "chunked") {
-			return framing{}, fmt.Errorf("encoding %.*q", maxQuotedLength, encodings[0])
+			return framing{}, fmt.Errorf("response has Transfer-Encoding %.*q, want chunked",
+				maxQuotedLength, encodings[0])
 		}
 		return framing{kind: framedByChunks}, nil
 	}
 	length, err := strconv.ParseUint(lengths[0], contentLengthBase, contentLengthBits)
 	if err != nil || length > protocol.MaxBodySize {
-		return framing{}, fmt.Errorf("length %.*q", maxQuotedLength, lengths[0])
+		return framing{}, fmt.Errorf("response has Content-Length %.*q, want 0 to %d",
+			maxQuotedLength, lengths[0], protocol.MaxBodySize)
 	}
 	return framing{kind: framedByLength, length: int(length)}, nil
 }
@@ -71,7 +73,7 @@
 		_, err := io.ReadFull(in, body)
 		return body, err
 	}
-	return nil, fmt.Errorf("framing %d", f.kind) // there is no other kind
+	return nil, fmt.Errorf("unknown framing kind %d", f.kind) // Unreachable: all kinds are handled above.
 }
 
 func readChunkedBody(in *bufio.Reader) ([]byte, error) {
@@ -79,19 +81,20 @@
 	if err != nil {
 		return nil, err
 	}
-	// The chunks end with a trailer, which is usually empty.
+	// The last chunk is followed by a trailer section, which is usually empty.
 	_, err = textproto.NewReader(in).ReadMIMEHeader()
 	return body, err
 }
 
-// readAtMost reads in to its end, which must come within limit bytes. A reset is an error, not an end.
+// readAtMost reads in to its end and returns an error if that is more than limit bytes. A connection reset is an error,
+// not an end.
 func readAtMost(in io.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(in, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(body)) > limit {
-		return nil, errors.New("body too long")
+		return nil, fmt.Errorf("response body exceeds %d bytes", limit)
 	}
 	return body, nil
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,23 +10,23 @@
 	"ashshunt/internal/socket"
 )
 
-// pool owns the connections to endpoints. It does not use http.Transport, which resends a request by itself
-// when a reused connection turns out dead: the request may then run twice.
+// pool manages the connections to endpoints. http.Transport is not used because it resends a request on its own if a
+// reused connection fails, and the request may then run twice.
 //
-// Nothing reads an idle connection: what arrives on it answers no request and must not be read as the response to the
-// next one. A connection is examined when it is taken, and closed if anything has arrived.
+// Idle connections are not read. Bytes that arrive on one belong to no request and must not be read as the response to
+// the next request, so a connection is examined when it is taken, and closed if any bytes have arrived.
 //
-// The pool has no goroutine of its own. While connections are idle, a timer runs a sweep that closes those that have
-// been idle for too long and schedules the next sweep.
+// The pool has no permanent goroutine. While connections are idle, a timer runs sweep, which closes those that have
+// exceeded the idle timeout and schedules the next sweep.
 type pool struct {
-	idleTimeout    time.Duration // a connection that is idle for longer is closed
-	maxConnections int           // 0: no limit
+	idleTimeout    time.Duration // A connection that is idle for longer is closed.
+	maxConnections int           // Maximum of numOpen; 0 means no limit.
 	dialer         socket.Dialer
 
-	mu             sync.Mutex                // protects what follows and the groups
-	numOpen        int                       // connections that are idle, in use or being dialled
-	groups         map[string]*endpointGroup // by endpoint ID, while it has connections
-	sweepScheduled bool
+	mu             sync.Mutex                // Protects the fields below and the groups.
+	numOpen        int                       // Connections that are idle, in use or being dialled.
+	groups         map[string]*endpointGroup // Groups with numOpen > 0, by endpoint ID.
+	sweepScheduled bool                      // A timer for sweep is running.
 }
 
 func newPool(idleTimeout, connectTimeout time.Duration, maxConnections int) *pool {
@@ -38,13 +38,14 @@
 	}
 }
 
-// takeIdle returns the most recently used idle connection to an endpoint that is still usable, nil if there is none.
+// takeIdle takes the most recently used idle connection to an endpoint that is still usable. It returns nil if there is
+// none.
 func (p *pool) takeIdle(endpointID string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for group := p.groups[endpointID]; group != nil && len(group.idle) > 0; {
 		conn := group.popNewest()
-		// One that is not quiet has ended, has brought more than its last response, or can't be examined at present.
+		// A connection that is not Quiet was closed, has received bytes after its last response, or can't be examined.
 		if socket.Peek(conn.netConn) == socket.Quiet && time.Since(conn.idleSince) < p.idleTimeout {
 			return conn
 		}
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// dial opens a connection within the pool's limit, the connect timeout and the deadline.
+// dial opens a connection, subject to the connection limit, the connect timeout and the deadline.
 func (p *pool) dial(ctx context.Context, entry endpoint.Entry, deadline time.Time) (*connection, error) {
 	group, err := p.reserve(entry.ID)
 	if err != nil {
@@ -69,8 +70,8 @@
 	return &connection{netConn: conn, group: group, entry: entry}, nil
 }
 
-// reserve counts a connection that is about to be dialled. At the limit it evicts an idle one; with none idle it
-// returns ErrPoolExhausted.
+// reserve counts a connection that is about to be dialled. At the connection limit it evicts an idle connection, or
+// returns ErrPoolExhausted if none is idle.
 func (p *pool) reserve(endpointID string) (*endpointGroup, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,15 +88,15 @@
 	return group, nil
 }
 
-// unreserve undoes reserve for a dial that failed.
+// unreserve reverts reserve after a failed dial.
 func (p *pool) unreserve(group *endpointGroup) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.decrementOpenLocked(group)
 }
 
-// evictIdleLocked closes the connection that has been idle for longest and reports whether there was one. The caller
-// holds p.mu.
+// evictIdleLocked closes the connection that has been idle for the longest time, to any endpoint, and reports whether
+// there was one. The caller holds p.mu.
 func (p *pool) evictIdleLocked() bool {
 	oldest := p.oldestIdleLocked()
 	if oldest == nil {
@@ -105,7 +106,8 @@
 	return true
 }
 
-// release puts back a connection on which nothing is in flight. One of a retired group is closed instead.
+// release returns a connection without a request in flight to the pool. If its group is draining, the connection is
+// closed instead.
 func (p *pool) release(conn *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,13 +115,13 @@
 		p.closeLocked(conn)
 		return
 	}
-	_ = conn.netConn.SetDeadline(time.Time{}) // fails on a connection that has ended, which takeIdle notices
+	_ = conn.netConn.SetDeadline(time.Time{}) // Fails on a closed connection, which takeIdle will detect.
 	conn.idleSince = time.Now()
 	conn.group.idle = append(conn.group.idle, conn)
 	p.scheduleSweepLocked(p.idleTimeout)
 }
 
-// scheduleSweepLocked has sweep run after a delay, unless one is scheduled already. The caller holds p.mu.
+// scheduleSweepLocked schedules sweep to run after a delay, unless it is scheduled already. The caller holds p.mu.
 func (p *pool) scheduleSweepLocked(after time.Duration) {
 	if !p.sweepScheduled {
 		p.sweepScheduled = true
@@ -127,8 +129,8 @@
 	}
 }
 
-// sweep closes the connections that have been idle for too long, and schedules the next sweep for when another one
-// will have been.
+// sweep closes the connections that have reached the idle timeout and schedules the next sweep for the time when the
+// next connection reaches it.
 func (p *pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,7 +144,8 @@
 	}
 }
 
-// oldestIdleLocked returns the connection that has been idle for longest, nil if none is idle. The caller holds p.mu.
+// oldestIdleLocked returns the connection that has been idle for the longest time, or nil if none is idle. The caller
+// holds p.mu.
 func (p *pool) oldestIdleLocked() *connection {
 	var oldest *connection
 	for _, group := range p.groups {
@@ -153,22 +156,22 @@
 	return oldest
 }
 
-// close closes a connection that was taken or dialled.
+// close closes a connection that was returned by takeIdle or dial.
 func (p *pool) close(conn *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeLocked(conn)
 }
 
-// closeLocked closes a connection that its group does not list as idle, and takes it off the counts, so it must be
-// called once for each connection: by whoever took or dialled it, or by the pool for one that it took out of the idle
-// ones. The caller holds p.mu.
+// closeLocked closes a connection and decrements the counts of open connections, so it must be called exactly once for
+// each connection. The connection must not be in its group's idle list. The caller holds p.mu.
 func (p *pool) closeLocked(conn *connection) {
-	_ = conn.netConn.Close() // nothing is left to be written
+	_ = conn.netConn.Close() // No data is left to be written.
 	p.decrementOpenLocked(conn.group)
 }
 
-// decrementOpenLocked takes one connection off the counts and drops a group that has none left. The caller holds p.mu.
+// decrementOpenLocked decrements the counts of open connections and removes the group if it has none left. The caller
+// holds p.mu.
 func (p *pool) decrementOpenLocked(group *endpointGroup) {
 	p.numOpen--
 	group.numOpen--
@@ -177,8 +180,7 @@
 	}
 }
 
-// drain ends the use of all connections to an endpoint: idle ones are closed at once, those in use after their
-// exchange.
+// drain closes the idle connections to an endpoint at once, and the connections in use when they are released.
 func (p *pool) drain(endpointID string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,29 +191,30 @@
 	}
 }
 
-// closeIdle closes the idle connections to an endpoint; those in use stay, since they may still bring a response.
+// closeIdle closes the idle connections to an endpoint. Connections in use stay open, since their responses may still
+// arrive.
 func (p *pool) closeIdle(endpointID string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdleSinceLocked(p.groups[endpointID], time.Now())
 }
 
-// closeIdleSince closes the connections to an endpoint that have been idle since a time or longer.
+// closeIdleSince closes the connections to an endpoint that became idle at or before a time.
 func (p *pool) closeIdleSince(endpointID string, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdleSinceLocked(p.groups[endpointID], since)
 }
 
-// closeIdleSinceLocked closes the group's connections that have been idle since a time or longer; the group may be
-// nil. The caller holds p.mu.
+// closeIdleSinceLocked closes the group's connections that became idle at or before a time. The group may be nil. The
+// caller holds p.mu.
 func (p *pool) closeIdleSinceLocked(group *endpointGroup, since time.Time) {
 	for group != nil && len(group.idle) > 0 && !group.idle[0].idleSince.After(since) {
 		p.closeLocked(group.popOldest())
 	}
 }
 
-// openConnections is the number of connections that are open or being dialled.
+// openConnections returns the number of connections that are open or being dialled.
 func (p *pool) openConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -13,26 +13,29 @@
 )
 
 const (
-	maxHeadSize               = 16 << 10                 // bytes of a response's head
-	maxInformationalResponses = 8                        // 1xx responses ahead of the final one
-	maxEncodedBodySize        = 2 * protocol.MaxBodySize // bytes of a body with the framing of its chunks
+	// maxHeadSize is the maximum size in bytes of a status line and header.
+	maxHeadSize = 16 << 10
+	// maxInformationalResponses is the maximum number of 1xx responses before the final one.
+	maxInformationalResponses = 8
+	// maxEncodedBodySize is the maximum size in bytes of a body including its chunk framing.
+	maxEncodedBodySize = 2 * protocol.MaxBodySize
 )
 
-// responseReader reads one response off a connection and bounds the time and the bytes that it may take.
+// responseReader reads one response from a connection, with limits on its time and size.
 type responseReader struct {
 	conn         net.Conn
-	ctx          context.Context // the attempt's; its end interrupts reads
-	buffer       *bufio.Reader   // reads from this reader
-	deadline     time.Time
-	stallTimeout time.Duration
+	ctx          context.Context // Context of the attempt; cancelling it interrupts reads.
+	buffer       *bufio.Reader   // Reads through this responseReader.
+	deadline     time.Time       // Deadline of the whole response.
+	stallTimeout time.Duration   // Maximum time of one read after the response has started.
 
-	started        bool  // some of the response has come
-	bytesRemaining int   // what the part that is being read may still take
-	connErr        error // how the connection ended
+	started        bool  // At least one byte of the current response was received.
+	bytesRemaining int   // Number of bytes that may still be read for the current head or body.
+	connErr        error // Last error of the connection.
 }
 
-// readResponse reads one response to its end, so that a partial one is never passed on. keepAlive reports whether
-// another one may follow on the connection.
+// readResponse reads one complete response; a partial response is never returned. keepAlive reports whether another
+// response may follow on the connection.
 func (r *responseReader) readResponse() (response Response, keepAlive bool) {
 	for range maxInformationalResponses + 1 {
 		r.bytesRemaining, r.started = maxHeadSize, r.buffer.Buffered() > 0
@@ -41,7 +44,7 @@
 			return r.failedResponse(err), false
 		}
 		if head.isInformational() {
-			r.setReadDeadline(r.deadline) // no stall timeout until the final one starts
+			r.setReadDeadline(r.deadline) // The stall timeout does not apply until the next response starts.
 			continue
 		}
 		framing, err := head.parseFraming()
@@ -56,14 +59,15 @@
 		keepAlive = head.keepAlive && framing.kind != framedByClose
 		return Response{Status: head.status, Header: head.header, Body: body}, keepAlive
 	}
-	return r.failedResponse(errors.New("too many informational responses")), false
+	return r.failedResponse(fmt.Errorf("more than %d informational responses before the final response",
+		maxInformationalResponses)), false
 }
 
-// Read reads from the connection, for the buffer. It notes how the connection ended, since the parsers' errors do not
-// tell an end of the connection from a malformed response.
+// Read implements io.Reader for the buffer. It records connection errors in connErr, since the errors of the parsers do
+// not distinguish a closed connection from a malformed response.
 func (r *responseReader) Read(p []byte) (int, error) {
 	if r.bytesRemaining <= 0 {
-		return 0, ErrMalformedResponse
+		return 0, errors.New("response head or body exceeds its size limit")
 	}
 	if r.started {
 		r.setReadDeadline(time.Now().Add(r.stallTimeout))
@@ -77,20 +81,20 @@
 	return n, err
 }
 
-// setReadDeadline moves the read deadline, but not past the response's. If the attempt has been cancelled, it restores
-// the interruption of reads and writes, which the new deadline may have replaced.
+// setReadDeadline sets the read deadline, bounded by the deadline of the response. If the attempt was cancelled, it
+// also sets pastDeadline again, which the new deadline may have overwritten.
 func (r *responseReader) setReadDeadline(at time.Time) {
 	if at.After(r.deadline) {
 		at = r.deadline
 	}
-	_ = r.conn.SetReadDeadline(at) // fails on a closed connection, as the read will
+	_ = r.conn.SetReadDeadline(at) // Fails on a closed connection, where the read fails as well.
 	if r.ctx.Err() != nil {
 		_ = r.conn.SetDeadline(pastDeadline)
 	}
 }
 
-// failedResponse is the response of a read that ended early: with the error of the connection, or as malformed. A response
-// that started and stalled is malformed: its connection stays open and brings no more.
+// failedResponse returns the response of a failed read. Its error is that of the connection if there is one, and
+// ErrMalformedResponse otherwise. A response that stalls is malformed too, although its read failed with a timeout.
 func (r *responseReader) failedResponse(err error) Response {
 	if r.connErr != nil && !r.isStalled() {
 		return Response{Err: r.connErr}
@@ -98,7 +102,7 @@
 	return Response{Err: fmt.Errorf("%w: %w", ErrMalformedResponse, err)}
 }
 
-// isStalled reports whether the read ended by the stall timeout, neither by the deadline nor by a cancel.
+// isStalled reports whether the read failed by the stall timeout and not by the deadline or a cancellation.
 func (r *responseReader) isStalled() bool {
 	return r.started && socket.IsTimeout(r.connErr) && time.Now().Before(r.deadline) && r.ctx.Err() == nil
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -12,23 +12,23 @@
 	"ashshunt/internal/protocol"
 )
 
-// Request is a client's request as it is forwarded to endpoints.
+// Request is a client's request in the form in which it is forwarded to endpoints.
 type Request struct {
 	ID             string
-	IdempotencyKey string // empty: none
+	IdempotencyKey string // Empty if the client sent none.
 	Method, Host   string
-	Target         *url.URL // path and query as the client sent them
+	Target         *url.URL // Path and query as sent by the client.
 	Body           []byte
-	Lifetime       context.Context // once it ends, nothing more may go out for the request
-	// ClientGone reports whether the client gets no answer any more, which the request's owner may not know yet: it has
-	// closed its connection, or floods it.
+	Lifetime       context.Context // Cancelled when the request has finished; no attempt may start after that.
+	// ClientGone reports whether the client will get no response because it closed its connection or sent too many bytes
+	// after its request. It may become true before Lifetime is cancelled.
 	ClientGone func() bool
 }
 
-// isFinished reports whether nothing more may go out for the request.
+// isFinished reports whether no attempt of the request may start any more.
 func (r *Request) isFinished() bool { return r.Lifetime.Err() != nil || r.ClientGone() }
 
-// newForwardedRequest returns the HTTP request of an attempt, whose timeout is what remains until the deadline.
+// newForwardedRequest returns the HTTP request of an attempt. Its timeout header is the time until the deadline.
 func newForwardedRequest(request *Request, deadline time.Time) *http.Request {
 	timeoutMs := max(1, time.Until(deadline).Milliseconds())
 	httpRequest := newHTTPRequest(request.Method, request.Target, request.Host)
@@ -51,6 +51,6 @@
 
 func newHTTPRequest(method string, target *url.URL, host string) *http.Request {
 	return &http.Request{Method: method, URL: target, Host: host, Header: http.Header{
-		"User-Agent": {""}, // sends none; without it net/http adds its own
+		"User-Agent": {""}, // An empty value omits the header; without an entry, net/http adds its own.
 	}}
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"errors"
 	"fmt"
 	"net/http"
 	"net/textproto"
@@ -15,27 +14,28 @@
 	"ashshunt/internal/protocol"
 )
 
-// Response is what came back for a request: a complete response, an error, or neither if nothing was sent by choice.
+// Response is the response to a request. If Err is set, or Status is 0 because the request was deliberately not sent,
+// there is no response.
 type Response struct {
 	Status  int
 	Header  textproto.MIMEHeader
 	Body    []byte
-	EndedAt time.Time // when its last byte or the error came, or it was decided to send nothing
+	EndedAt time.Time // Time of the last byte, of the error, or of the decision not to send the request.
 	Err     error
 }
 
-// isRejected reports whether the endpoint says that it has not run the request.
+// isRejected reports whether the endpoint rejected the request without running it.
 func (r Response) isRejected() bool {
 	unavailable := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout
 	return unavailable && r.Header.Get(protocol.HeaderRejected) == protocol.FlagTrue
 }
 
-// LoadReport returns the load report that the response carries, or an invalid one.
+// LoadReport returns the load report in the response header, or an invalid one if there is none.
 func (r Response) LoadReport() balancer.LoadReport {
 	return loadreport.Parse(r.Header.Get(protocol.HeaderLoadReport))
 }
 
-// copyLoadReportToHeader has a response whose body is a load report carry it in its header, as other responses do.
+// copyLoadReportToHeader copies a load report from the body of a response to its header, where other responses have it.
 func (r Response) copyLoadReportToHeader() {
 	if r.Err == nil && r.Header.Get(protocol.HeaderLoadReport) == "" {
 		r.Header.Set(protocol.HeaderLoadReport, string(r.Body))
@@ -43,11 +43,11 @@
 }
 
 const (
-	// protocolPrefix is how each response begins. The minor version follows: one byte, which may be any.
+	// protocolPrefix is the start of each response. It is followed by the minor version, which may be any single byte.
 	protocolPrefix = "HTTP/1."
-	// statusCodeDigits is the length of a status code.
+	// statusCodeDigits is the number of digits of a status code.
 	statusCodeDigits = 3
-	// maxQuotedLength is the number of characters of a response that an error quotes at most.
+	// maxQuotedLength is the maximum number of characters of a response that are quoted in an error.
 	maxQuotedLength = 40
 )
 
@@ -55,7 +55,7 @@
 type responseHead struct {
 	status    int
 	header    textproto.MIMEHeader
-	keepAlive bool // another response may follow on the connection
+	keepAlive bool // Whether the version and the header allow another response on the connection.
 }
 
 // readHead reads the status line and the header.
@@ -80,8 +80,8 @@
 	return responseHead{status: status, header: header, keepAlive: !closes}, nil
 }
 
-// validateProtocol examines the first bytes one by one: bytes that are not HTTP may stop anywhere, and a response that
-// starts wrong is not waited for.
+// validateProtocol returns an error unless the response starts with protocolPrefix. It peeks byte by byte, so that it
+// fails on the first wrong byte and does not wait for more: the peer may send less than the prefix and then stop.
 func validateProtocol(in *bufio.Reader) error {
 	for i := range len(protocolPrefix) {
 		start, err := in.Peek(i + 1)
@@ -89,7 +89,7 @@
 			return err
 		}
 		if start[i] != protocolPrefix[i] {
-			return errors.New("not HTTP/1")
+			return fmt.Errorf("response starts with %q, want %q", start, protocolPrefix)
 		}
 	}
 	return nil
@@ -102,12 +102,13 @@
 	status, err = strconv.Atoi(code)
 	validVersion := len(version) == len(protocolPrefix)+1
 	if err != nil || len(code) != statusCodeDigits || status < http.StatusContinue || !validVersion {
-		return "", 0, fmt.Errorf("status line %.*q", maxQuotedLength, line)
+		return "", 0, fmt.Errorf("invalid status line %.*q", maxQuotedLength, line)
 	}
 	return version, status, nil
 }
 
-// isInformational reports whether the final response follows on the same connection.
+// isInformational reports whether the response is a 1xx response that is followed by the final response on the same
+// connection. This excludes 101 Switching Protocols.
 func (h responseHead) isInformational() bool {
 	return h.status < http.StatusOK && h.status != http.StatusSwitchingProtocols
 }
