--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -147,7 +147,7 @@
 	if event.Key != "" && class.Ordered {
 		b.keyQueues.add(r, event.Key)
 	}
-	b.queue.push(r)
+	b.queue.add(r)
 }
 
 // recordArrival lets the request's class learn from it, and reports whether the request is a client's retry
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -15,7 +15,7 @@
 	if r.isFinished() || r.isStreaming || len(r.attempts) >= rules.maxAttempts {
 		return false
 	}
-	if r.inFlight > 0 && !rules.allowHedging {
+	if r.inFlightCount > 0 && !rules.allowHedging {
 		return false
 	}
 	return r.mayHaveRunCount == 0 || rules.allowRepeat(r, ep, now)
@@ -27,7 +27,7 @@
 	if !rules.allowHedging || r.class.Idempotency == NotIdempotent {
 		return false
 	}
-	return r.inFlight == 1 && len(r.attempts) < rules.maxAttempts
+	return r.inFlightCount == 1 && len(r.attempts) < rules.maxAttempts
 }
 
 // allowRepeat reports whether a request that may have run has no further effect at an endpoint.
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -27,7 +27,7 @@
 	}
 	r.lastFailedEndpoint = a.endpoint
 	// A second attempt that is backing off or queued goes on by itself.
-	if r.inFlight == 0 && r.phase == phaseActive {
+	if r.inFlightCount == 0 && r.phase == phaseActive {
 		b.retry(r, event.Result)
 	}
 }
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -21,8 +21,8 @@
 
 func (q *admissionQueue) len() int { return len(q.requests) }
 
-// push adds a request and moves it to phaseQueued.
-func (q *admissionQueue) push(r *request) {
+// add adds a request and moves it to phaseQueued.
+func (q *admissionQueue) add(r *request) {
 	r.phase = phaseQueued
 	q.requests = append(q.requests, r)
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -28,12 +28,12 @@
 	hasNoEndpoint bool // no endpoint may take it in this step
 
 	attempts        []*attempt
-	inFlight        int // attempts without an outcome
+	inFlightCount   int // attempts without an outcome
 	mayHaveRunCount int // attempts that may have run, those in flight included
 	// firstMayHaveRun sets the scope and window of deduplication: the first attempt since none may have run.
 	// It stays if it turns out not to have run while another one may have, which only shortens the window.
 	firstMayHaveRun    *attempt
-	retries            int
+	retryCount         int
 	lastFailedEndpoint *endpoint // the endpoint of the latest attempt that failed, or was hedged
 
 	keyQueue      *keyQueue
@@ -67,7 +67,7 @@
 // addAttempt notes an attempt that is being sent.
 func (r *request) addAttempt(a *attempt) {
 	r.attempts = append(r.attempts, a)
-	r.inFlight++
+	r.inFlightCount++
 	r.mayHaveRunCount++
 	if r.firstMayHaveRun == nil {
 		r.firstMayHaveRun = a
@@ -77,7 +77,7 @@
 // finishAttempt notes the end of an attempt.
 func (r *request) finishAttempt(a *attempt, mayHaveRun bool) {
 	a.inFlight = false
-	r.inFlight--
+	r.inFlightCount--
 	if mayHaveRun {
 		return
 	}
@@ -105,7 +105,7 @@
 // flight may still be served.
 func (b *Balancer) rejectOrFailUnlessInFlight(r *request) {
 	b.queue.remove(r)
-	if r.inFlight == 0 {
+	if r.inFlightCount == 0 {
 		b.rejectOrFail(r)
 	}
 }
@@ -118,7 +118,7 @@
 	b.queue.remove(r)
 	r.phase = phaseFinished
 	b.timers.remove(r.timerToken)
-	if r.inFlight == 0 {
+	if r.inFlightCount == 0 {
 		delete(b.requests, r.id)
 		b.removeFromKeyQueue(r)
 	}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -60,7 +60,7 @@
 // retry schedules the next attempt of a request after a backoff. The request is answered instead if no
 // endpoint may take the attempt, if the token bucket does not pay for it, or if it would be too late.
 func (b *Balancer) retry(r *request, result Result) {
-	at := b.now + drawBackoff(b.rng, r.retries, r.class.Objective)
+	at := b.now + drawBackoff(b.rng, r.retryCount, r.class.Objective)
 	// An attempt was not sent since the time of its request was over, or nothing could be sent for it any
 	// more.
 	possible := result != NotSent && b.someEndpointMayTake(r) && !r.isTooLate(b.now, at)
@@ -68,7 +68,7 @@
 		b.rejectOrFailUnlessInFlight(r)
 		return
 	}
-	r.retries++
+	r.retryCount++
 	r.phase = phaseBackingOff
 	b.setRequestTimer(r, at)
 }
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -73,9 +73,9 @@
 	}
 	switch r.phase {
 	case phaseBackingOff:
-		b.queue.push(r)
+		b.queue.add(r)
 	case phaseActive:
-		if r.inFlight > 0 && !r.isStreaming {
+		if r.inFlightCount > 0 && !r.isStreaming {
 			b.hedge(r)
 		}
 	case phaseQueued, phaseFinished:
