--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Action is something that the agent must do now, in the order given.
+// Action is something that the agent must do at once. Actions are carried out in the order in which Step
+// returns them.
 //
-// Agents and the simulator's wire carry out every kind. Balancer itself returns Send, Cancel, Reject, Fail,
-// SetTimer and Subscribe; the other kinds are part of the wire's form and are there for other policies behind
-// the same interface.
+// Balancer returns Send, Cancel, Reject, Fail, SetTimer and Subscribe. The other actions are part of the wire
+// protocol, for other policies with the same interface. Agents and the simulator's wire support all of them.
 type Action interface{ action() }
 
 func (Send) action()          {}
@@ -24,53 +24,53 @@
 
 // Send starts the next attempt of a request.
 type Send struct {
-	Request, Endpoint string
-	Timeout           time.Duration // of the attempt; 0: until the client stops waiting
-	NotAfter          time.Duration // the attempt must not begin after this time; 0: no such bound
+	Request, Endpoint string        // IDs
+	Timeout           time.Duration // timeout of the attempt; 0: until the client stops waiting
+	NotAfter          time.Duration // latest time at which the attempt may start; 0: no bound
 }
 
-// Cancel withdraws an attempt. Its Outcome still comes.
+// Cancel cancels an attempt. The agent still passes its Outcome.
 type Cancel struct {
-	Request string
-	Attempt int
+	Request string // ID of the request
+	Attempt int    // number of the attempt, as in Outcome
 }
 
-// Reject is a final answer: the request had no effect, and the client may retry it.
+// Reject is the final answer to a request that had no effect. The client may retry it.
 type Reject struct {
-	Request    string
-	RetryAfter time.Duration // advice to the client; 0: none
+	Request    string        // ID of the request
+	RetryAfter time.Duration // time after which the client should retry; 0: not stated
 }
 
-// Fail is a final answer that promises nothing about the request's effect.
+// Fail is the final answer to a request that failed and may have had an effect.
 type Fail struct{ Request string }
 
-// SetTimer asks for a TimerFired with the same token. Timers are never revoked.
+// SetTimer requests a TimerFired with the same token after a wait. Timers are never cancelled.
 type SetTimer struct {
-	After time.Duration
-	Token int64
+	After time.Duration // wait from now
+	Token int64         // identifies the timer
 }
 
-// Subscribe asks that changes of the endpoint list be delivered from now on.
+// Subscribe requests the delivery of all further changes of the endpoint list.
 type Subscribe struct{}
 
-// HealthCheck examines an endpoint outside any request.
+// HealthCheck requests a health check of an endpoint, independent of any request.
 type HealthCheck struct{ Endpoint string }
 
-// Gossip sends at most 256 bytes to all other agents, or to one. Delivery is late or does not happen.
+// Gossip sends up to 256 bytes to all other agents, or to one. Messages may be delayed or lost.
 type Gossip struct {
 	Data []byte
-	One  bool // only to the agent numbered To
-	To   int
+	One  bool // send only to the agent with the number To
+	To   int  // number of the receiving agent, if One is set
 }
 
-// Unsubscribe asks that changes of the endpoint list be delivered no longer.
+// Unsubscribe stops the delivery of changes of the endpoint list.
 type Unsubscribe struct{}
 
-// PollEndpoints asks for the complete endpoint list once.
+// PollEndpoints requests the complete endpoint list once.
 type PollEndpoints struct{}
 
 // CloseIdle closes the idle connections to an endpoint.
 type CloseIdle struct{ Endpoint string }
 
-// LogMessage is a line for the operators' log.
+// LogMessage writes a line to the operators' log.
 type LogMessage struct{ Text string }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -7,26 +7,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Balancer decides for one agent. See the package comment for its use.
+// Balancer is the load balancing policy of one agent. See the package comment for its use.
 //
-// It holds the parts that decide, one for each concern. A part owns its state, which its own methods change;
-// Balancer passes the events to the parts, changes the requests, and collects the actions. All random choices
-// come from one generator, in the order of the events, so that the same settings, seed and events give the
+// Each concern has a component, which owns its state and changes it in its own methods. Balancer passes the
+// events to the components, changes the requests, and collects the actions. All random numbers come from one
+// generator and are drawn in the order of the events. The same settings, seed and events therefore give the
 // same actions.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
-	now      time.Duration // of the current step
-	actions  []Action      // of the current step
+	now      time.Duration // time of the current step
+	actions  []Action      // actions of the current step
 
-	requests         map[string]*request // those that are open or have attempts in flight, by ID
+	requests         map[string]*request // by ID: open requests, and finished ones with attempts in flight
 	openRequestCount int                 // requests without a final answer
 	inFlightCount    int                 // attempts without an outcome
 	timers           timerTable
 
 	classes   classList
 	endpoints endpointSet
-	fleet     fleetSummary
+	fleet     fleetSummary // updated at the start of each step and after each endpoint list
 
 	queue        admissionQueue
 	keyQueues    keyQueues
@@ -41,7 +41,8 @@
 	subscriber   subscriber
 }
 
-// New returns a balancer with no state. All its random choices come from seed. The error is a *SettingError.
+// New returns a Balancer without requests and endpoints. seed is the seed of all its random choices. An error
+// is a *SettingError.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -82,8 +83,8 @@
 	return b, nil
 }
 
-// Step applies the events that have happened by now, in their order, and returns the actions, in the order in
-// which they must be carried out. now must not run backwards.
+// Step handles the events that occurred up to now, in order. It returns the actions, which the agent must
+// carry out in order. now must not be less than in the step before.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now = max(now, b.now)
 	b.actions = nil
@@ -97,7 +98,7 @@
 	return b.actions
 }
 
-// handleEvent applies one event. Health check results and gossip are ignored, since the balancer asks for
+// handleEvent handles one event. It ignores health check results and gossip, because Balancer requests
 // neither.
 func (b *Balancer) handleEvent(event Event) {
 	switch event := event.(type) {
@@ -117,10 +118,10 @@
 	}
 }
 
-// addAction adds an action to those of the current step.
+// addAction adds an action to the result of the current step.
 func (b *Balancer) addAction(action Action) { b.actions = append(b.actions, action) }
 
-// handleRequest adds a new request. One with an unknown class, or whose ID is in use, is ignored.
+// handleRequest queues a new request. It ignores a request whose class is unknown or whose ID is in use.
 func (b *Balancer) handleRequest(event Request) {
 	if event.Class < 0 || event.Class >= len(b.classes) || b.requests[event.ID] != nil {
 		return
@@ -138,7 +139,7 @@
 		r.keyHash = xxhash.Sum64String(event.Key)
 	}
 	if b.recordArrival(r, event) {
-		elapsed := class.Deadline - event.Timeout // by the client's earlier tries
+		elapsed := class.Deadline - event.Timeout // time that the client's earlier tries took
 		r.isClientRetry = true
 		r.objectiveAt -= max(0, elapsed)
 	}
@@ -150,8 +151,8 @@
 	b.queue.add(r)
 }
 
-// recordArrival lets the request's class learn from it, and reports whether the request is a client's retry
-// by its timeout.
+// recordArrival updates the statistics of the request's class. It reports whether the request's timeout
+// identifies it as a client's retry.
 func (b *Balancer) recordArrival(r *request, event Request) (isRetry bool) {
 	isRetry = r.class.updateTimeout(event.Timeout, b.settings.Tick, event.ClientRetry)
 	r.class.updateWork(r.workNs)
@@ -159,14 +160,14 @@
 	return isRetry
 }
 
-// handleStreamStarted notes that part of a response has reached the client.
+// handleStreamStarted records that part of the response has reached the client.
 func (b *Balancer) handleStreamStarted(event StreamStarted) {
 	if r := b.requests[event.Request]; r != nil && !r.isFinished() {
 		r.isStreaming = true
 	}
 }
 
-// handleAbandoned ends a request whose client has disconnected.
+// handleAbandoned finishes a request whose client has disconnected.
 func (b *Balancer) handleAbandoned(event Abandoned) {
 	if r := b.requests[event.Request]; r != nil {
 		b.finishRequest(r)
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -7,42 +7,45 @@
 )
 
 const (
-	// smoothing is the weight of a new sample in a moving average: about the last 20 samples count.
+	// smoothing is the weight of a new sample in a moving average, which covers about the last 20 samples.
 	smoothing = 0.1
-	// slowSmoothing is the weight of a new sample in a moving average that has to change slowly.
+	// slowSmoothing is the weight of a new sample in a slow moving average.
 	slowSmoothing = smoothing / 10
-	// arrivalDecay is the share that decayed counts lose with each arrival: the last few hundred arrivals
-	// count.
+	// arrivalDecay is the share that decayed counts lose with each arrival. They cover the last few hundred
+	// arrivals.
 	arrivalDecay = smoothing / 20
 
-	// initialLatencyShare is the mean latency before any response, as a share of the objective.
+	// initialLatencyShare is the initial mean latency of a class, as a share of its objective.
 	initialLatencyShare = 0.25
-	// medianOverMeanLatency is the median latency over the mean latency, as in an exponential distribution.
+	// medianOverMeanLatency is the ratio of median to mean latency, about that of an exponential
+	// distribution.
 	medianOverMeanLatency = 0.7
-	// maxResponseShare is the most time that is set aside for a response, as a share of the objective.
+	// maxResponseShare is the maximum time reserved for a response, as a share of the objective.
 	maxResponseShare = 0.75
-	// significantOnTimeGap is the least difference between two on-time shares that does not count as chance.
+	// significantOnTimeGap is the minimum difference between two on-time shares that counts as significant.
 	significantOnTimeGap = 0.1
 
-	// retryTimeoutTicks is the deviation from the median timeout, in ticks, that identifies a client's retry.
+	// retryTimeoutTicks is the deviation from the median timeout, in ticks, above which a request counts as a
+	// client's retry.
 	retryTimeoutTicks = 2
-	// timeoutStepsPerTick divides a tick into the steps by which the median timeout changes.
+	// timeoutStepsPerTick divides a tick into steps. Each request changes the median timeout by one step at
+	// most.
 	timeoutStepsPerTick = 4
 )
 
-// classStats is a class of requests and what has been learned of its requests.
+// classStats holds the settings and the statistics of one class of requests.
 type classStats struct {
 	Class
 	index                   int           // position in Settings.Classes
-	meanLatencyNs           float64       // of served requests
-	latencyUpdatedAt        time.Duration // when meanLatencyNs was last updated
-	meanWorkNs              float64       // of the requests that tell their expected work
-	medianTimeout           time.Duration // of clients' first tries
+	meanLatencyNs           float64       // moving average of the latencies of served requests
+	latencyUpdatedAt        time.Duration // time of the latest update of meanLatencyNs
+	meanWorkNs              float64       // moving average of the known expected work of requests; 0: none known
+	medianTimeout           time.Duration // running estimate of the median timeout of first tries
 	arrivals                float64       // decayed count of requests
 	servedOnTime            float64       // decayed count of requests served within their objective
-	newConnOnTimeShare      float64       // share of attempts served on time over new connections
-	existingConnOnTimeShare float64       // share of attempts served on time over existing connections
-	goalGainPerWork         float64       // what a unit of work adds to the operator's goal, in this step
+	newConnOnTimeShare      float64       // moving share of attempts over new connections that were served on time
+	existingConnOnTimeShare float64       // moving share of attempts over existing connections that were served on time
+	goalGainPerWork         float64       // gain in the operator's goal per nanosecond of work; see updatePriorities
 }
 
 func newClassStats(class Class, index int) *classStats {
@@ -55,27 +58,27 @@
 	}
 }
 
-// onTimeShare is the share of recent requests that were served within their objective.
+// onTimeShare returns the share of recent requests that were served within their objective.
 func (c *classStats) onTimeShare() float64 { return (c.servedOnTime + 1) / (c.arrivals + 1) }
 
-// updateTimeout updates the median timeout with that of a new request, and reports whether the request is a
-// client's retry: clients give their first tries the same timeout, and their last try what is left of their
-// deadline.
+// updateTimeout updates the median timeout with that of a new request. It reports whether the timeout
+// identifies the request as a client's retry: clients give all first tries the same timeout, and a last try
+// only the time left until their deadline.
 func (c *classStats) updateTimeout(timeout, tick time.Duration, markedRetry bool) (isRetry bool) {
 	c.medianTimeout = cmp.Or(c.medianTimeout, timeout)
 	difference := timeout - c.medianTimeout
 	if !markedRetry {
-		// Steps of constant size lead to the median.
+		// Steps of equal size in both directions converge to the median.
 		step := tick / timeoutStepsPerTick
 		c.medianTimeout += min(max(difference, -step), step)
 	}
 	return difference.Abs() > retryTimeoutTicks*tick
 }
 
-// recordServedOnTime notes a request that was served within its objective.
+// recordServedOnTime counts a request that was served within its objective.
 func (c *classStats) recordServedOnTime() { c.servedOnTime++ }
 
-// updateWork updates the mean work with that of a new request; 0: unknown.
+// updateWork updates the mean work with the expected work of a new request. 0 means unknown and is ignored.
 func (c *classStats) updateWork(workNs float64) {
 	if workNs > 0 {
 		c.meanWorkNs = movingAverage(c.meanWorkNs, workNs)
@@ -83,7 +86,7 @@
 }
 
 // updateLatency updates the mean latency with that of a served request, scaled to a request of mean work. It
-// returns the deviation of the scaled latency from the mean, as a multiple of the mean.
+// returns the deviation of the scaled latency from the previous mean, as a multiple of that mean.
 func (c *classStats) updateLatency(now, latency time.Duration, workNs float64) (deviation float64) {
 	sampleNs := float64(latency)
 	if workNs > 0 && c.meanWorkNs > 0 {
@@ -95,7 +98,7 @@
 	return deviation
 }
 
-// updateOnTimeShares updates the shares of attempts on time, over new connections and over existing ones.
+// updateOnTimeShares updates the on-time shares of attempts over new and over existing connections.
 func (c *classStats) updateOnTimeShares(onTime, newConnection bool) {
 	sample := 0.0
 	if onTime {
@@ -106,17 +109,18 @@
 		return
 	}
 	c.existingConnOnTimeShare += smoothing * (sample - c.existingConnOnTimeShare)
-	// New connections may be too rare to update their own share, which therefore follows the other slowly.
+	// New connections may be too rare to keep their share current. Existing ones therefore update it too,
+	// slowly.
 	c.newConnOnTimeShare += slowSmoothing * (sample - c.newConnOnTimeShare)
 }
 
-// hasOnTimeNewConnections reports whether attempts over new connections are served on time as often as
-// others.
+// hasOnTimeNewConnections reports whether attempts over new connections are served on time about as often as
+// attempts over existing ones.
 func (c *classStats) hasOnTimeNewConnections() bool {
 	return c.newConnOnTimeShare >= c.existingConnOnTimeShare-significantOnTimeGap
 }
 
-// expectedLatencyNs is the expected latency of a request with the given expected work (0: unknown).
+// expectedLatencyNs returns the expected latency of a request with an expected work; 0 means unknown work.
 func (c *classStats) expectedLatencyNs(workNs float64) float64 {
 	if workNs > 0 && c.meanWorkNs > 0 {
 		return c.meanLatencyNs * workNs / c.meanWorkNs
@@ -124,23 +128,24 @@
 	return c.meanLatencyNs
 }
 
-// objectiveRatio is a latency over the objective.
+// objectiveRatio returns a latency divided by the objective.
 func (c *classStats) objectiveRatio(latency time.Duration) float64 {
 	return float64(latency) / float64(c.Objective)
 }
 
-// hasRecentLatency reports whether a latency was observed recently enough to predict the next ones.
+// hasRecentLatency reports whether the mean latency is recent enough to predict the next latencies.
 func (c *classStats) hasRecentLatency(now time.Duration) bool {
 	return now-c.latencyUpdatedAt <= time.Duration(trafficWindowObjectives*float64(c.Objective))
 }
 
-// classList holds all classes, in the order of the settings. There is at least one.
+// classList holds all classes, in the order of Settings.Classes. It is never empty.
 type classList []*classStats
 
-// reference is the class whose objective and latency are the time scale of what concerns all classes.
+// reference returns the class whose objective and latency are the time scale for state that all classes
+// share.
 func (l classList) reference() *classStats { return l[0] }
 
-// recordArrival counts a request of a class.
+// recordArrival counts a new request of a class, and decays the counts of all classes.
 func (l classList) recordArrival(class *classStats) {
 	for _, c := range l {
 		c.arrivals *= 1 - arrivalDecay
@@ -149,15 +154,16 @@
 	class.arrivals++
 }
 
-// worst is the class with the lowest share of requests on time.
+// worst returns the class with the lowest on-time share.
 func (l classList) worst() *classStats { return slices.MinFunc(l, compareOnTimeShare) }
 
-// best is the class with the highest share of requests on time.
+// best returns the class with the highest on-time share.
 func (l classList) best() *classStats { return slices.MaxFunc(l, compareOnTimeShare) }
 
 func compareOnTimeShare(x, y *classStats) int { return cmp.Compare(x.onTimeShare(), y.onTimeShare()) }
 
-// movingAverage returns the exponential moving average after a sample. A mean of 0 has had no sample yet.
+// movingAverage returns the exponential moving average after one more sample. A mean of 0 means no sample
+// yet.
 func movingAverage(mean, sample float64) float64 {
 	mean = cmp.Or(mean, sample)
 	return mean + smoothing*(sample-mean)
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -6,63 +6,66 @@
 )
 
 const (
-	// minLimitPerEndpoint is the least, and the first, limit for an endpoint: attempts in flight of all
-	// agents.
+	// minLimitPerEndpoint is the minimum and the initial limit per endpoint, in attempts in flight of all
+	// agents together.
 	minLimitPerEndpoint = 4.0
-	// minLimitedShare is the number of attempts: an agent whose part of the least limit is under it has no
-	// limit.
+	// minLimitedShare is the smallest share of the minimum limit, in attempts, with which an agent is
+	// limited. An agent with a smaller share has no limit.
 	minLimitedShare = 0.6
-	// limitDecreaseFactor multiplies the limit at each decrease.
+	// limitDecreaseFactor is the factor by which each decrease multiplies the limit.
 	limitDecreaseFactor = 0.9
-	// limitIncrease is added to the limit for an endpoint, in attempts, over one round of responses.
+	// limitIncrease is the increase of the limit per endpoint, in attempts, over one round of responses.
 	limitIncrease = 0.7
-	// minUtilizationToGrow is the share of the limit that must be in flight for the limit to grow.
+	// minUtilizationToGrow is the share of the limit that must be in flight for the limit to increase.
 	minUtilizationToGrow = 0.9
 
-	// maxTargetRatio is the objective ratio above which the limit falls in any case.
+	// maxTargetRatio is the objective ratio above which the limit always decreases.
 	maxTargetRatio = 0.35
-	// minTargetRatio is the objective ratio up to which the limit never falls: it is low enough.
+	// minTargetRatio is the objective ratio up to which the limit never decreases: such a latency is low
+	// enough.
 	minTargetRatio = 0.15
-	// targetOverBaseline is the multiple of the baseline ratio above which the limit falls, where that lies
-	// between minTargetRatio and maxTargetRatio.
+	// targetOverBaseline is the multiple of the baseline ratio above which the limit decreases, if this
+	// multiple is between minTargetRatio and maxTargetRatio.
 	targetOverBaseline = 3.0
 
-	// failedAttemptRatio is the objective ratio of an attempt that was shed by its endpoint, and the least one of
-	// an attempt without a response.
+	// failedAttemptRatio is the objective ratio that counts for an attempt that its endpoint shed. It is the
+	// minimum for an attempt that timed out.
 	failedAttemptRatio = 1.0
-	// maxRatioSample is the largest objective ratio that one response counts with.
+	// maxRatioSample is the maximum objective ratio that counts for one attempt.
 	maxRatioSample = 2.0
-	// maxSampleOverBaseline bounds the objective ratio of one response to a multiple of the baseline ratio.
+	// maxSampleOverBaseline is a second maximum for one attempt, as a multiple of the baseline ratio. The
+	// lower maximum applies.
 	maxSampleOverBaseline = 4.0
-	// minSampleBound is the least bound that follows from maxSampleOverBaseline.
+	// minSampleBound is the minimum of the maximum that maxSampleOverBaseline gives, for low baselines.
 	minSampleBound = 2 * minTargetRatio
-	// initialRatioSamples is the number of responses that set the baseline before the limit is adjusted.
+	// initialRatioSamples is the number of attempts whose mean is the first baseline. The limit is adjusted
+	// only after them.
 	initialRatioSamples = 1 / smoothing
-	// baselineRiseDivisor is how many times slower the baseline rises than it falls.
+	// baselineRiseDivisor is the factor by which the baseline rises more slowly than it falls.
 	baselineRiseDivisor = 100
 )
 
-// concurrencyLimiter is the adaptive limit on attempts in flight: additive increase while it binds and
-// latencies are low, multiplicative decrease when they are high. An objective ratio is a latency over the
-// objective.
+// concurrencyLimiter is the adaptive limit on attempts in flight. The limit increases additively while it is
+// nearly used up and latencies are low, and decreases multiplicatively while latencies are high. Latencies
+// are compared as objective ratios: latency divided by objective.
 //
-// All agents keep a limit for an endpoint, and each agent takes its part of it by head count, since agents
-// share nothing.
+// Agents exchange no data. Each agent keeps a limit per endpoint for the attempts of all agents, and uses an
+// equal share of it.
 type concurrencyLimiter struct {
-	agents        float64
-	perEndpoint   float64 // attempts in flight, of all agents together
-	meanRatio     float64 // mean objective ratio
-	baselineRatio float64 // meanRatio without queueing: follows it slowly down and far more slowly up
-	samples       float64 // objective ratios observed
-	decreasedAt   time.Duration
+	agents        float64       // number of agents
+	perEndpoint   float64       // limit per endpoint, in attempts in flight of all agents together
+	meanRatio     float64       // moving average of the objective ratio
+	baselineRatio float64       // estimate of meanRatio without queueing: falls slowly, rises far more slowly
+	samples       float64       // number of objective ratios so far
+	decreasedAt   time.Duration // time of the latest decrease; 0: none
 }
 
 func newConcurrencyLimiter(agents int) concurrencyLimiter {
 	return concurrencyLimiter{agents: float64(agents), perEndpoint: minLimitPerEndpoint}
 }
 
-// limit is this agent's part of the limit, in attempts. It is infinite where the part is so small that
-// requests would queue behind any slow one; the throttle acts instead.
+// limit returns this agent's share of the limit, in attempts. It is infinite if the share is so small that
+// requests would queue behind any slow one. Then the throttle acts instead.
 func (l *concurrencyLimiter) limit(fleet fleetSummary) float64 {
 	if l.isUnlimited(fleet) {
 		return math.Inf(1)
@@ -70,25 +73,25 @@
 	return max(1, l.perEndpoint*fleet.capacity/l.agents)
 }
 
-// isUnlimited reports whether this agent's part of the least limit is so small that it has no limit.
+// isUnlimited reports whether this agent has no limit because its share of the minimum limit is too small.
 func (l *concurrencyLimiter) isUnlimited(fleet fleetSummary) bool {
 	return l.isMinLimitBelow(minLimitedShare, fleet)
 }
 
-// endpointLimitShare is a multiple of this agent's part of the limit for one endpoint, in attempts. The
-// multiple is multiplied first, which keeps the rounding.
+// endpointLimitShare returns this agent's share of the limit per endpoint, times multiple, in attempts. The
+// multiplication comes before the division: the other order rounds differently.
 func (l *concurrencyLimiter) endpointLimitShare(multiple float64) float64 {
 	return multiple * l.perEndpoint / l.agents
 }
 
-// isMinLimitBelow reports whether this agent's part of the least limit is under a number of attempts.
+// isMinLimitBelow reports whether this agent's share of the minimum limit is below a number of attempts.
 func (l *concurrencyLimiter) isMinLimitBelow(attempts float64, fleet fleetSummary) bool {
 	return minLimitPerEndpoint*float64(fleet.serving) < attempts*l.agents
 }
 
-// update adjusts the limit by the objective ratio of a response, or of an attempt that had none.
-// activeInFlight does not count the attempt that has just ended. Without a limit the ratios stay, but the
-// limit may still fall.
+// update adjusts the limit by the objective ratio of one finished attempt. activeInFlight does not include
+// that attempt. The first initialRatioSamples attempts set the ratios alone. If the agent is unlimited, the
+// ratios do not change any more, but the limit may still decrease.
 func (l *concurrencyLimiter) update(
 	now, minDecreaseInterval time.Duration, ratio, activeInFlight float64, fleet fleetSummary,
 ) {
@@ -110,8 +113,8 @@
 	}
 }
 
-// updateRatios moves the mean and the baseline. The mean spans what is in flight at once, since one heavy
-// request says only that it was heavy.
+// updateRatios updates the mean and the baseline. The mean covers at least as many attempts as the limit lets
+// in flight at once, because one heavy request alone does not indicate load.
 func (l *concurrencyLimiter) updateRatios(ratio, limit float64) {
 	weight := min(smoothing, 1/limit)
 	bound := max(maxSampleOverBaseline*l.baselineRatio, minSampleBound)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is something that happened at the time of a Step.
+// Event is something that occurred up to the time of a Step.
 type Event interface{ event() }
 
 func (EndpointList) event()      {}
@@ -14,117 +14,118 @@
 func (TimerFired) event()        {}
 func (GossipMessage) event()     {}
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState uint8
 
 // The states of an endpoint.
 const (
-	Serving  EndpointState = iota // takes new requests
-	Draining                      // finishes its requests and takes no new ones
-	Removed                       // is gone
+	Serving  EndpointState = iota // accepts new requests
+	Draining                      // finishes its requests and accepts no new ones
+	Removed                       // no longer exists
 )
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	ID        string
+	ID        string // unique name
 	State     EndpointState
 	Zone      int           // number of its zone
 	Cell      int           // number of its cell
 	Kind      int           // number of its machine kind
-	Weight    float64       // size, as Settings.Weights says; 0 or less: as an endpoint of weight 1
-	StartedAt time.Duration // start of its process, on the agent's clock; 0: before anything that matters
+	Weight    float64       // size, with the meaning of Settings.Weights; 0 or less: 1
+	StartedAt time.Duration // start of its process, on the agent's clock; 0: long ago
 }
 
-// ListKind says how an EndpointList is to be read.
+// ListKind is the kind of an EndpointList.
 type ListKind uint8
 
 // The kinds of lists.
 const (
 	ListDelta    ListKind = iota // changed entries only
-	ListComplete                 // all entries; an endpoint that is missing is gone
-	ListCached                   // all entries as last stored; may be stale
-	ListFailed                   // the poll failed or the subscription broke; the old list holds
-	ListRefused                  // the poll was refused; the old list holds
+	ListComplete                 // all entries; endpoints that are not listed no longer exist
+	ListCached                   // all entries from the cache; may be out of date
+	ListFailed                   // the poll failed or the subscription broke; the previous list remains valid
+	ListRefused                  // the poll was refused; the previous list remains valid
 )
 
-// isFailure reports whether a list of this kind carries no endpoints: the one before holds.
+// isFailure reports whether a list of this kind has no entries, so that the previous list remains valid.
 func (k ListKind) isFailure() bool { return k == ListFailed || k == ListRefused }
 
-// EndpointList carries endpoints, or the failure to get them.
+// EndpointList contains entries of the endpoint list, or reports a failure to get them.
 type EndpointList struct {
 	Kind      ListKind
 	Endpoints []Endpoint
 }
 
-// Request is a client's request. The balancer owes it exactly one final answer.
+// Request is a client's request. It must get exactly one final answer.
 type Request struct {
-	ID          string
+	ID          string        // unique among open requests
 	Class       int           // position in Settings.Classes
-	Timeout     time.Duration // until this client stops waiting
+	Timeout     time.Duration // time until the client stops waiting
 	Work        time.Duration // expected service time; 0: unknown
-	ClientRetry bool          // the client says that this is a retry
-	Key         string        // what the request is about, for order and cache affinity; "": unknown
-	Tenant      int           // position in Settings.Tenants; Balancer does not use it
-	Write       bool          // the request changes data; Balancer does not use it
+	ClientRetry bool          // the client marked the request as a retry
+	Key         string        // key for ordering and cache affinity; "": unknown
+	Tenant      int           // position in Settings.Tenants; not used by Balancer
+	Write       bool          // the request changes data; not used by Balancer
 }
 
-// Outcome ends one attempt. The agent passes on exactly one for each Send.
+// Outcome reports the end of one attempt. The agent passes exactly one Outcome for each Send.
 type Outcome struct {
-	Request    string
-	Attempt    int    // attempts of a request count from 0 in the order of their Send
-	Endpoint   string // Balancer knows it by the attempt
-	Result     Result
-	Latency    time.Duration // since the attempt was sent
-	Done       bool          // the request has its final answer, by this outcome or before
-	LoadReport LoadReport    // Balancer does not use it
+	Request    string        // ID of the request
+	Attempt    int           // number of the attempt: the Sends of a request count from 0
+	Endpoint   string        // ID of the endpoint; not used by Balancer
+	Result     Result        // how the attempt ended
+	Latency    time.Duration // time since the attempt was sent
+	Done       bool          // the request has its final answer, by this attempt or before
+	LoadReport LoadReport    // not used by Balancer
 }
 
-// Result says how an attempt or a health check ended.
+// Result is the result of an attempt or a health check.
 type Result uint8
 
 // The results of an attempt.
 const (
-	Served        Result = iota // the client got the response
+	Served        Result = iota // the client received the response
 	ServerError                 // the endpoint returned an error; may have run
-	Rejected                    // the endpoint shed it; never ran, unless Settings.RejectedMayHaveRun
-	TimedOut                    // no response in time; may have run or be running
-	ConnectFailed               // no connection; never ran
+	Rejected                    // the endpoint shed the request; never ran, unless Settings.RejectedMayHaveRun
+	TimedOut                    // no response in time; may have run or may still run
+	ConnectFailed               // the connection could not be established; never ran
 	Reset                       // the connection broke; may have run
-	Cancelled                   // withdrawn; may have run
-	NotSent                     // never sent
-	LocalFailure                // no connection, by a cause that may be this machine's own; never ran
+	Cancelled                   // the attempt was cancelled; may have run
+	NotSent                     // the attempt was never sent; never ran
+	LocalFailure                // no connection, possibly because of a fault of this machine; never ran
 )
 
-// NeverRan reports whether the result proves that the attempt had no effect, if Settings.RejectedMayHaveRun is off.
-// See Settings.MayHaveRun.
+// NeverRan reports whether an attempt with this result had no effect. It assumes that
+// Settings.RejectedMayHaveRun is false; see [Settings.MayHaveRun].
 func (r Result) NeverRan() bool {
 	return r == Rejected || r == ConnectFailed || r == NotSent || r == LocalFailure
 }
 
-// MayStillRun reports whether the attempt may be running on after its result.
+// MayStillRun reports whether the attempt may still be running after this result.
 func (r Result) MayStillRun() bool { return r == TimedOut || r == Reset || r == Cancelled }
 
-// LoadReport is what an endpoint reported of itself, late and with noise. Negative values were not reported.
+// LoadReport is the load that an endpoint reports. It is delayed and noisy. A negative value means that the
+// value was not reported.
 type LoadReport struct {
-	Valid        bool          // the endpoint sent a report
-	InFlight     float64       // requests in flight
-	Queue        float64       // requests waiting
+	Valid        bool          // the endpoint sent a report; false: the other fields have no meaning
+	InFlight     float64       // number of requests in flight
+	Queue        float64       // number of queued requests
 	Utilization  float64       // share of the CPU in use
 	Throughput   float64       // requests served per second
-	Service      time.Duration // recent service time without waiting
-	ErrorsPerSec float64
+	Service      time.Duration // recent service time without queueing
+	ErrorsPerSec float64       // errors returned per second
 }
 
-// StreamStarted says that the response of an attempt has begun to reach the client.
+// StreamStarted reports that the first part of a streamed response has reached the client.
 type StreamStarted struct {
-	Request string
-	Attempt int
+	Request string // ID of the request
+	Attempt int    // number of the attempt, as in Outcome
 }
 
-// Abandoned says that the client disconnected; no answer is owed any longer.
+// Abandoned reports that the client has disconnected, so that the request needs no answer.
 type Abandoned struct{ Request string }
 
-// HealthCheckResult answers a HealthCheck.
+// HealthCheckResult is the result of a HealthCheck.
 type HealthCheckResult struct {
 	Endpoint   string
 	Result     Result
@@ -132,10 +133,10 @@
 	LoadReport LoadReport
 }
 
-// TimerFired says that a SetTimer has come due.
+// TimerFired reports that the timer of a SetTimer has fired.
 type TimerFired struct{ Token int64 }
 
-// GossipMessage carries bytes from another agent.
+// GossipMessage is a message from another agent.
 type GossipMessage struct {
 	From int // number of the sending agent
 	Data []byte
--- a/balancer/keyqueue.go
+++ b/balancer/keyqueue.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// timerResolution is how much too early the agent's timers may fire.
+// timerResolution is the maximum time by which the agent's timers fire early.
 const timerResolution = time.Microsecond
 
-// keyQueue holds the requests of one key that have not ended, oldest first: they run one at a time.
+// keyQueue holds the requests of one key that are open or have attempts in flight, oldest first. They run one
+// at a time.
 type keyQueue struct {
 	key        string
 	requests   []*request
-	quietUntil time.Duration // no attempt of this key before
+	quietUntil time.Duration // end of the quiet period: no attempt starts before; 0: none
 }
 
-// isUnused reports whether the queue is empty and rests no more.
+// isUnused reports whether the queue is empty and has no quiet period.
 func (q *keyQueue) isUnused(now time.Duration) bool {
 	return len(q.requests) == 0 && q.quietUntil <= now
 }
 
-// isNextForKey reports whether all earlier requests of its key have ended, and its quiet period is over.
+// isNextForKey reports whether the request is the first of its key's queue and the key has no quiet period.
+// It is true for requests that are in no key queue.
 func (r *request) isNextForKey(now time.Duration) bool {
 	return r.keyQueue == nil || r.keyQueue.requests[0] == r && now >= r.keyQueue.quietUntil
 }
 
-// keyQueues are the queues of all keys that have open requests or a quiet period.
+// keyQueues holds the queues of all keys that have requests or a quiet period.
 type keyQueues struct {
 	byKey map[string]*keyQueue
-	quiet []*keyQueue // those with a quiet period, in the order in which their requests ended
+	quiet []*keyQueue // queues with a quiet period, in the order in which the periods started
 }
 
 func newKeyQueues() keyQueues { return keyQueues{byKey: map[string]*keyQueue{}} }
 
-// add puts a new request behind all others of its key.
+// add adds a new request at the end of its key's queue.
 func (qs *keyQueues) add(r *request, key string) {
 	queue := qs.byKey[key]
 	if queue == nil {
@@ -44,8 +46,8 @@
 	r.keyQueue = queue
 }
 
-// remove takes out a request that has ended. The next one of its key may go at once, or after the returned
-// wait if that is over 0.
+// remove removes a finished request. The next request of its key may be sent after the returned wait; 0 means
+// at once.
 func (qs *keyQueues) remove(r *request, now time.Duration) (wait time.Duration) {
 	queue := r.keyQueue
 	r.keyQueue = nil
@@ -54,15 +56,15 @@
 		qs.removeIfUnused(queue, now)
 		return 0
 	}
-	// The request has had an attempt, so that it was the head of the queue and no other quiet period is
-	// running.
+	// Only the head of a queue has attempts, and none in a quiet period. So the request was the head, and its
+	// key has no other quiet period.
 	queue.quietUntil = r.keyQuietUntil
 	qs.quiet = append(qs.quiet, queue)
 	return queue.quietUntil - now + timerResolution
 }
 
-// expire drops the queues that are unused since their quiet period is over. One behind a longer quiet period
-// is dropped after that.
+// expire removes unused queues whose quiet period has ended. A queue behind one with a longer quiet period is
+// removed only after that one.
 func (qs *keyQueues) expire(now time.Duration) {
 	for len(qs.quiet) > 0 && qs.quiet[0].quietUntil <= now {
 		queue := qs.quiet[0]
@@ -71,15 +73,15 @@
 	}
 }
 
-// removeIfUnused drops a queue that is empty and rests no more, unless another one has taken its place.
+// removeIfUnused removes a queue that is unused, unless the key has another queue in the meantime.
 func (qs *keyQueues) removeIfUnused(queue *keyQueue, now time.Duration) {
 	if queue.isUnused(now) && qs.byKey[queue.key] == queue {
 		delete(qs.byKey, queue.key)
 	}
 }
 
-// removeFromKeyQueue lets the next request of a key go once r has ended. If it has to wait, a timer makes the step
-// in which it goes.
+// removeFromKeyQueue removes a finished request from its key's queue, so that the next request of the key can
+// be sent. If that request has to wait, a timer triggers the step that sends it.
 func (b *Balancer) removeFromKeyQueue(r *request) {
 	if r.keyQueue == nil {
 		return
--- a/balancer/priority.go
+++ b/balancer/priority.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// clientRetryPriorityFactor is the priority of a client's retry against a first try: most of its objective has
-	// passed.
+	// clientRetryPriorityFactor is the priority of a client's retry, relative to a first try. It is low
+	// because most of the objective has passed.
 	clientRetryPriorityFactor = 0.1
-	// minRemainingLatencyShare is the share of the expected latency that must be left for a response to count as on
-	// time.
+	// minRemainingLatencyShare is the minimum time until the objective with which a request counts as on
+	// time, as a share of its expected latency.
 	minRemainingLatencyShare = 0.5
-	// minDemand keeps a division by the demand of all classes finite.
+	// minDemand keeps the division by the demand of all classes finite.
 	minDemand = 1e-9
 )
 
-// updatePriorities sets what a unit of work that is spent on each class adds to the operator's goal. The goal
-// is a weighted sum of the share of the priority that is served, and of the on-time share of the worst class;
-// a unit of work is a nanosecond of an endpoint's time.
+// updatePriorities updates the goal gain per unit of work of each class. The operator's goal is a weighted
+// sum of the share of all priority that is served, and of the on-time share of the worst class. A unit of
+// work is one nanosecond of an endpoint's time.
 func updatePriorities(classes classList, settings *Settings) {
-	demand := 0.0 // priority that arrived recently
+	demand := 0.0 // priority of all recent requests
 	for _, class := range classes {
 		demand += class.arrivals * class.Priority * unitsPerRequest(class, settings)
 	}
@@ -26,13 +26,14 @@
 	for _, class := range classes {
 		gain := goalWeight * class.Priority * unitsPerRequest(class, settings)
 		class.goalGainPerWork = gain / class.meanLatencyNs / max(demand, minDemand)
-		if class == worst { // one more request on time raises its share by one over those that arrived
+		if class == worst { // one more request on time raises its on-time share by 1/arrivals
 			class.goalGainPerWork += settings.GoalWorstClass / (max(class.arrivals, 1) * class.meanLatencyNs)
 		}
 	}
 }
 
-// unitsPerRequest is what a request counts for in its class's priority: its work in nanoseconds, or 1.
+// unitsPerRequest returns how many times Class.Priority counts for one request: its mean work in nanoseconds
+// if priorities are per unit of work, and 1 otherwise.
 func unitsPerRequest(class *classStats, settings *Settings) float64 {
 	if settings.PriorityByWork {
 		return class.meanLatencyNs
@@ -40,7 +41,8 @@
 	return 1
 }
 
-// priority is what a unit of work that is spent on a queued request adds to the operator's goal.
+// priority returns the expected gain in the operator's goal, per nanosecond of work, from serving the
+// request.
 func (r *request) priority(now time.Duration) float64 {
 	priority := r.class.goalGainPerWork
 	if r.isClientRetry {
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// expiryLatencies is how many expected latencies before its objective a queued request is given up.
+	// expiryLatencies is the time before its objective at which a queued request expires, in expected
+	// latencies.
 	expiryLatencies = 2.0
-	// reservedOpenShare is the share of Settings.MaxOpen that is kept free for new requests.
+	// reservedOpenShare is the share of Settings.MaxOpen that is reserved for new requests.
 	reservedOpenShare = 0.125
 )
 
-// admissionQueue holds the requests that wait for an attempt, in the order in which they were queued, which
-// is anew after a backoff.
+// admissionQueue holds the requests that wait for an attempt, in the order in which they were queued. A
+// request is queued again, at the end, after each backoff.
 type admissionQueue struct {
 	requests []*request
 }
 
 func (q *admissionQueue) len() int { return len(q.requests) }
 
-// add adds a request and moves it to phaseQueued.
+// add adds a request at the end and moves it to phaseQueued.
 func (q *admissionQueue) add(r *request) {
 	r.phase = phaseQueued
 	q.requests = append(q.requests, r)
 }
 
-// remove takes a request out and moves it to phaseActive, if it is queued.
+// remove removes a request, if it is queued, and moves it to phaseActive.
 func (q *admissionQueue) remove(r *request) {
 	if r.phase != phaseQueued {
 		return
@@ -36,8 +37,8 @@
 	q.requests = slices.DeleteFunc(q.requests, func(queued *request) bool { return queued == r })
 }
 
-// next is the request of the highest priority that can be sent, of equals the one queued last, which usually
-// has the most time left; nil if there is none.
+// next returns the request of the highest priority that can be sent, or nil if there is none. Among requests
+// of equal priority it returns the one queued last, which usually has the most time left.
 func (q *admissionQueue) next(now time.Duration) *request {
 	var next *request
 	highest := 0.0
@@ -52,15 +53,16 @@
 	return next
 }
 
-// lowestPriority is the request of the lowestPriority priority, of equals the one queued first. The queue is not empty.
+// lowestPriority returns the request of the lowest priority. Among requests of equal priority it returns the
+// one queued first. The queue must not be empty.
 func (q *admissionQueue) lowestPriority(now time.Duration) *request {
 	return slices.MinFunc(q.requests, func(x, y *request) int {
 		return cmp.Compare(x.priority(now), y.priority(now))
 	})
 }
 
-// expiresAt is when a queued request has too little time left to be served well. Clients' retries do not wait at
-// all.
+// expiresAt returns the time from which a queued request has too little time left to meet its objective. A
+// client's retry expires at once, because it must not wait.
 func (r *request) expiresAt(now time.Duration) time.Duration {
 	if r.isClientRetry {
 		return now
@@ -68,8 +70,8 @@
 	return r.objectiveAt - r.responseBudget(expiryLatencies)
 }
 
-// processQueue sends what the limits allow, gives up what can wait no longer, and sheds load near the limit
-// of open requests.
+// processQueue sends the requests that the limits allow, expires those that cannot wait any longer, and sheds
+// load near the limit of open requests.
 func (b *Balancer) processQueue() {
 	if b.queue.len() == 0 {
 		return
@@ -98,10 +100,10 @@
 	return b.activeInFlight() < b.limiter.limit(b.fleet) && !isThrottled(&b.limiter, &b.traffic, b.fleet)
 }
 
-// expireQueue gives up the requests that have expired, and sets a timer for the others.
+// expireQueue answers the requests that have expired, and sets a timer for each of the others.
 func (b *Balancer) expireQueue() {
-	for _, r := range slices.Backward(b.queue.requests) { // backward, since an answer removes its request
-		r.hasNoEndpoint = false // that was for this step
+	for _, r := range slices.Backward(b.queue.requests) { // in reverse, because an answer removes the request
+		r.hasNoEndpoint = false // it holds for one step only
 		expiresAt := r.expiresAt(b.now)
 		if expiresAt <= b.now {
 			b.rejectOrFailUnlessInFlight(r)
@@ -111,7 +113,8 @@
 	}
 }
 
-// shedQueue keeps places free for new requests, which would otherwise be rejected whatever their priority.
+// shedQueue answers requests of the lowest priority to make room for new requests, which would otherwise be
+// rejected whatever their priority.
 func (b *Balancer) shedQueue() {
 	if b.settings.MaxOpen == 0 {
 		return
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -2,58 +2,59 @@
 
 import "time"
 
-// requestPhase says what a request waits for.
+// requestPhase is the state of a request.
 type requestPhase uint8
 
 // The phases of a request.
 const (
-	phaseActive     requestPhase = iota // the outcome of its attempts, if any; also before it is queued
-	phaseQueued                         // the admission queue lets it go
-	phaseBackingOff                     // the backoff before its retry is over
-	phaseFinished                       // nothing: it has its final answer, or is owed none any longer
+	phaseActive     requestPhase = iota // waiting for the outcomes of its attempts, if any; also the initial phase
+	phaseQueued                         // waiting in the admission queue
+	phaseBackingOff                     // waiting for the backoff before a retry
+	phaseFinished                       // has its final answer, or needs none because the client has disconnected
 )
 
-// request is a client's request that is open, or still has attempts in flight.
+// request is a client's request that is open or has attempts in flight.
 type request struct {
 	id          string
 	class       *classStats
-	objectiveAt time.Duration // a response after this time earns less
-	deadline    time.Duration
-	workNs      float64 // expected service time; 0: unknown
-	keyHash     uint64  // 0: no key
+	objectiveAt time.Duration // end of the latency objective: a later response is worth less
+	deadline    time.Duration // time at which the client stops waiting
+	workNs      float64       // expected service time; 0: unknown
+	keyHash     uint64        // hash of the key; 0: no key
 
 	phase         requestPhase
 	isClientRetry bool // the client has tried before
-	isStreaming   bool // part of a response has reached the client: no further attempt
-	hasNoEndpoint bool // no endpoint may take it in this step
-
-	attempts        []*attempt
-	inFlightCount   int // attempts without an outcome
-	mayHaveRunCount int // attempts that may have run, those in flight included
-	// firstMayHaveRun sets the scope and window of deduplication: the first attempt since none may have run.
-	// It stays if it turns out not to have run while another one may have, which only shortens the window.
+	isStreaming   bool // part of the response has reached the client: no further attempt is allowed
+	hasNoEndpoint bool // no endpoint may take the request in this step
+
+	attempts        []*attempt // in the order of sending, including finished ones
+	inFlightCount   int        // number of attempts without an outcome
+	mayHaveRunCount int        // number of attempts that may have run, including those in flight
+	// firstMayHaveRun is the attempt that determines the scope and window of deduplication: the first one
+	// sent while no other may have run. It stays if it turns out not to have run but a later one may have,
+	// which only shortens the window. nil: no attempt may have run.
 	firstMayHaveRun    *attempt
-	retryCount         int
-	lastFailedEndpoint *endpoint // the endpoint of the latest attempt that failed, or was hedged
+	retryCount         int       // number of retries, including hedged attempts
+	lastFailedEndpoint *endpoint // endpoint of the latest attempt that failed or was hedged; nil: none
 
-	keyQueue      *keyQueue
-	keyQuietUntil time.Duration // end of its key's quiet period, after an attempt whose end is unknown
-	timerToken    int64         // token of its latest timer, which voids earlier ones; 0: none
+	keyQueue      *keyQueue     // queue of the key; nil: the request is not ordered
+	keyQuietUntil time.Duration // end of the quiet period for the key, after an attempt that may still be running
+	timerToken    int64         // token of the latest timer, which voids earlier ones; 0: none
 }
 
 func (r *request) isFinished() bool { return r.phase == phaseFinished }
 
-// expectedLatencyNs is the expected latency of an attempt.
+// expectedLatencyNs returns the expected latency of an attempt.
 func (r *request) expectedLatencyNs() float64 { return r.class.expectedLatencyNs(r.workNs) }
 
-// responseBudget is the time of a number of expected latencies, bounded by a share of the objective.
+// responseBudget returns the time reserved for a response: a number of expected latencies, but at most
+// maxResponseShare of the objective.
 func (r *request) responseBudget(latencies float64) time.Duration {
 	maxNs := maxResponseShare * float64(r.class.Objective)
 	return time.Duration(min(latencies*r.expectedLatencyNs(), maxNs))
 }
 
-// isTooLate reports whether an attempt that is sent at the time sendAt is more likely to miss the deadline
-// than to meet it.
+// isTooLate reports whether an attempt sent at sendAt will probably miss the deadline.
 func (r *request) isTooLate(now, sendAt time.Duration) bool {
 	if sendAt >= r.deadline {
 		return true
@@ -61,10 +62,10 @@
 	return r.class.hasRecentLatency(now) && sendAt+r.responseBudget(medianOverMeanLatency) >= r.deadline
 }
 
-// isOnTime reports whether a response that is served now is within the objective.
+// isOnTime reports whether a response served at now is within the objective.
 func (r *request) isOnTime(now time.Duration) bool { return now <= r.objectiveAt }
 
-// addAttempt notes an attempt that is being sent.
+// addAttempt adds an attempt that is being sent.
 func (r *request) addAttempt(a *attempt) {
 	r.attempts = append(r.attempts, a)
 	r.inFlightCount++
@@ -74,7 +75,7 @@
 	}
 }
 
-// finishAttempt notes the end of an attempt.
+// finishAttempt records that an attempt has finished, and whether it may have run.
 func (r *request) finishAttempt(a *attempt, mayHaveRun bool) {
 	a.inFlight = false
 	r.inFlightCount--
@@ -87,8 +88,8 @@
 	}
 }
 
-// rejectOrFail gives a request its final answer without a response; it is the only place that does. The
-// answer is a rejection, after which any client may retry, only if no attempt may have run.
+// rejectOrFail gives a request its final answer without a response. No other method does. The answer is a
+// rejection, after which any client may retry, only if no attempt may have run.
 func (b *Balancer) rejectOrFail(r *request) {
 	if r.isFinished() {
 		return
@@ -101,8 +102,8 @@
 	b.finishRequest(r)
 }
 
-// rejectOrFailUnlessInFlight makes no further attempts for a request. It answers the request, unless an attempt in
-// flight may still be served.
+// rejectOrFailUnlessInFlight stops further attempts for a request. It answers the request, unless an attempt
+// in flight may still be served.
 func (b *Balancer) rejectOrFailUnlessInFlight(r *request) {
 	b.queue.remove(r)
 	if r.inFlightCount == 0 {
@@ -110,7 +111,7 @@
 	}
 }
 
-// finishRequest ends a request, and removes it once its attempts have ended too.
+// finishRequest finishes a request. It removes the request unless attempts are still in flight.
 func (b *Balancer) finishRequest(r *request) {
 	if !r.isFinished() {
 		b.openRequestCount--
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,73 +2,73 @@
 
 import "time"
 
-// Idempotency says what repeating a request does.
+// Idempotency is the effect of repeating a request.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
-	Idempotent        Idempotency = iota // may be repeated in any case
-	IdempotentWithKey                    // endpoints of one scope drop a repeat within a window
-	NotIdempotent                        // may be repeated only when no attempt can have run
+	Idempotent        Idempotency = iota // a repeat never has a further effect
+	IdempotentWithKey                    // endpoints in DedupScope ignore a repeat within DedupWindow
+	NotIdempotent                        // may be repeated only if no attempt may have run
 )
 
-// DedupScope says which endpoints drop repeats of a request that is IdempotentWithKey.
+// DedupScope is the set of endpoints that ignore repeats of an IdempotentWithKey request.
 type DedupScope uint8
 
 // The scopes of deduplication.
 const (
-	DedupEverywhere DedupScope = iota // every endpoint
-	DedupInZone                       // the endpoints of the zone of the first attempt that may have run
-	DedupInCell                       // the endpoints of its cell
+	DedupEverywhere DedupScope = iota // all endpoints
+	DedupInZone                       // endpoints in the zone of the first attempt that may have run
+	DedupInCell                       // endpoints in the cell of the first attempt that may have run
 )
 
-// Class describes one class of requests.
+// Class contains the settings of one class of requests.
 type Class struct {
-	Objective    time.Duration // a response within it earns the full priority weight; over 0
-	Deadline     time.Duration // the time that a client waits, over all its tries; over 0
-	Priority     float64       // weight of a request, or of a unit of work if Settings.PriorityByWork
-	LatePriority float64       // share of that weight that a response between objective and deadline earns
-	Idempotency  Idempotency
-	DedupScope   DedupScope    // for IdempotentWithKey
-	DedupWindow  time.Duration // for IdempotentWithKey: how long after the first attempt that may have run
-	// Ordered requests with the same key run one at a time, in the order of their arrival. All ordered
+	Objective    time.Duration // latency objective: a response within it has the full priority; must be positive
+	Deadline     time.Duration // total time that a client waits, over all its tries; must be positive
+	Priority     float64       // weight of a request, or of a unit of work if Settings.PriorityByWork is set
+	LatePriority float64       // share of Priority that a response between objective and deadline has
+	Idempotency  Idempotency   // effect of repeating a request
+	DedupScope   DedupScope    // endpoints that ignore repeats; used if IdempotentWithKey
+	DedupWindow  time.Duration // time for which they do, from the first attempt that may have run
+	// Ordered makes requests with the same key run one at a time, in the order of their arrival. All ordered
 	// classes share one key space.
 	Ordered          bool
-	ObjectiveStretch float64 // the objective grows by this multiple of the request's work; 0: it does not
-	Streamed         bool    // the response is streamed: StreamStarted comes
+	ObjectiveStretch float64 // extension of the objective, as a multiple of the request's work; 0: none
+	Streamed         bool    // responses are streamed, and reported as StreamStarted
 }
 
 // Tenant is one of the parties that share the service.
 type Tenant struct {
-	Share float64 // fraction of the service allotted to it
-	Quota float64 // requests per second, over all agents, that are within its share
+	Share float64 // share of the service that is allotted to the tenant
+	Quota float64 // requests per second, over all agents, that are within the share
 }
 
-// Weights says what Endpoint.Weight means.
+// Weights is the meaning of Endpoint.Weight.
 type Weights uint8
 
 // The meanings of weights.
 const (
-	WeightsNone    Weights = iota // always 1
-	WeightsNominal                // the registered size
-	WeightsRough                  // about the size
-	WeightsLive                   // the size over 1 + requests in flight per core, some time ago
+	WeightsNone    Weights = iota // every weight is 1
+	WeightsNominal                // registered size
+	WeightsRough                  // approximate size
+	WeightsLive                   // size / (1 + requests in flight per core), out of date by some time
 )
 
-// LoadReportSource says what load reports come with.
+// LoadReportSource is the kind of message that carries load reports.
 type LoadReportSource uint8
 
 // The sources of load reports.
 const (
-	LoadReportsNone             LoadReportSource = iota
-	LoadReportsWithResponses                     // with outcomes and health check results
-	LoadReportsWithHealthChecks                  // with health check results alone
+	LoadReportsNone             LoadReportSource = iota // there are no load reports
+	LoadReportsWithResponses                            // outcomes and health check results
+	LoadReportsWithHealthChecks                         // health check results only
 )
 
-// LoadReportFields is the set of values that load reports hold.
+// LoadReportFields is the set of values that load reports contain.
 type LoadReportFields uint8
 
-// The values that load reports may hold.
+// The flags of LoadReportFields, one for each value of LoadReport.
 const (
 	FieldInFlight LoadReportFields = 1 << iota
 	FieldQueue
@@ -78,98 +78,99 @@
 	FieldErrors
 )
 
-// Settings are fixed for the life of a Balancer. The zero value of a field that may be absent means what its
-// comment says; the zero value of a price, a goal or a span switches off what rests on it.
+// Settings contains the settings of one agent. They are fixed for the life of a Balancer. The comment of an
+// optional field says what its zero value means. A zero price, goal or duration turns off what depends on it.
 //
-// Settings carries every setting that agents are given, so that all of them are checked when they are read.
-// Balancer does not act on the last two groups, nor on Class.ObjectiveStretch and Class.Streamed.
+// Settings includes the settings that Balancer does not use, so that all settings are validated together.
+// Unused are the last two groups, Class.ObjectiveStretch and Class.Streamed.
 type Settings struct {
-	// Who the agents are.
+	// Agents.
 
-	Agents     int // agents that share these endpoints, this one included; at least 1
-	AgentIndex int // this agent's number, from 0
-	Zone       int // this agent's zone
+	Agents     int // number of agents that share the endpoints, including this one; at least 1
+	AgentIndex int // number of this agent, from 0
+	Zone       int // number of this agent's zone
 
-	// The requests and how they are valued.
+	// Requests and their value.
 
-	Classes         []Class // at least one; the first sets the time scale of what concerns all
-	PriorityByWork  bool    // priorities count per unit of work, not per request
-	GoalOverall     float64 // weight of the priority served in all, in the operator's goal
-	GoalWorstWindow float64 // weight of the priority served in the worst window of time
-	GoalWorstClass  float64 // weight of the priority served of the worst class
+	Classes         []Class // at least one; the first class is the time scale for state that all classes share
+	PriorityByWork  bool    // Class.Priority is per unit of work; false: per request
+	GoalOverall     float64 // weight, in the operator's goal, of the priority served overall
+	GoalWorstWindow float64 // weight of the priority served in the worst time window
+	GoalWorstClass  float64 // weight of the priority served in the worst class
 	CrossZonePrice  float64 // cost of a request that crosses zones, as a share of the operator's goal
 
-	// What an agent may do.
+	// Limits and permissions of an agent.
 
-	MaxAttempts    int           // attempts that one request may get; 0: 1
-	AllowHedging   bool          // two attempts of one request may be in flight together
-	AllowCancel    bool          // Cancel actions are allowed
-	SendRetryAfter bool          // clients are shown Reject.RetryAfter
-	MaxRetryAfter  time.Duration // the longest Retry-After that a client heeds
-	MaxOpen        int           // requests that an agent may hold open; 0: no limit
-	Tick           time.Duration // shortest time between two steps, and resolution of timeouts; 0: none
+	MaxAttempts    int           // maximum number of attempts per request; 0: 1
+	AllowHedging   bool          // a request may have two attempts in flight at once
+	AllowCancel    bool          // Balancer may return Cancel actions
+	SendRetryAfter bool          // the agent passes Reject.RetryAfter to clients
+	MaxRetryAfter  time.Duration // maximum Retry-After that clients honor
+	MaxOpen        int           // maximum number of open requests per agent; 0: no limit
+	Tick           time.Duration // minimum time between two steps, and resolution of timeouts; 0: none
 
-	// How endpoints and their connections behave.
+	// Endpoints and connections.
 
-	ConnectTimeout     time.Duration // a connection that is not made in this time fails
-	IdleClose          time.Duration // a connection unused for this long closes; 0: never
-	CacheAffinity      bool          // an endpoint that lately served a key serves it again with less work
-	RejectedMayHaveRun bool          // an attempt that ended as Rejected may have run
-	KeyQuietPeriod     time.Duration // Ordered: a key rests for this long after a time-out, reset or cancel
+	ConnectTimeout     time.Duration // time after which a connection that is not established fails
+	IdleClose          time.Duration // time after which an unused connection closes; 0: never
+	CacheAffinity      bool          // an endpoint that recently served a key serves it again with less work
+	RejectedMayHaveRun bool          // an attempt with the result Rejected may have run
+	KeyQuietPeriod     time.Duration // Ordered: time without attempts for a key after TimedOut, Reset or Cancelled
 
-	// The endpoint list.
+	// Endpoint list.
 
-	Subscribe              bool          // the list must be subscribed to; false: it is delivered anyway
-	PollWithin             time.Duration // Subscribe: subscribe at the latest after this time while not subscribed
-	SubscribeSpread        time.Duration // Subscribe: subscribe within this time of a start or failure; 0: PollWithin
-	RefusedSubscribeSpread time.Duration // Subscribe: subscribe within this time of a refusal; 0: PollWithin
+	Subscribe              bool          // the list must be subscribed to; false: it is always delivered
+	PollWithin             time.Duration // Subscribe: maximum time without a subscription
+	SubscribeSpread        time.Duration // Subscribe: maximum delay after a start or failure; 0: PollWithin
+	RefusedSubscribeSpread time.Duration // Subscribe: maximum delay after a refusal; 0: PollWithin
 
-	// Slow start: an endpoint starts with SlowStartMinCapacity of its capacity and has all of it after
-	// SlowStartDuration. One that is sent more than SlowStartOverloadMultiple of its current capacity within
-	// SlowStartOverloadWindow is overloaded and fails.
+	// Slow start. An endpoint starts with SlowStartMinCapacity of its capacity, and has its full capacity
+	// after SlowStartDuration. It is overloaded and fails if it gets more than SlowStartOverloadMultiple
+	// times its current capacity within SlowStartOverloadWindow.
 
-	SlowStartMinCapacity      float64 // share of the full capacity; 0: 1
-	SlowStartDuration         time.Duration
-	SlowStartOverloadMultiple float64
-	SlowStartOverloadWindow   time.Duration
+	SlowStartMinCapacity      float64       // share of the full capacity; 0: 1
+	SlowStartDuration         time.Duration // 0: no slow start
+	SlowStartOverloadMultiple float64       // multiple of the current capacity; below 1: 1
+	SlowStartOverloadWindow   time.Duration // 0: endpoints cannot be overloaded
 
-	// Checked and passed on, but not acted on by Balancer.
+	// Validated, but not used by Balancer.
 
 	Zones             int              // number of zones; 0: unknown
 	Kinds             int              // number of machine kinds; 0: unknown
-	Tier              int              // the tier of endpoints that this agent sends to, from 0
+	Tier              int              // number of the tier that this agent sends to, from 0
 	Tiers             int              // number of tiers; 0: unknown
-	Tenants           []Tenant         // none: requests belong to no tenant
-	Weights           Weights          // what Endpoint.Weight means
-	LoadReports       LoadReportSource // what load reports come with
-	LoadReportFields  LoadReportFields // the values that load reports hold
-	MarksRetry        bool             // clients mark their retries, as Request.ClientRetry
-	PassesDeadline    bool             // endpoints pass on the time left to the next tier
-	AllowHealthChecks bool             // HealthCheck actions are allowed
-	AllowGossip       bool             // Gossip actions are allowed
-	StreamsPerConn    int              // attempts that one connection carries at once; 0: unknown
-	CPUPerSecond      time.Duration    // CPU that an agent has in each second; 0: no limit
-	CPUPerRequest     time.Duration    // mean CPU for a request with its outcomes; 0: no limit
-	DrainGrace        time.Duration    // how long sends to a draining endpoint are still tolerated
-	ResponseGrace     time.Duration    // how long after its deadline a final answer still counts
-	GoalWorstTenant   float64          // weight of the priority served of the worst tenant within its share
-	OverQuotaPriority float64          // weight of a request beyond its tenant's share, against one within
-
-	// Further prices, as a share of the operator's goal, that Balancer does not weigh.
-
-	WastePrice       float64 // work of endpoints that served no response, as much as was requested
-	LateFailPrice    float64 // all priority left unserved only after its objective
-	HealthCheckPrice float64 // a health check for each request
-	GossipPrice      float64 // a message of 256 bytes for each request, for each receiver
-	HandshakePrice   float64 // a new connection for each request
-	ConnectionPrice  float64 // 100 open connections for each endpoint
-	PollPrice        float64 // 100 list lines for each request
-	MigrationPrice   float64 // a migration for each request
-	OriginPrice      float64 // a fetch from the origin for each request
-	FleetPrice       float64 // as many endpoints running as at the start
+	Tenants           []Tenant         // tenants that share the service; empty: requests belong to no tenant
+	Weights           Weights          // meaning of Endpoint.Weight
+	LoadReports       LoadReportSource // kind of message that carries load reports
+	LoadReportFields  LoadReportFields // values that load reports contain
+	MarksRetry        bool             // clients mark their retries; see Request.ClientRetry
+	PassesDeadline    bool             // endpoints pass the remaining time to the next tier
+	AllowHealthChecks bool             // the policy may return HealthCheck actions
+	AllowGossip       bool             // the policy may return Gossip actions
+	StreamsPerConn    int              // maximum number of concurrent attempts per connection; 0: unknown
+	CPUPerSecond      time.Duration    // CPU time that an agent may use per second; 0: no limit
+	CPUPerRequest     time.Duration    // mean CPU time per request, including its outcomes; 0: no limit
+	DrainGrace        time.Duration    // time for which attempts at a draining endpoint are still tolerated
+	ResponseGrace     time.Duration    // time after the deadline up to which a final answer still counts
+	GoalWorstTenant   float64          // weight of the priority served for the worst tenant within its share
+	OverQuotaPriority float64          // weight of a request beyond its tenant's share, relative to one within
+
+	// Further prices, not used by Balancer. Each is the cost of the stated amount, as a share of the
+	// operator's goal.
+
+	WastePrice       float64 // as much wasted work (without a response) as was requested
+	LateFailPrice    float64 // failure of all requests, each after its objective
+	HealthCheckPrice float64 // one health check per request
+	GossipPrice      float64 // one message of 256 bytes per request and receiver
+	HandshakePrice   float64 // one new connection per request
+	ConnectionPrice  float64 // 100 open connections per endpoint
+	PollPrice        float64 // 100 lines of the endpoint list per request
+	MigrationPrice   float64 // one migration per request
+	OriginPrice      float64 // one fetch from the origin per request
+	FleetPrice       float64 // running as many endpoints as at the start
 }
 
-// MayHaveRun reports whether an attempt with a result may have had an effect.
+// MayHaveRun reports whether an attempt with the given result may have had an effect.
 func (s *Settings) MayHaveRun(result Result) bool {
 	return !result.NeverRan() || result == Rejected && s.RejectedMayHaveRun
 }
--- a/balancer/throttle.go
+++ b/balancer/throttle.go
@@ -1,12 +1,12 @@
 package balancer
 
-// maxSentPerOnTime is the number of requests sent for each one served on time above which the throttle
-// closes: more would mostly add work on responses that are late.
+// maxSentPerOnTime is the ratio of requests sent to requests served on time at which the throttle closes.
+// Further requests would mostly add work on late responses.
 const maxSentPerOnTime = 1.3
 
-// isThrottled reports whether requests have to wait since too few of those sent recently were served on time.
-// It acts where this agent's part of the least concurrency limit is under one attempt, and alone where the
-// agent has no limit.
+// isThrottled reports whether requests must wait because too few of those sent recently were served on time.
+// The throttle applies if this agent's share of the minimum concurrency limit is below one attempt. It is the
+// only bound for an agent without a limit.
 func isThrottled(limiter *concurrencyLimiter, traffic *trafficStats, fleet fleetSummary) bool {
 	return limiter.isMinLimitBelow(1, fleet) && traffic.excessRequests(maxSentPerOnTime) >= 0
 }
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// timerTable knows what the pending timers are for. A token of 0 stands for no timer.
+// timerTable records the purpose of each pending timer. A token of 0 stands for no timer.
 type timerTable struct {
-	lastToken      int64
-	requests       map[int64]*request // by token
-	subscribeToken int64              // token of the latest timer for a Subscribe, which voids earlier ones
+	lastToken      int64              // latest token that was issued
+	requests       map[int64]*request // requests that wait for a timer, by token
+	subscribeToken int64              // token of the latest timer for a Subscribe, which voids earlier ones; 0: none
 }
 
 func newTimerTable() timerTable { return timerTable{requests: map[int64]*request{}} }
 
-// nextToken returns a token that no other timer has had.
+// nextToken returns an unused token.
 func (t *timerTable) nextToken() int64 {
 	t.lastToken++
 	return t.lastToken
 }
 
-// add notes the latest timer of a request. One that is voided by it stays in the table until it fires.
+// add adds the latest timer of a request. Earlier timers of the request are void, but stay until they fire.
 func (t *timerTable) add(r *request) { t.requests[r.timerToken] = r }
 
-// setSubscribe notes the timer for the next Subscribe.
+// setSubscribe records the timer for the next Subscribe.
 func (t *timerTable) setSubscribe(token int64) { t.subscribeToken = token }
 
-// remove forgets a timer of a request.
+// remove removes a timer of a request.
 func (t *timerTable) remove(token int64) { delete(t.requests, token) }
 
-// takeSubscribe reports whether a timer that fired is the one for the next Subscribe, and forgets it.
+// takeSubscribe reports whether a fired timer is the one for the next Subscribe, and removes it.
 func (t *timerTable) takeSubscribe(token int64) bool {
 	if token == 0 || token != t.subscribeToken {
 		return false
@@ -35,7 +35,7 @@
 	return true
 }
 
-// takeRequest returns the open request whose latest timer has fired, and forgets the timer; nil if there is
+// takeRequest removes a fired timer and returns the open request whose latest timer it is, or nil if there is
 // none.
 func (t *timerTable) takeRequest(token int64) *request {
 	r := t.requests[token]
@@ -47,21 +47,20 @@
 	return r
 }
 
-// setTimer asks for a step after a wait and returns the timer's token.
+// setTimer requests a step after a wait and returns the token of the timer.
 func (b *Balancer) setTimer(wait time.Duration) int64 {
 	token := b.timers.nextToken()
 	b.addAction(SetTimer{After: wait, Token: token})
 	return token
 }
 
-// setRequestTimer sets the timer of a request, which voids its earlier ones.
+// setRequestTimer sets a timer for a request. Its earlier timers become void.
 func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
 	r.timerToken = b.setTimer(at - b.now)
 	b.timers.add(r)
 }
 
-// handleTimerFired continues what has waited for a timer. A request that stays queued gets another timer by
-// expireQueue.
+// handleTimerFired handles a fired timer. A request that remains queued gets its next timer from expireQueue.
 func (b *Balancer) handleTimerFired(token int64) {
 	if b.timers.takeSubscribe(token) {
 		b.addAction(Subscribe{})
--- a/balancer/validation.go
+++ b/balancer/validation.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// SettingError reports a setting whose value makes no sense.
+// SettingError is the error for a setting with an invalid value.
 type SettingError struct {
-	Field string // the path within Settings, such as "Agents" or "Classes[0].Objective"
-	Value any
+	Field string // path of the field in Settings, such as "Agents" or "Classes[0].Objective"
+	Value any    // the invalid value
 }
 
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("settings: %s: %v makes no sense", e.Field, e.Value)
 }
 
-// withDefaults returns the settings with the values that absent ones stand for.
+// withDefaults returns the settings with defaults for absent values.
 func (s Settings) withDefaults() Settings {
 	s.MaxAttempts = max(1, s.MaxAttempts)
 	if s.SlowStartMinCapacity == 0 {
@@ -24,10 +24,10 @@
 	return s
 }
 
-// validate returns a *SettingError for the first setting that makes no sense.
+// validate returns a *SettingError for the first invalid setting.
 func (s *Settings) validate() error {
-	validators := []func() error{s.validateBounds, s.validateCounts, s.validatePrices, s.validateTenants, s.validateTimes}
-	for _, validate := range validators {
+	groups := []func() error{s.validateBounds, s.validateCounts, s.validatePrices, s.validateTenants, s.validateTimes}
+	for _, validate := range groups {
 		if err := validate(); err != nil {
 			return err
 		}
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// validateBounds checks the settings that have bounds of their own.
+// validateBounds validates the settings whose bounds differ from "not negative".
 func (s *Settings) validateBounds() error {
 	switch {
 	case len(s.Classes) == 0:
@@ -107,7 +107,8 @@
 	})
 }
 
-// validate returns a *SettingError whose field is under the path.
+// validate returns a *SettingError for the first invalid setting of the class. path is the prefix of its
+// field.
 func (c *Class) validate(path string) error {
 	switch {
 	case c.Objective <= 0:
@@ -130,13 +131,13 @@
 	return nil
 }
 
-// namedValue is the value of a setting.
+// namedValue is the value of a setting and the name of its field.
 type namedValue[T int | float64 | time.Duration] struct {
 	field string
 	value T
 }
 
-// validateNotNegative returns a *SettingError for the first value that is negative or not a number.
+// validateNotNegative returns a *SettingError for the first value that is negative or NaN.
 func validateNotNegative[T int | float64 | time.Duration](values []namedValue[T]) error {
 	for _, v := range values {
 		if !isNotNegative(v.value) {
@@ -146,7 +147,8 @@
 	return nil
 }
 
-// isNotNegative is false of NaN.
+// isNotNegative reports whether v is at least 0. It is false for NaN.
 func isNotNegative[T int | float64 | time.Duration](v T) bool { return v >= 0 }
 
+// isFraction reports whether v is between 0 and 1. It is false for NaN.
 func isFraction(v float64) bool { return v >= 0 && v <= 1 }
