--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -9,35 +9,35 @@
 	"ashshunt/balancer"
 )
 
-// auditor checks all rules from events and actions alone. It does not model endpoints: it remembers what the balancer
-// was notified of and what it did.
+// auditor verifies all rules from the events and actions alone. It records what the balancer was told and
+// what it did, and does not model endpoints.
 type auditor struct {
 	settings      balancer.Settings
 	now           time.Duration
 	requests      map[string]*auditedRequest
 	endpoints     map[string]*auditedEndpoint
-	requestsByKey map[string][]*auditedRequest // ordered requests by key, in the order of their arrival
-	workByClass   map[int]expectedWork         // by class
+	requestsByKey map[string][]*auditedRequest // ordered requests of each key, in the order of their arrival
+	workByClass   map[int]expectedWork         // expected work of each class
 	violations    []string
 }
 
-// expectedWork sums up the requests that came with their expected work.
+// expectedWork counts the requests that state their expected work, and sums up that work.
 type expectedWork struct{ requests, sum float64 }
 
-// auditedRequest is a request and its attempts.
+// auditedRequest is the state of a request and its attempts.
 type auditedRequest struct {
 	class        balancer.Class
 	deadline     time.Duration
-	relativeWork float64 // its expected work over the mean of its class; 1 if unknown
+	relativeWork float64 // expected work as a multiple of the mean of the class; 1 if unknown
 	attempts     []auditedAttempt
 	finished     bool
-	abandonedAt  time.Duration // actions in the same step are allowed
+	abandonedAt  time.Duration // time at which the client disconnected: actions in the same step are allowed
 	isStreaming  bool
-	key          string        // of an ordered request
-	quietUntil   time.Duration // the quiet period of its key
+	key          string        // key of an ordered request; "": not ordered
+	quietUntil   time.Duration // end of the quiet period that the request causes for its key
 }
 
-// auditedAttempt is one attempt of a request.
+// auditedAttempt is the state of one attempt.
 type auditedAttempt struct {
 	endpoint   string
 	sentAt     time.Duration
@@ -45,15 +45,15 @@
 	mayHaveRun bool
 }
 
-// auditedEndpoint is an endpoint by what the lists said of it, and the work that was sent to it since its start.
+// auditedEndpoint is the latest list entry of an endpoint, and the work that was sent to it since its start.
 type auditedEndpoint struct {
 	balancer.Endpoint
-	notServingSince time.Duration // when the list said that it was draining or removed; 0: serving
-	warmUpStartedAt time.Duration // when the list said that it started; 0: warm
+	notServingSince time.Duration // time at which the list reported it as draining or removed; 0: serving
+	warmUpStartedAt time.Duration // start of the process according to the list; 0: warm
 	sends           []sentWork
 }
 
-// sentWork is the work of one attempt, in mean requests.
+// sentWork is the work of one attempt, as a multiple of the mean work of a request.
 type sentWork struct {
 	sentAt time.Duration
 	work   float64
@@ -73,7 +73,7 @@
 	a.violations = append(a.violations, fmt.Sprintf("at %v: ", a.now)+fmt.Sprintf(format, args...))
 }
 
-// firstViolations is a text of the first three.
+// firstViolations returns the first three violations.
 func (a *auditor) firstViolations() string {
 	return strings.Join(a.violations[:min(3, len(a.violations))], "\n")
 }
@@ -178,11 +178,11 @@
 		a.handleFinalAnswer(act.Request)
 	case balancer.SetTimer:
 		if act.After < 0 {
-			a.recordViolation("a timer in the past: %v", act.After)
+			a.recordViolation("timer in the past: after %v", act.After)
 		}
 	case balancer.Gossip:
 		if !a.settings.AllowGossip || len(act.Data) > 256 {
-			a.recordViolation("%d bytes of gossip", len(act.Data))
+			a.recordViolation("%d bytes of gossip are not allowed", len(act.Data))
 		}
 	}
 }
@@ -196,7 +196,7 @@
 		r.class.Idempotency == balancer.IdempotentWithKey && r.class.DedupScope == balancer.DedupEverywhere
 	for _, attempt := range r.attempts {
 		if (attempt.mayHaveRun || attempt.inFlight) && !mayBeRepeated {
-			a.recordViolation("%s rejected though an attempt may have run", act.Request)
+			a.recordViolation("%s was rejected although an attempt may have run", act.Request)
 		}
 	}
 }
@@ -205,12 +205,12 @@
 	r := a.requests[id]
 	switch {
 	case r == nil:
-		a.recordViolation("answer for the unknown request %s", id)
+		a.recordViolation("final answer for unknown request %s", id)
 		return nil
 	case r.finished && r.abandonedAt != a.now:
-		a.recordViolation("%s answered twice", id)
+		a.recordViolation("%s got a second final answer", id)
 	case a.now > r.deadline+a.settings.ResponseGrace && !r.isStreaming:
-		a.recordViolation("%s answered late", id)
+		a.recordViolation("%s got its final answer after its deadline", id)
 	}
 	r.finished, r.abandonedAt = true, 0
 	return r
@@ -219,17 +219,17 @@
 func (a *auditor) handleSend(act balancer.Send) {
 	r, ep := a.requests[act.Request], a.endpoints[act.Endpoint]
 	if r == nil || ep == nil {
-		a.recordViolation("send of %q to %q, one of which is unknown", act.Request, act.Endpoint)
+		a.recordViolation("send of request %q to endpoint %q, one of which is unknown", act.Request, act.Endpoint)
 		return
 	}
 	if r.finished && r.abandonedAt != a.now {
-		a.recordViolation("%s sent after its end", act.Request)
+		a.recordViolation("%s was sent after it was finished", act.Request)
 	}
 	if len(r.attempts) >= max(1, a.settings.MaxAttempts) {
-		a.recordViolation("%s sent past the attempt limit", act.Request)
+		a.recordViolation("%s was sent more often than the attempt limit allows", act.Request)
 	}
 	if ep.notServingSince > 0 && a.now > ep.notServingSince+a.settings.DrainGrace {
-		a.recordViolation("%s sent to %s, which was draining or removed %v ago",
+		a.recordViolation("%s was sent to %s, which has been draining or removed for %v",
 			act.Request, act.Endpoint, a.now-ep.notServingSince)
 	}
 	a.auditKeyOrder(act.Request, r)
@@ -239,7 +239,8 @@
 	a.auditSlowStart(ep)
 }
 
-// auditKeyOrder checks that all earlier requests of its key have ended before a request is sent.
+// auditKeyOrder records a violation if a request is sent before all earlier requests of its key are finished,
+// or in the quiet period of the key.
 func (a *auditor) auditKeyOrder(id string, r *auditedRequest) {
 	for _, earlier := range a.requestsByKey[r.key] {
 		if earlier == r {
@@ -250,16 +251,16 @@
 			open = open || attempt.inFlight
 		}
 		if open {
-			a.recordViolation("%s sent out of turn", id)
+			a.recordViolation("%s was sent before an earlier request of its key finished", id)
 		} else if a.now < earlier.quietUntil {
-			a.recordViolation("%s sent in the quiet period of its key", id)
+			a.recordViolation("%s was sent in the quiet period of its key", id)
 		}
 	}
 }
 
-// auditRepeat checks that a further attempt has no further effect.
+// auditRepeat records a violation if a further attempt may have a further effect.
 func (a *auditor) auditRepeat(id string, r *auditedRequest, ep *auditedEndpoint) {
-	var first *auditedAttempt // of the attempts that may have run
+	var first *auditedAttempt // first attempt that may have run
 	for i := range r.attempts {
 		attempt := &r.attempts[i]
 		if attempt.inFlight && !a.settings.AllowHedging {
@@ -275,19 +276,20 @@
 	firstEndpoint := a.endpoints[first.endpoint]
 	switch {
 	case r.class.Idempotency == balancer.NotIdempotent:
-		a.recordViolation("%s is not idempotent and may have run, sent again", id)
+		a.recordViolation("%s was sent again, but is not idempotent and may have run", id)
 	case a.now-first.sentAt > r.class.DedupWindow:
-		a.recordViolation("%s sent again after its window", id)
+		a.recordViolation("%s was sent again after its deduplication window", id)
 	case r.class.DedupScope == balancer.DedupInZone && firstEndpoint.Zone != ep.Zone,
 		r.class.DedupScope == balancer.DedupInCell && firstEndpoint.Cell != ep.Cell:
-		a.recordViolation("%s sent again outside its scope", id)
+		a.recordViolation("%s was sent again outside its deduplication scope", id)
 	}
 }
 
-// auditSlowStart checks this agent's part of the load of an endpoint that warms up. The capacity of endpoints is
-// unknown. The work that the busiest warm one was sent within three windows bounds the rate that a balancer may assume
-// of a warm one; the allowed multiple of the warm-up fraction of that bounds the load of the other. The slack is one
-// mean request, and one of twice the mean that may be sent on the last permit.
+// auditSlowStart records a violation if this agent sends too much to an endpoint that is warming up. The
+// capacity of endpoints is unknown. The work sent to the busiest warm endpoint within three windows is an
+// upper bound for the rate that a balancer may assume for a warm endpoint. That work, times the warm-up
+// fraction, times the overload multiple, is the allowed load. The tolerance is three mean requests: one, and
+// one of twice the mean work on the last permit.
 func (a *auditor) auditSlowStart(ep *auditedEndpoint) {
 	if a.isWarm(ep) || a.settings.SlowStartDuration == 0 {
 		return
@@ -301,13 +303,14 @@
 		}
 	}
 	if !hasWarm {
-		return // nothing to compare with: a balancer goes by its part of the least limit
+		return // no reference: a balancer uses its share of the minimum limit instead
 	}
 	age := max(0, float64(a.now-ep.warmUpStartedAt)/float64(a.settings.SlowStartDuration))
 	fraction := a.settings.SlowStartMinCapacity + (1-a.settings.SlowStartMinCapacity)*age
 	if got := ep.workWithin(a.now, window); got > a.settings.SlowStartOverloadMultiple*fraction*maxWork+3 {
-		a.recordViolation("%s is warming up (%v) and got the work of %.1f mean requests in %v, "+
-			"the busiest warm one %.1f in three times that", ep.ID, a.now-ep.warmUpStartedAt, got, window, maxWork)
+		a.recordViolation("%s is warming up for %v and got the work of %.1f mean requests within %v, "+
+			"the busiest warm endpoint %.1f within three times that",
+			ep.ID, a.now-ep.warmUpStartedAt, got, window, maxWork)
 	}
 }
 
@@ -324,17 +327,18 @@
 	return sum
 }
 
-// auditOverdue checks that no request is without its final answer after its deadline.
+// auditOverdue records a violation for each request without a final answer after its deadline.
 func (a *auditor) auditOverdue() {
 	for id, r := range a.requests {
 		if !r.finished && !r.isStreaming && a.now > r.deadline+a.settings.ResponseGrace {
-			a.recordViolation("%s got no answer in time", id)
+			a.recordViolation("%s got no final answer by its deadline", id)
 			r.finished = true
 		}
 	}
 }
 
-// runAuditor plays events, actions and durations that pass, after a request of a class.
+// runAuditor submits a request of a class and then passes the events and actions of the script to an auditor.
+// A duration in the script advances the clock.
 func runAuditor(class int, script []any) *auditor {
 	a := newAuditor(settings())
 	a.now = time.Hour
@@ -354,7 +358,7 @@
 	return a
 }
 
-// Each check of the auditor can fail: these recorded actions violate a rule.
+// The auditor detects each kind of violation. Each script violates one rule.
 func TestAuditorDetectsViolations(t *testing.T) {
 	send := func(endpoint string) balancer.Action { return balancer.Send{Request: "q", Endpoint: endpoint} }
 	outcome := func(attempt int, result balancer.Result) balancer.Event {
@@ -369,40 +373,40 @@
 	tests := []struct {
 		name   string
 		class  int
-		script []any // events, actions, and durations that pass
+		script []any // events, actions, and durations by which the clock advances
 		want   string
 	}{
-		{"no answer", idempotent, []any{2021 * ms}, "got no answer in time"},
-		{"two answers", idempotent, []any{fail, fail}, "answered twice"},
+		{"no answer", idempotent, []any{2021 * ms}, "got no final answer by its deadline"},
+		{"two answers", idempotent, []any{fail, fail}, "got a second final answer"},
 		{"answer after being served", idempotent, []any{send("a"), outcome(0, balancer.Served), reject},
-			"answered twice"},
-		{"late answer", idempotent, []any{2020*ms + 1, fail}, "answered late"},
-		{"send after the answer", idempotent, []any{fail, send("a")}, "sent after its end"},
+			"got a second final answer"},
+		{"late answer", idempotent, []any{2020*ms + 1, fail}, "got its final answer after its deadline"},
+		{"send after the answer", idempotent, []any{fail, send("a")}, "was sent after it was finished"},
 		{"unknown endpoint", idempotent, []any{send("zz")}, "is unknown"},
-		{"past the limit", idempotent, []any{send("a"), outcome(0, balancer.ServerError),
+		{"too many attempts", idempotent, []any{send("a"), outcome(0, balancer.ServerError),
 			send("b"), outcome(1, balancer.ServerError), send("a"), outcome(2, balancer.ServerError),
-			send("b"), outcome(3, balancer.ServerError), send("a")}, "past the attempt limit"},
+			send("b"), outcome(3, balancer.ServerError), send("a")}, "more often than the attempt limit allows"},
 		{"hedged request", idempotent, []any{send("a"), send("b")}, "two attempts in flight"},
 		{"not idempotent, repeated", notIdempotent, []any{send("a"), outcome(0, balancer.TimedOut), send("b")},
 			"is not idempotent"},
 		{"not idempotent, rejected", notIdempotent, []any{send("a"), outcome(0, balancer.Reset), reject},
-			"rejected though"},
+			"rejected although"},
 		{"not idempotent, rejected while in flight", notIdempotent, []any{send("a"), reject},
-			"rejected though"},
+			"rejected although"},
 		{"zone rejected", keyedInZone, []any{send("a"), outcome(0, balancer.ServerError), reject},
-			"rejected though"},
+			"rejected although"},
 		{"outside the zone", keyedInZone, []any{send("a"), outcome(0, balancer.ServerError), send("c")},
-			"outside its scope"},
+			"outside its deduplication scope"},
 		{"outside the cell", keyedInCell, []any{send("a"), outcome(0, balancer.ServerError), send("d")},
-			"outside its scope"},
+			"outside its deduplication scope"},
 		{"after the window", keyedEverywhere, []any{send("a"), 301 * ms, outcome(0, balancer.ServerError),
-			send("b")}, "after its window"},
+			send("b")}, "after its deduplication window"},
 		{"draining", idempotent, []any{draining, 501 * ms, send("a")}, "draining or removed"},
 		{"removed from the list", idempotent, []any{empty, 501 * ms, send("b")}, "draining or removed"},
 		{"slow start", idempotent, []any{restarted, send("a"), outcome(0, balancer.Rejected),
 			send("a"), outcome(1, balancer.Rejected),
 			send("a"), outcome(2, balancer.Rejected), send("a")}, "is warming up"},
-		{"gossip where none is allowed", idempotent, []any{balancer.Gossip{Data: []byte{1}}},
+		{"gossip although not allowed", idempotent, []any{balancer.Gossip{Data: []byte{1}}},
 			"bytes of gossip"},
 		{"timer in the past", idempotent, []any{balancer.SetTimer{After: -1}}, "timer in the past"},
 	}
@@ -410,7 +414,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			got := strings.Join(runAuditor(tt.class, tt.script).violations, "; ")
 			if !strings.Contains(got, tt.want) {
-				t.Errorf("violations %q, want one with %q", got, tt.want)
+				t.Errorf("got violations %q, want one with %q", got, tt.want)
 			}
 		})
 	}
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -9,7 +9,7 @@
 	"ashshunt/balancer"
 )
 
-// Events about unknown requests, attempts, timers or endpoints, and late or repeated events, have no effect.
+// Events for unknown requests, attempts, timers or endpoints, and late or repeated events, have no effect.
 func TestStrayEventsAreIgnored(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(2))
 	h.request("done", idempotent)
@@ -31,18 +31,18 @@
 	}
 	for _, event := range stray {
 		if actions := h.step(event); len(actions) != 0 {
-			t.Errorf("%#v: %v, want no action", event, actions)
+			t.Errorf("%#v: got actions %v, want none", event, actions)
 		}
 	}
 	if actions := h.outcomeAfter("open", balancer.ServerError, 10*ms); finalAnswer("open", actions) != "fail" {
-		t.Errorf("the open request: %v, want its one failure", actions)
+		t.Errorf("open request: got actions %v, want one failure", actions)
 	}
 	if actions := h.outcome("open", balancer.ServerError, 10*ms); len(actions) != 0 {
-		t.Errorf("a repeated outcome: %v, want no action", actions)
+		t.Errorf("repeated outcome: got actions %v, want none", actions)
 	}
 }
 
-// An abandoned request gets no further action, though its attempt still counts as in flight until its outcome.
+// An abandoned request gets no further action. Its attempt counts as in flight until its outcome.
 func TestAbandoned(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(2))
 	h.request("q", idempotent)
@@ -50,18 +50,19 @@
 	actions := h.outcomeAfter("q", balancer.ServerError, 10*ms)
 	actions = append(actions, h.advance(3*time.Second)...)
 	if len(actions) != 0 || h.balancer.StateSize() != 0 {
-		t.Errorf("after the client left: %v, %d kept", actions, h.balancer.StateSize())
+		t.Errorf("after the client disconnected: got actions %v and state size %d, want none and 0",
+			actions, h.balancer.StateSize())
 	}
 }
 
-// failOnce submits a request whose first attempt fails, so that it waits for its backoff.
+// failOnce submits a request and fails its first attempt, so that the request waits for its backoff.
 func (h *harness) failOnce(id string) {
 	h.t.Helper()
 	h.request(id, idempotent)
 	h.outcomeAfter(id, balancer.ServerError, 10*ms)
 }
 
-// Nothing is kept of a request that is abandoned while it waits, not even until its timer fires.
+// The state of a request that is abandoned while it waits is removed at once, not only when its timer fires.
 func TestAbandonedWhileWaiting(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -79,15 +80,15 @@
 			tt.submit(h)
 			attempts := len(h.sent["q"])
 			if finalAnswer("q", h.actions) != "" || h.balancer.StateSize() == 0 {
-				t.Fatalf("it does not wait: %v", h.actions)
+				t.Fatalf("got actions %v, want the request to wait", h.actions)
 			}
 			h.step(balancer.Abandoned{Request: "q"})
 			if n := h.balancer.StateSize(); n != 0 {
-				t.Errorf("%d things are kept of it", n)
+				t.Errorf("after the client disconnected: got state size %d, want 0", n)
 			}
 			h.replaceList(endpoints(1)...)
 			if h.advance(3 * time.Second); len(h.sent["q"]) != attempts {
-				t.Error("sent after the client left")
+				t.Error("an attempt was sent after the client disconnected")
 			}
 		})
 	}
@@ -100,11 +101,11 @@
 	h.now += time.Second
 	timer := balancer.TimerFired{Token: h.timers[len(h.timers)-1].token}
 	if actions := h.step(timer, balancer.Abandoned{Request: "q"}); len(actions) != 0 {
-		t.Errorf("after the client left: %v", actions)
+		t.Errorf("after the client disconnected: got actions %v, want none", actions)
 	}
 }
 
-// Once a response is being streamed, the request is not retried and gets no other answer.
+// A request whose response is being streamed is not retried and gets no other answer.
 func TestNoRetryWhileStreaming(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(2))
 	h.request("q", idempotent)
@@ -114,11 +115,11 @@
 	actions := h.step(reset)
 	actions = append(actions, h.advance(3*time.Second)...)
 	if len(actions) != 0 || len(h.sent["q"]) != 1 {
-		t.Errorf("after a broken stream: %v", actions)
+		t.Errorf("after the stream broke: got actions %v, want none", actions)
 	}
 }
 
-// The same seed and events give the same actions.
+// The same settings, seed and events give the same actions.
 func TestDeterminism(t *testing.T) {
 	run := func(seed uint64) (actions []string) {
 		h := newHarness(t, settings(), seed, endpoints(6))
@@ -134,9 +135,9 @@
 		return actions
 	}
 	if !slices.Equal(run(11), run(11)) {
-		t.Error("two runs with one seed differ")
+		t.Error("two runs with the same seed differ")
 	}
 	if slices.Equal(run(11), run(12)) {
-		t.Error("two seeds give the same run")
+		t.Error("two runs with different seeds are equal")
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -9,8 +9,8 @@
 	"ashshunt/balancer"
 )
 
-// BenchmarkStep plays a request, its outcome, and sometimes an error and a retry. The heap metric shows whether the
-// state grows with the requests played.
+// BenchmarkStep measures a request with its outcome, and now and then an error and a retry. The heap-growth-B
+// metric shows whether the state grows with the number of requests.
 func BenchmarkStep(b *testing.B) {
 	lb, err := balancer.New(settings(), 1)
 	if err != nil {
@@ -31,7 +31,7 @@
 	runtime.KeepAlive(lb)
 }
 
-// playRequest plays request i to its end.
+// playRequest submits request i and passes the outcomes and timers until it is finished.
 func playRequest(lb *balancer.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
 	events := []balancer.Event{balancer.Request{ID: id, Class: idempotent, Timeout: time.Second, Key: id}}
@@ -57,7 +57,8 @@
 	}
 }
 
-// The state does not grow with the requests played. It is counted, since the size of the heap varies.
+// The state does not grow with the number of requests. The test counts the state, because the size of the
+// heap varies.
 func TestStateIsBounded(t *testing.T) {
 	s := settings()
 	s.Classes[idempotent].Ordered, s.KeyQuietPeriod = true, time.Nanosecond
@@ -70,12 +71,12 @@
 	for i := range 20000 {
 		playRequest(lb, &now, i)
 		if n := lb.StateSize(); n > 4 {
-			t.Fatalf("after %d requests, all ended, %d things are kept", i+1, n)
+			t.Fatalf("after %d finished requests: got state size %d, want at most 4", i+1, n)
 		}
 	}
 }
 
-// newBalancerWithEndpoints returns a balancer that has played some requests with a number of endpoints.
+// newBalancerWithEndpoints returns a balancer with a number of endpoints that has handled 300 requests.
 func newBalancerWithEndpoints(tb testing.TB, endpointCount int) (lb *balancer.Balancer, now time.Duration) {
 	tb.Helper()
 	lb, err := balancer.New(settings(), 1)
@@ -94,19 +95,19 @@
 	return lb, now
 }
 
-// With sixteen times the endpoints, a step and a pick look at little more of them. They are counted, since times vary
-// with the machine; BenchmarkManyEndpoints measures those.
+// With sixteen times as many endpoints, a step and a pick visit at most twice as many. The test counts the
+// visited endpoints, because times depend on the machine. BenchmarkManyEndpoints measures times.
 func TestCostWithManyEndpoints(t *testing.T) {
 	const maxGrowth = 2
 	few, _ := newBalancerWithEndpoints(t, 200)
 	many, _ := newBalancerWithEndpoints(t, 3200)
 	if n, m := few.EndpointsLookedAt(), many.EndpointsLookedAt(); m > maxGrowth*n {
-		t.Errorf("with 3,200 endpoints a step and a pick look at %d, with 200 at %d", m, n)
+		t.Errorf("a step and a pick visit %d of 3,200 endpoints and %d of 200, want at most twice as many", m, n)
 	}
 }
 
-// BenchmarkManyEndpoints plays requests with few and with many endpoints. The ratio metric is the time with many over
-// that with few.
+// BenchmarkManyEndpoints measures requests with 200 and with 3,200 endpoints. The ratio metric is the time
+// with 3,200 endpoints divided by the time with 200.
 func BenchmarkManyEndpoints(b *testing.B) {
 	few, fewNow := newBalancerWithEndpoints(b, 200)
 	many, manyNow := newBalancerWithEndpoints(b, 3200)
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,8 +7,8 @@
 	"ashshunt/balancer"
 )
 
-// One balancer through a first attempt, a failure, a retry and a response. The agent owns the clock, the
-// timers and the connections.
+// This example shows a request with a failed first attempt, a retry and a response. The caller takes the part
+// of the agent, which owns the clock, the timers and the connections.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Agents:      1,
@@ -28,10 +28,10 @@
 	step := func(events ...balancer.Event) {
 		for _, action := range b.Step(now, events) {
 			switch a := action.(type) {
-			case balancer.Send: // start the attempt; pass its Outcome on later
+			case balancer.Send: // start the attempt, and pass its Outcome when it ends
 				fmt.Println("send", a.Request)
 				endpoint = a.Endpoint
-			case balancer.SetTimer: // pass TimerFired on when it is due
+			case balancer.SetTimer: // pass TimerFired when the timer fires
 				fmt.Println("set a timer")
 				timer = a.Token
 			case balancer.Reject:
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -20,7 +20,7 @@
 	keyedInCell
 )
 
-// settings has classes of each kind of idempotency, and an objective of 400 ms for all.
+// settings returns settings with a class for each kind of idempotency, all with an objective of 400 ms.
 func settings() balancer.Settings {
 	class := func(idempotency balancer.Idempotency, scope balancer.DedupScope) balancer.Class {
 		return balancer.Class{Objective: 400 * ms, Deadline: 2000 * ms, Priority: 1,
@@ -41,7 +41,7 @@
 	}
 }
 
-// endpoints makes n endpoints with the IDs a, b, c and so on, two in each zone and cell.
+// endpoints returns n endpoints with the IDs a, b, c and so on, two in each zone and cell.
 func endpoints(n int) []balancer.Endpoint {
 	var list []balancer.Endpoint
 	for i := range n {
@@ -50,14 +50,14 @@
 	return list
 }
 
-// harness drives one balancer on a clock of its own, and records what it does.
+// harness runs one balancer on a simulated clock and records its actions.
 type harness struct {
 	t        *testing.T
 	balancer *balancer.Balancer
 	now      time.Duration
-	sent     map[string][]string // endpoints of the attempts, by request
+	sent     map[string][]string // endpoints of the attempts, by request ID
 	timers   []pendingTimer
-	actions  []balancer.Action // of the last step
+	actions  []balancer.Action // actions of the last step
 }
 
 // pendingTimer is a timer that a balancer has set.
@@ -66,7 +66,7 @@
 	token   int64
 }
 
-// newHarness returns a harness whose balancer has a cached list, at an hour on its clock.
+// newHarness returns a harness whose balancer has a cached endpoint list. Its clock is at one hour.
 func newHarness(t *testing.T, s balancer.Settings, seed uint64, list []balancer.Endpoint) *harness {
 	t.Helper()
 	b, err := balancer.New(s, seed)
@@ -78,6 +78,7 @@
 	return h
 }
 
+// step passes events to the balancer and records its actions.
 func (h *harness) step(events ...balancer.Event) []balancer.Action {
 	h.actions = h.balancer.Step(h.now, events)
 	for _, action := range h.actions {
@@ -91,7 +92,7 @@
 	return h.actions
 }
 
-// advance moves the clock and fires the timers on the way; it returns all actions.
+// advance advances the clock, fires the timers that are due, and returns all actions.
 func (h *harness) advance(d time.Duration) []balancer.Action {
 	var all []balancer.Action
 	end := h.now + d
@@ -114,40 +115,41 @@
 	return all
 }
 
-// replaceList brings a complete endpoint list.
+// replaceList passes a complete endpoint list.
 func (h *harness) replaceList(entries ...balancer.Endpoint) {
 	h.step(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: entries})
 }
 
-// updateList brings changed entries of the endpoint list.
+// updateList passes changed entries of the endpoint list.
 func (h *harness) updateList(entries ...balancer.Endpoint) {
 	h.step(balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: entries})
 }
 
+// request submits a request whose client waits for 2 s.
 func (h *harness) request(id string, class int) []balancer.Action {
 	return h.requestWithTimeout(id, class, 2000*ms)
 }
 
-// requestWithTimeout submits a request of a client that waits for the timeout.
+// requestWithTimeout submits a request whose client waits for the timeout.
 func (h *harness) requestWithTimeout(id string, class int, timeout time.Duration) []balancer.Action {
 	return h.step(balancer.Request{ID: id, Class: class, Timeout: timeout})
 }
 
-// requestWithKey submits a request that has a key.
+// requestWithKey submits a request with a key.
 func (h *harness) requestWithKey(id string, class int, key string) {
 	h.step(balancer.Request{ID: id, Class: class, Timeout: 2000 * ms, Key: key})
 }
 
-// firstEndpoint is the endpoint of the first attempt of a request.
+// firstEndpoint returns the endpoint of the first attempt of a request.
 func (h *harness) firstEndpoint(id string) string {
 	h.t.Helper()
 	if len(h.sent[id]) == 0 {
-		h.t.Fatalf("%s: nothing was sent", id)
+		h.t.Fatalf("request %s: got no attempt, want at least one", id)
 	}
 	return h.sent[id][0]
 }
 
-// outcome ends the latest attempt of a request.
+// outcome passes the outcome of the latest attempt of a request.
 func (h *harness) outcome(id string, result balancer.Result, latency time.Duration) []balancer.Action {
 	h.t.Helper()
 	h.firstEndpoint(id)
@@ -156,20 +158,21 @@
 		Latency: latency, Done: result == balancer.Served})
 }
 
-// outcomeAfter ends the latest attempt of a request after its latency has passed.
+// outcomeAfter advances the clock by the latency and passes the outcome of the latest attempt of a request.
 func (h *harness) outcomeAfter(id string, result balancer.Result, latency time.Duration) []balancer.Action {
 	h.t.Helper()
 	h.now += latency
 	return h.outcome(id, result, latency)
 }
 
-// response is how an attempt ends, and after which latency.
+// response is the result and the latency of an attempt.
 type response struct {
 	result  balancer.Result
 	latency time.Duration
 }
 
-// respond ends the first attempt of a request as responseOf says of its endpoint, which is returned.
+// respond passes the outcome of the first attempt of a request, as responseOf returns it for the endpoint. It
+// returns the endpoint.
 func (h *harness) respond(id string, responseOf func(endpoint string) response) string {
 	h.t.Helper()
 	endpoint := h.firstEndpoint(id)
@@ -178,21 +181,21 @@
 	return endpoint
 }
 
-// exchange submits a request and responds to it.
+// exchange submits a request, responds to it, and returns the endpoint of the first attempt.
 func (h *harness) exchange(id string, class int, responseOf func(endpoint string) response) string {
 	h.t.Helper()
 	h.request(id, class)
 	return h.respond(id, responseOf)
 }
 
-// exchangeUntilSentTo submits requests one after the other until one was sent to the endpoint.
+// exchangeUntilSentTo submits requests one after the other until one is sent to the endpoint.
 func (h *harness) exchangeUntilSentTo(endpoint string, class int, responseOf func(endpoint string) response) {
 	h.t.Helper()
 	for h.exchange(fmt.Sprint("until", len(h.sent)), class, responseOf) != endpoint {
 	}
 }
 
-// faultAtA returns the responses of a fleet of which endpoint a has a fault.
+// faultAtA returns the responses of a fleet in which endpoint a is faulty.
 func faultAtA(fault, usual response) func(endpoint string) response {
 	return func(endpoint string) response {
 		if endpoint == "a" {
@@ -202,7 +205,7 @@
 	}
 }
 
-// burst submits n requests at one moment and returns the attempts that each endpoint gets.
+// burst submits n requests at the same time and returns the number of attempts by endpoint.
 func (h *harness) burst(prefix string, n, class int) map[string]int {
 	counts := map[string]int{}
 	for i := range n {
@@ -215,7 +218,7 @@
 	return counts
 }
 
-// total is the sum of counts.
+// total returns the sum of the counts.
 func total(counts map[string]int) (sum int) {
 	for _, n := range counts {
 		sum += n
@@ -223,8 +226,8 @@
 	return sum
 }
 
-// serve sends n requests one after the other, each served after the latency. It returns the requests that each
-// endpoint gets.
+// serve submits n requests one after the other and serves each after the latency. It returns the number of
+// requests by endpoint.
 func (h *harness) serve(n, class int, latency time.Duration) map[string]int {
 	h.t.Helper()
 	counts := map[string]int{}
@@ -237,8 +240,9 @@
 	return counts
 }
 
-// serveWaves sends n requests, width at a time, and serves each wave after the latency. Waves as wide as the list open a
-// connection to every endpoint. It returns the requests that each endpoint gets.
+// serveWaves submits n requests in waves of width requests, and serves each wave after the latency. Waves as
+// wide as the endpoint list open a connection to every endpoint. It returns the number of requests by
+// endpoint.
 func (h *harness) serveWaves(n, width, class int, latency time.Duration) map[string]int {
 	h.t.Helper()
 	counts := map[string]int{}
@@ -259,8 +263,8 @@
 	return counts
 }
 
-// fleetRequestCounts returns how many of 400 requests, eight from each of fifty balancers, each endpoint gets. One balancer
-// keeps to its subset; together they use all endpoints.
+// fleetRequestCounts returns the number of requests by endpoint for 400 requests, eight from each of fifty
+// balancers. One balancer uses only its subset; together they use all endpoints.
 func fleetRequestCounts(t *testing.T, s balancer.Settings, list []balancer.Endpoint) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
@@ -274,7 +278,7 @@
 	return counts
 }
 
-// sendsOf returns the Send actions among the actions.
+// sendsOf returns the Send actions.
 func sendsOf(actions []balancer.Action) (sends []balancer.Send) {
 	for _, action := range actions {
 		if send, ok := action.(balancer.Send); ok {
@@ -284,7 +288,7 @@
 	return sends
 }
 
-// finalAnswer names the final answers for a request among the actions: "reject", "fail", "" if there is none.
+// finalAnswer returns the final answers for a request: "reject", "fail", or "" if there is none.
 func finalAnswer(id string, actions []balancer.Action) string {
 	found := ""
 	for _, action := range actions {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -12,13 +12,14 @@
 	"ashshunt/balancer"
 )
 
-// mutation keeps a fact from the balancer, which then breaks the rule that rests on it.
+// mutation changes what the balancer is told, so that it breaks the rule that depends on it. The auditor gets
+// the unchanged settings and events.
 type mutation struct {
-	settings func(*balancer.Settings)            // nil: they stay
-	event    func(balancer.Event) balancer.Event // nil: they stay
+	settings func(*balancer.Settings)            // changes the settings; nil: unchanged
+	event    func(balancer.Event) balancer.Event // changes an event; nil: unchanged
 }
 
-// mutateEndpoints edits each entry of each endpoint list.
+// mutateEndpoints returns a mutation that changes each entry of each endpoint list.
 func mutateEndpoints(edit func(*balancer.Endpoint)) mutation {
 	return mutation{event: func(event balancer.Event) balancer.Event {
 		list, ok := event.(balancer.EndpointList)
@@ -33,7 +34,7 @@
 	}}
 }
 
-// mutateClasses edits the settings of each class.
+// mutateClasses returns a mutation that changes the settings of each class.
 func mutateClasses(edit func(*balancer.Class)) mutation {
 	return mutation{settings: func(s *balancer.Settings) {
 		for i := range s.Classes {
@@ -42,7 +43,7 @@
 	}}
 }
 
-// voidTimers voids all timers.
+// voidTimers replaces the token of a fired timer by one that the balancer does not know.
 func voidTimers(event balancer.Event) balancer.Event {
 	if _, ok := event.(balancer.TimerFired); ok {
 		return balancer.TimerFired{Token: -1}
@@ -50,7 +51,8 @@
 	return event
 }
 
-// randomDriver feeds a balancer a legal but unfavorable order of events, and audits it.
+// randomDriver runs a balancer and an auditor on random events, which are valid but arrive in unfavorable
+// orders.
 type randomDriver struct {
 	rng       *rand.Rand
 	balancer  *balancer.Balancer
@@ -58,14 +60,15 @@
 	mutations []mutation
 
 	timers       []pendingTimer
-	inFlight     []balancer.Outcome // one for each attempt, without its result
+	inFlight     []balancer.Outcome // one for each attempt in flight, without its result
 	deadlines    map[string]time.Duration
 	list         []balancer.Endpoint
-	keyCount     int // different ones
-	requestCount int // so far
+	keyCount     int // number of different keys
+	requestCount int // number of requests so far
 }
 
-// runRandomEvents plays a number of steps under settings, requests, outcomes and lists that the seed draws.
+// runRandomEvents runs a number of steps with random settings, requests, outcomes and endpoint lists, and
+// returns the auditor.
 func runRandomEvents(t *testing.T, seed uint64, steps int, mutations ...mutation) *auditor {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -90,7 +93,7 @@
 	return d.auditor
 }
 
-// randomSettings draws the settings of a play.
+// randomSettings draws the settings of a run.
 func randomSettings(rng *rand.Rand) balancer.Settings {
 	s := settings()
 	s.Agents = 1 + rng.IntN(9)
@@ -115,7 +118,7 @@
 	return s
 }
 
-// step plays one step of the balancer and audits it.
+// step runs one step of the balancer and audits its actions.
 func (d *randomDriver) step() {
 	d.auditor.now += time.Duration(d.rng.IntN(30)) * ms / 4
 	events := d.dueTimers()
@@ -140,7 +143,7 @@
 	d.auditor.auditOverdue()
 }
 
-// mutateEvents returns the events as the balancer is notified of them.
+// mutateEvents applies the mutations to the events that are passed to the balancer.
 func (d *randomDriver) mutateEvents(events []balancer.Event) []balancer.Event {
 	for _, mutation := range d.mutations {
 		for i := range events {
@@ -152,7 +155,7 @@
 	return events
 }
 
-// dueTimers fires the timers that are due.
+// dueTimers removes the timers that are due and returns their events.
 func (d *randomDriver) dueTimers() (events []balancer.Event) {
 	pending := d.timers[:0]
 	for _, timer := range d.timers {
@@ -166,7 +169,7 @@
 	return events
 }
 
-// newRequests are up to two requests of any class, with any time left.
+// newRequests returns up to two requests of random classes with random timeouts.
 func (d *randomDriver) newRequests() (events []balancer.Event) {
 	for range d.rng.IntN(3) {
 		d.requestCount++
@@ -186,7 +189,8 @@
 	return events
 }
 
-// outcomes ends every attempt by the deadline of its request, some earlier, with any result.
+// outcomes returns the outcomes of attempts. Each attempt finishes by the deadline of its request, and some
+// finish earlier with a random result.
 func (d *randomDriver) outcomes() (events []balancer.Event) {
 	inFlight := d.inFlight[:0]
 	for _, outcome := range d.inFlight {
@@ -210,7 +214,8 @@
 	return events
 }
 
-// randomDisturbance is now and then a change or a failure of the list, a client that leaves, or stray events.
+// randomDisturbance sometimes returns a change or a failure of the endpoint list, a client that disconnects,
+// or stray events.
 func (d *randomDriver) randomDisturbance() []balancer.Event {
 	switch d.rng.IntN(25) {
 	case 0:
@@ -235,7 +240,7 @@
 	return nil
 }
 
-// listDelta changes the state of an endpoint, or restarts it.
+// listDelta returns a list that changes the state of an endpoint, or restarts it.
 func (d *randomDriver) listDelta() balancer.EndpointList {
 	entry := &d.list[d.rng.IntN(len(d.list))]
 	entry.State = balancer.EndpointState(d.rng.IntN(3))
@@ -245,7 +250,7 @@
 	return balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{*entry}}
 }
 
-// completeList has any number of the endpoints, down to none at all.
+// completeList returns a complete or cached list with a random number of the endpoints, possibly none.
 func (d *randomDriver) completeList() balancer.EndpointList {
 	var serving []balancer.Endpoint
 	for _, entry := range d.list[:d.rng.IntN(len(d.list)+1)] {
@@ -255,7 +260,7 @@
 	return balancer.EndpointList{Kind: balancer.ListKind(1 + d.rng.IntN(2)), Endpoints: serving}
 }
 
-// No rule is broken, whatever the settings and the order of events.
+// The balancer breaks no rule, whatever the settings and the order of events.
 func TestRulesUnderAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
 		a := runRandomEvents(t, seed, 600)
@@ -265,27 +270,28 @@
 	}
 }
 
-// A balancer that does not know of a rule breaks it under the same events, and the auditor finds that.
+// A balancer that is told the wrong facts breaks the rule that depends on them, and the auditor detects it.
 func TestAuditorDetectsMutations(t *testing.T) {
 	tests := []struct {
 		name     string
 		mutation mutation
 		want     string
 	}{
-		{"no request lost", mutation{event: voidTimers}, "got no answer in time"},
+		{"no request lost", mutation{event: voidTimers}, "got no final answer by its deadline"},
 		{"no effect twice, not idempotent",
 			mutateClasses(func(c *balancer.Class) { c.Idempotency = balancer.Idempotent }),
 			"is not idempotent"},
 		{"no effect twice, scope",
 			mutateClasses(func(c *balancer.Class) { c.DedupScope = balancer.DedupEverywhere }),
-			"outside its scope"},
+			"outside its deduplication scope"},
 		{"no effect twice, window",
 			mutateClasses(func(c *balancer.Class) { c.DedupWindow = time.Hour }),
-			"after its window"},
+			"after its deduplication window"},
 		{"draining", mutateEndpoints(func(e *balancer.Endpoint) { e.State = balancer.Serving }),
 			"draining or removed"},
 		{"slow start", mutateEndpoints(func(e *balancer.Endpoint) { e.StartedAt = 0 }), "is warming up"},
-		{"order", mutateClasses(func(c *balancer.Class) { c.Ordered = false }), "sent out of turn"},
+		{"order", mutateClasses(func(c *balancer.Class) { c.Ordered = false }),
+			"before an earlier request of its key finished"},
 		{"order, quiet period",
 			mutation{settings: func(s *balancer.Settings) { s.KeyQuietPeriod = 0 }},
 			"in the quiet period of its key"},
@@ -301,12 +307,12 @@
 					return
 				}
 			}
-			t.Errorf("no violation with %q", tt.want)
+			t.Errorf("got no violation with %q in 60 seeds", tt.want)
 		})
 	}
 }
 
-// No seed leads to a broken rule.
+// The balancer breaks no rule, whatever the seed of the random events.
 func FuzzRulesUnderAnyOrder(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
--- a/balancer/throttle_test.go
+++ b/balancer/throttle_test.go
@@ -8,16 +8,17 @@
 	"ashshunt/balancer"
 )
 
-// Where an agent's part of the limit is under one attempt, it sends about as much as is served on time.
+// An agent whose share of the minimum limit is below one attempt sends about as many requests as are served
+// on time.
 func TestThrottleLimitsLateResponses(t *testing.T) {
 	sentFast, sentSlow := sentAtLatency(t, 80*ms), sentAtLatency(t, 600*ms)
 	if sentFast < 30 || sentSlow > 14 || sentSlow == 0 {
-		t.Errorf("%d of 30 requests were sent at 80 ms, %d at 600 ms, want all and under half", sentFast, sentSlow)
+		t.Errorf("got %d of 30 requests sent at 80 ms and %d at 600 ms, want all and 1 to 14", sentFast, sentSlow)
 	}
 }
 
-// sentAtLatency returns how many of the last 30 of 60 requests are sent, each with the latency of the responses
-// between it and the next. This agent's part of the least limit is a fifth of an attempt.
+// sentAtLatency submits 60 requests and returns how many of the last 30 are sent. Requests follow each other
+// at the latency of the responses. This agent's share of the minimum limit is a fifth of an attempt.
 func sentAtLatency(t *testing.T, latency time.Duration) (sent int) {
 	t.Helper()
 	s := settings()
@@ -37,7 +38,7 @@
 	}
 	answer := finalAnswer("last", append(h.request("last", idempotent), h.advance(2*time.Second)...))
 	if answer != "" == (len(h.sent["last"]) > 0) {
-		t.Errorf("at %v the last request was neither sent nor answered", latency)
+		t.Errorf("latency %v: want the last request either sent or answered", latency)
 	}
 	return sent
 }
--- a/balancer/validation_test.go
+++ b/balancer/validation_test.go
@@ -8,7 +8,7 @@
 	"ashshunt/balancer"
 )
 
-// A setting that makes no sense is reported by its path and value.
+// The error for an invalid setting contains the path of its field and its value.
 func TestNewRejectsSettings(t *testing.T) {
 	tests := []struct {
 		name string
@@ -48,7 +48,7 @@
 			s := settings()
 			tt.edit(&s)
 			if _, err := balancer.New(s, 1); err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v, want one with %q", err, tt.want)
+				t.Errorf("got error %v, want one with %q", err, tt.want)
 			}
 		})
 	}
