--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -358,7 +358,7 @@
 	return a
 }
 
-// The auditor detects each kind of violation. Each script violates one rule.
+// The auditor detects each kind of violation. Each script violates a rule.
 func TestAuditorDetectsViolations(t *testing.T) {
 	send := func(endpoint string) balancer.Action { return balancer.Send{Request: "q", Endpoint: endpoint} }
 	outcome := func(attempt int, result balancer.Result) balancer.Event {
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -42,13 +42,16 @@
 // # Picking
 //
 // The picker (picker.go) draws an idle endpoint at random. The weight of an endpoint is its listed size,
-// divided by the cube of its latency ratio. Endpoints in other zones have less weight if crossing zones has a
-// price. If no endpoint is idle, the picker selects the least loaded one.
+// divided by the cube of its latency ratio, which is its mean latency over the expected latency. Endpoints in
+// other zones have less weight if crossing zones has a price. If no endpoint is idle, the picker selects the
+// least loaded one.
 //
-// Each agent uses a deterministic subset of the endpoints (subset.go). The subset is the start of an order by
-// weighted rank, which is random and differs between agents. Connected endpoints come earlier in this order.
-// Unobserved endpoints, of which only the list entry is known, are kept sorted in this order (unobserved.go).
-// A pick does not visit them one by one, so that its cost does not grow with the fleet.
+// Each agent uses a deterministic subset of the endpoints (subset.go): those of the lowest weighted rank. The
+// rank of an endpoint is a random number, which differs between agents. The weighted rank is the rank divided
+// by the weight; it is lower for connected endpoints.
+//
+// Unobserved endpoints, of which only the list entry is known, are kept sorted by weighted rank
+// (unobserved.go). A pick does not visit them one by one, so that its cost does not grow with the fleet.
 //
 // With cache affinity the draw comes from a hash of the request's key (rendezvous hashing), so that all
 // agents send a key to the same endpoint.
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -133,7 +133,7 @@
 	LoadReport LoadReport
 }
 
-// TimerFired reports that the timer of a SetTimer has fired.
+// TimerFired reports that the timer of the SetTimer with the same token has fired.
 type TimerFired struct{ Token int64 }
 
 // GossipMessage is a message from another agent.
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -29,8 +29,10 @@
 	Priority     float64       // weight of a request, or of a unit of work if Settings.PriorityByWork is set
 	LatePriority float64       // share of Priority that a response between objective and deadline has
 	Idempotency  Idempotency   // effect of repeating a request
-	DedupScope   DedupScope    // endpoints that ignore repeats; used if IdempotentWithKey
-	DedupWindow  time.Duration // time for which they do, from the first attempt that may have run
+	// DedupScope and DedupWindow apply to IdempotentWithKey. Endpoints in DedupScope ignore a repeat within
+	// DedupWindow of the first attempt that may have run. A DedupWindow of 0 allows no repeats.
+	DedupScope  DedupScope
+	DedupWindow time.Duration
 	// Ordered makes requests with the same key run one at a time, in the order of their arrival. All ordered
 	// classes share one key space.
 	Ordered          bool
@@ -105,7 +107,7 @@
 	AllowHedging   bool          // a request may have two attempts in flight at once
 	AllowCancel    bool          // Balancer may return Cancel actions
 	SendRetryAfter bool          // the agent passes Reject.RetryAfter to clients
-	MaxRetryAfter  time.Duration // maximum Retry-After that clients honor
+	MaxRetryAfter  time.Duration // maximum Retry-After that clients honor; 0: none is returned
 	MaxOpen        int           // maximum number of open requests per agent; 0: no limit
 	Tick           time.Duration // minimum time between two steps, and resolution of timeouts; 0: none
 
@@ -115,14 +117,14 @@
 	IdleClose          time.Duration // time after which an unused connection closes; 0: never
 	CacheAffinity      bool          // an endpoint that recently served a key serves it again with less work
 	RejectedMayHaveRun bool          // an attempt with the result Rejected may have run
-	KeyQuietPeriod     time.Duration // Ordered: time without attempts for a key after TimedOut, Reset or Cancelled
+	KeyQuietPeriod     time.Duration // ordered keys: time without attempts after TimedOut, Reset or Cancelled
 
-	// Endpoint list.
+	// Endpoint list. The durations apply only if Subscribe is set.
 
 	Subscribe              bool          // the list must be subscribed to; false: it is always delivered
-	PollWithin             time.Duration // Subscribe: maximum time without a subscription
-	SubscribeSpread        time.Duration // Subscribe: maximum delay after a start or failure; 0: PollWithin
-	RefusedSubscribeSpread time.Duration // Subscribe: maximum delay after a refusal; 0: PollWithin
+	PollWithin             time.Duration // maximum time without a subscription
+	SubscribeSpread        time.Duration // maximum delay of Subscribe after a start or a failure; 0: PollWithin
+	RefusedSubscribeSpread time.Duration // maximum delay of Subscribe after a refusal; 0: PollWithin
 
 	// Slow start. An endpoint starts with SlowStartMinCapacity of its capacity, and has its full capacity
 	// after SlowStartDuration. It is overloaded and fails if it gets more than SlowStartOverloadMultiple
