--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -119,8 +119,8 @@
 	if b.settings.MaxOpen == 0 {
 		return
 	}
-	maxQueuedOpen := (1 - reservedOpenShare) * float64(b.settings.MaxOpen)
-	for float64(b.openRequestCount) > maxQueuedOpen && b.queue.len() > 0 {
+	maxOpenRequests := (1 - reservedOpenShare) * float64(b.settings.MaxOpen)
+	for float64(b.openRequestCount) > maxOpenRequests && b.queue.len() > 0 {
 		b.rejectOrFailUnlessInFlight(b.queue.lowestPriority(b.now))
 	}
 }
