--- a/balancer/class.go
+++ b/balancer/class.go
@@ -39,13 +39,13 @@
 	index                   int           // position in Settings.Classes
 	meanLatencyNs           float64       // moving average of the latencies of served requests
 	latencyUpdatedAt        time.Duration // time of the latest update of meanLatencyNs
-	meanWorkNs              float64       // moving average of the known expected work of requests; 0: none known
+	meanWorkNs              float64       // moving average of the expected work of requests; 0: unknown
 	medianTimeout           time.Duration // running estimate of the median timeout of first tries
 	arrivals                float64       // decayed count of requests
 	servedOnTime            float64       // decayed count of requests served within their objective
-	newConnOnTimeShare      float64       // moving share of attempts over new connections that were served on time
-	existingConnOnTimeShare float64       // moving share of attempts over existing connections that were served on time
-	goalGainPerWork         float64       // gain in the operator's goal per nanosecond of work; see updatePriorities
+	newConnOnTimeShare      float64       // moving on-time share of attempts over new connections
+	existingConnOnTimeShare float64       // moving on-time share of attempts over existing connections
+	goalGainPerWork         float64       // gain in the operator's goal per nanosecond of work
 }
 
 func newClassStats(class Class, index int) *classStats {
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -86,7 +86,7 @@
 const (
 	Served        Result = iota // the client received the response
 	ServerError                 // the endpoint returned an error; may have run
-	Rejected                    // the endpoint shed the request; never ran, unless Settings.RejectedMayHaveRun
+	Rejected                    // the endpoint shed it; never ran, unless Settings.RejectedMayHaveRun is set
 	TimedOut                    // no response in time; may have run or may still run
 	ConnectFailed               // the connection could not be established; never ran
 	Reset                       // the connection broke; may have run
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -7,10 +7,10 @@
 
 // The phases of a request.
 const (
-	phaseActive     requestPhase = iota // waiting for the outcomes of its attempts, if any; also the initial phase
+	phaseActive     requestPhase = iota // waiting for outcomes of its attempts; also the initial phase
 	phaseQueued                         // waiting in the admission queue
 	phaseBackingOff                     // waiting for the backoff before a retry
-	phaseFinished                       // has its final answer, or needs none because the client has disconnected
+	phaseFinished                       // has its final answer, or its client has disconnected
 )
 
 // request is a client's request that is open or has attempts in flight.
@@ -38,7 +38,7 @@
 	lastFailedEndpoint *endpoint // endpoint of the latest attempt that failed or was hedged; nil: none
 
 	keyQueue      *keyQueue     // queue of the key; nil: the request is not ordered
-	keyQuietUntil time.Duration // end of the quiet period for the key, after an attempt that may still be running
+	keyQuietUntil time.Duration // end of the quiet period that its attempts cause for the key; 0: none
 	timerToken    int64         // token of the latest timer, which voids earlier ones; 0: none
 }
 
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -24,7 +24,7 @@
 
 // Class contains the settings of one class of requests.
 type Class struct {
-	Objective    time.Duration // latency objective: a response within it has the full priority; must be positive
+	Objective    time.Duration // latency within which a response has the full priority; must be positive
 	Deadline     time.Duration // total time that a client waits, over all its tries; must be positive
 	Priority     float64       // weight of a request, or of a unit of work if Settings.PriorityByWork is set
 	LatePriority float64       // share of Priority that a response between objective and deadline has
@@ -94,7 +94,7 @@
 
 	// Requests and their value.
 
-	Classes         []Class // at least one; the first class is the time scale for state that all classes share
+	Classes         []Class // at least one; the first one is the time scale for state that all share
 	PriorityByWork  bool    // Class.Priority is per unit of work; false: per request
 	GoalOverall     float64 // weight, in the operator's goal, of the priority served overall
 	GoalWorstWindow float64 // weight of the priority served in the worst time window
@@ -123,7 +123,7 @@
 
 	Subscribe              bool          // the list must be subscribed to; false: it is always delivered
 	PollWithin             time.Duration // maximum time without a subscription
-	SubscribeSpread        time.Duration // maximum delay of Subscribe after a start or a failure; 0: PollWithin
+	SubscribeSpread        time.Duration // maximum delay of Subscribe after a start or failure; 0: PollWithin
 	RefusedSubscribeSpread time.Duration // maximum delay of Subscribe after a refusal; 0: PollWithin
 
 	// Slow start. An endpoint starts with SlowStartMinCapacity of its capacity, and has its full capacity
@@ -155,7 +155,7 @@
 	DrainGrace        time.Duration    // time for which attempts at a draining endpoint are still tolerated
 	ResponseGrace     time.Duration    // time after the deadline up to which a final answer still counts
 	GoalWorstTenant   float64          // weight of the priority served for the worst tenant within its share
-	OverQuotaPriority float64          // weight of a request beyond its tenant's share, relative to one within
+	OverQuotaPriority float64          // weight of a request beyond its tenant's share, relative to others
 
 	// Further prices, not used by Balancer. Each is the cost of the stated amount, as a share of the
 	// operator's goal.
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -6,7 +6,7 @@
 type timerTable struct {
 	lastToken      int64              // latest token that was issued
 	requests       map[int64]*request // requests that wait for a timer, by token
-	subscribeToken int64              // token of the latest timer for a Subscribe, which voids earlier ones; 0: none
+	subscribeToken int64              // token of the latest timer for a Subscribe; earlier ones are void
 }
 
 func newTimerTable() timerTable { return timerTable{requests: map[int64]*request{}} }
