--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -6,11 +6,11 @@
 	// overdueObjectiveShare is the least time without a response, as a share of the objective, that makes an
 	// attempt overdue.
 	overdueObjectiveShare = 0.35
-	// overdueLatencies is the same in expected latencies, which are long where all endpoints are crowded.
-	overdueLatencies = 6.0
-	// minInformativeShare is the least time, as a share of the objective, for which a client must wait for
+	// overdueExpectedLatencies is the same in expected latencies, which are long where all endpoints are crowded.
+	overdueExpectedLatencies = 6.0
+	// minInformativeTimeoutShare is the least time, as a share of the objective, for which a client must wait for
 	// the result to carry information about the endpoint.
-	minInformativeShare = overdueObjectiveShare
+	minInformativeTimeoutShare = overdueObjectiveShare
 	// minExpectedLatencyNs keeps divisions by an expected latency finite.
 	minExpectedLatencyNs = 1.0
 )
@@ -21,20 +21,20 @@
 	sentAt            time.Duration
 	expectedLatencyNs float64       // at least minExpectedLatencyNs
 	overdueAfter      time.Duration // without a response for longer, its endpoint may be unresponsive
-	inFlight          bool
-	newConnection     bool // the endpoint was not connected
+	isInFlight        bool
+	usesNewConnection bool // the endpoint was not connected
 }
 
-func newAttempt(r *request, ep *endpoint, now time.Duration, newConnection bool) *attempt {
+func newAttempt(r *request, ep *endpoint, now time.Duration, usesNewConnection bool) *attempt {
 	expectedNs := r.expectedLatencyNs()
-	overdueNs := max(overdueObjectiveShare*float64(r.class.Objective), overdueLatencies*expectedNs)
+	overdueNs := max(overdueObjectiveShare*float64(r.class.Objective), overdueExpectedLatencies*expectedNs)
 	return &attempt{
 		endpoint:          ep,
 		sentAt:            now,
 		expectedLatencyNs: max(expectedNs, minExpectedLatencyNs),
 		overdueAfter:      time.Duration(overdueNs),
-		inFlight:          true,
-		newConnection:     newConnection,
+		isInFlight:        true,
+		usesNewConnection: usesNewConnection,
 	}
 }
 
@@ -45,22 +45,22 @@
 	return float64(latency) / a.expectedLatencyNs
 }
 
-// hadLittleTime reports whether the client of an attempt waited for so short a time that the result carries
+// hasShortTimeout reports whether the client of an attempt waited for so short a time that the result carries
 // no information about the endpoint.
-func (a *attempt) hadLittleTime(r *request) bool {
-	leastNs := minInformativeShare * float64(min(r.class.Objective, r.class.Deadline))
-	return r.deadline-a.sentAt < time.Duration(leastNs)
+func (a *attempt) hasShortTimeout(r *request) bool {
+	minTimeoutNs := minInformativeTimeoutShare * float64(min(r.class.Objective, r.class.Deadline))
+	return r.deadline-a.sentAt < time.Duration(minTimeoutNs)
 }
 
 // send starts an attempt. It is the only place that does. The queue and the picker have checked the rules for
 // attempts; they are checked once more, so that a mistake there cannot break them.
 func (b *Balancer) send(r *request, ep *endpoint) {
-	allowed := b.attemptRules.allow(r, ep, b.now) && r.isNextOfKey(b.now)
-	if ep.State != Serving || !allowed || b.now >= r.deadline {
+	isAllowed := b.attemptRules.allows(r, ep, b.now) && r.isNextOfKey(b.now)
+	if ep.State != Serving || !isAllowed || b.now >= r.deadline {
 		b.answerUnserved(r)
 		return
 	}
-	notAfter := r.repeatWindowEnd() // before this attempt counts
+	notAfter := r.dedupWindowEnd() // before this attempt counts
 	a := newAttempt(r, ep, b.now, !ep.isConnected(b.now, b.settings.IdleClose))
 	r.addAttempt(a)
 	b.endpoints.markObserved(ep)
@@ -69,7 +69,7 @@
 	if len(r.attempts) == 1 {
 		b.traffic.observeSent()
 	}
-	if ep.warmUp.active {
+	if ep.warmUp.isActive {
 		b.slowStart.scheduleNextPermit(ep, b.now, a.expectedLatencyNs, b.fleet)
 	}
 	b.act(Send{Request: r.id, Endpoint: ep.ID, NotAfter: notAfter})
@@ -77,9 +77,9 @@
 	b.scheduleHedge(r)
 }
 
-// endAttempt takes an attempt out of the counts of those in flight. One that may still be running starts the
+// finishAttempt takes an attempt out of the counts of those in flight. One that may still be running starts the
 // quiet period of its request's key.
-func (b *Balancer) endAttempt(r *request, a *attempt, result Result) {
+func (b *Balancer) finishAttempt(r *request, a *attempt, result Result) {
 	r.endAttempt(a, b.settings.MayHaveRun(result))
 	a.endpoint.removeAttempt(a)
 	b.attemptsInFlight--
--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -10,7 +10,7 @@
 
 // The time-outs of clients with little time left do not eject endpoints, and the fast responses that alone reach such
 // clients do not count as the usual latency, which is 100 ms here.
-func TestAttemptsWithLittleTimeAreIgnored(t *testing.T) {
+func TestShortTimeoutsAreIgnored(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.serve(200, idempotent, 100*ms)
 	responseOf := faultAtA(response{balancer.TimedOut, 100 * ms}, response{balancer.Served, 100 * ms})
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -89,7 +89,7 @@
 	b.actions = nil
 	b.keyQueues.expire(b.now)
 	b.traffic.decay(b.now)
-	b.measureFleet()
+	b.updateFleet()
 	for _, event := range events {
 		b.apply(event)
 	}
@@ -104,12 +104,12 @@
 	case Request:
 		b.onRequest(event)
 	case Outcome:
-		b.onOutcome(event)
+		b.handleOutcome(event)
 	case TimerFired:
 		b.onTimer(event.Token)
 	case EndpointList:
-		b.onEndpointList(event)
-		b.measureFleet()
+		b.handleEndpointList(event)
+		b.updateFleet()
 	case StreamStarted:
 		b.onStreamStarted(event)
 	case Abandoned:
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -100,7 +100,7 @@
 	const mostGrowth = 2
 	few, _ := largeFleet(t, 200)
 	many, _ := largeFleet(t, 3200)
-	if n, m := few.EndpointsLookedAt(), many.EndpointsLookedAt(); m > mostGrowth*n {
+	if n, m := few.EndpointsVisited(), many.EndpointsVisited(); m > mostGrowth*n {
 		t.Errorf("with 3,200 endpoints a step and a pick look at %d, with 200 at %d", m, n)
 	}
 }
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -8,9 +8,9 @@
 const (
 	// maxEjectionLevel bounds the length of ejections: the longest is 2^(maxEjectionLevel-1) times the first.
 	maxEjectionLevel = 5.0
-	// ejectionRecovery is the number of levels that a served attempt takes back: four make up for one
+	// levelRecoveryPerServed is the number of levels that a served attempt takes back: four make up for one
 	// ejection.
-	ejectionRecovery = 0.25
+	levelRecoveryPerServed = 0.25
 	// classEjectionObjectives is the length of the first ejection for one class, in objectives.
 	classEjectionObjectives = 8.0
 	// probationMultiple is how long after its ejection began an endpoint gets no request that is not
@@ -22,18 +22,18 @@
 type ejectionState struct {
 	consecutiveFailures int
 	firstFailureAt      time.Duration // the first of these
-	unreachable         bool          // connections failed or broke since it last served
+	isUnreachable       bool          // connections failed or broke since it last served
 	level               float64       // each ejection raises it, each served attempt lowers it
 	ejectedAt           time.Duration
 	ejectedUntil        time.Duration
-	avoidedUntil        time.Duration // it shed a request or refused a connection a moment ago
+	skippedUntil        time.Duration // it shed a request or refused a connection a moment ago
 	byClass             []classEjection
 }
 
 // classEjection keeps an endpoint from the requests of one class.
 type classEjection struct {
-	until time.Duration
-	level float64 // as ejectionState.level, by time-outs of this class
+	ejectedUntil time.Duration
+	level        float64 // as ejectionState.level, by time-outs of this class
 }
 
 // eject keeps the endpoint from all requests for a number of objectives that doubles with each level.
@@ -48,27 +48,27 @@
 func (e *classEjection) eject(now, objective time.Duration) {
 	e.level = min(e.level+1, maxEjectionLevel)
 	objectives := classEjectionObjectives * math.Exp2(e.level-1)
-	e.until = now + time.Duration(objectives*float64(objective))
+	e.ejectedUntil = now + time.Duration(objectives*float64(objective))
 }
 
-// avoidUntil keeps the endpoint from new attempts for a moment.
-func (e *ejectionState) avoidUntil(until time.Duration) { e.avoidedUntil = until }
+// skipUntil keeps the endpoint from new attempts for a moment.
+func (e *ejectionState) skipUntil(until time.Duration) { e.skippedUntil = until }
 
 // markUnreachable notes that connections to the endpoint fail or break.
-func (e *ejectionState) markUnreachable() { e.unreachable = true }
+func (e *ejectionState) markUnreachable() { e.isUnreachable = true }
 
 func (e *ejectionState) isEjected(now time.Duration) bool { return now < e.ejectedUntil }
 
-// observeServed notes a served attempt of a class.
-func (e *ejectionState) observeServed(class *classStats) {
-	e.unreachable = false
+// recordServed notes a served attempt of a class.
+func (e *ejectionState) recordServed(class *classStats) {
+	e.isUnreachable = false
 	e.consecutiveFailures = 0
-	e.level = max(0, e.level-ejectionRecovery)
+	e.level = max(0, e.level-levelRecoveryPerServed)
 	e.byClass[class.index] = classEjection{}
 }
 
-// observeFailure notes a failed attempt and reports whether it is the first in a row.
-func (e *ejectionState) observeFailure(now time.Duration) (isFirst bool) {
+// recordFailure notes a failed attempt and reports whether it is the first in a row.
+func (e *ejectionState) recordFailure(now time.Duration) (isFirst bool) {
 	e.consecutiveFailures++
 	if e.consecutiveFailures > 1 {
 		return false
@@ -77,9 +77,9 @@
 	return true
 }
 
-// observeStart ends the ejection, which was that of the process before, but not those for single classes.
-func (e *ejectionState) observeStart() {
-	e.level, e.ejectedUntil, e.unreachable = 0, 0, false
+// resetOnRestart ends the ejection, which was that of the process before, but not those for single classes.
+func (e *ejectionState) resetOnRestart() {
+	e.level, e.ejectedUntil, e.isUnreachable = 0, 0, false
 }
 
 // probationAllows reports whether an endpoint that recovers from an ejection may get a request of a class. A
@@ -88,15 +88,15 @@
 	if class.Idempotency != NotIdempotent {
 		return true
 	}
-	ejection := e.ejectedUntil - e.ejectedAt
-	return now >= e.ejectedAt+probationMultiple*ejection
+	duration := e.ejectedUntil - e.ejectedAt
+	return now >= e.ejectedAt+probationMultiple*duration
 }
 
 // isHealthyFor reports whether an endpoint may get a request of a class as ordinary traffic. After an
 // ejection it gets one attempt at a time until it has recovered.
 func (ep *endpoint) isHealthyFor(class *classStats, now time.Duration) bool {
 	e := &ep.ejection
-	if e.isEjected(now) || ep.isUnresponsive(now) || now < e.byClass[class.index].until {
+	if e.isEjected(now) || ep.isUnresponsive(now) || now < e.byClass[class.index].ejectedUntil {
 		return false
 	}
 	return e.level == 0 || e.probationAllows(class, now) && len(ep.inFlight) == 0
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -21,7 +21,7 @@
 }
 
 // When all endpoints are ejected, first attempts are still sent.
-func TestAllEjected(t *testing.T) {
+func TestSendsWhenAllEjected(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
 	h := newHarness(t, s, 4, endpoints(2))
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -30,8 +30,8 @@
 	return ep
 }
 
-// isGone reports whether it was removed and none of its attempts is in flight.
-func (ep *endpoint) isGone() bool { return ep.State == Removed && len(ep.inFlight) == 0 }
+// isUnused reports whether it was removed and none of its attempts is in flight.
+func (ep *endpoint) isUnused() bool { return ep.State == Removed && len(ep.inFlight) == 0 }
 
 // markRemoved notes that it is no longer listed.
 func (ep *endpoint) markRemoved() { ep.State = Removed }
@@ -64,46 +64,46 @@
 	return ep.responses.lastServedAt < oldest.sentAt && oldest.isOverdue(now)
 }
 
-// probablyRestartedBefore reports whether an endpoint that serves an attempt was probably restarted before
+// hasProbablyRestartedBefore reports whether an endpoint that serves an attempt was probably restarted before
 // the attempt was sent, though the list has not said so yet: it was unreachable, its failures began before
 // the attempt, and no later start is known.
-func (ep *endpoint) probablyRestartedBefore(a *attempt) bool {
-	return ep.ejection.unreachable && ep.warmUp.startedAt < a.sentAt && ep.ejection.firstFailureAt < a.sentAt
+func (ep *endpoint) hasProbablyRestartedBefore(a *attempt) bool {
+	return ep.ejection.isUnreachable && ep.warmUp.startedAt < a.sentAt && ep.ejection.firstFailureAt < a.sentAt
 }
 
 // isUsable reports whether its capacity counts as part of the fleet's.
 func (ep *endpoint) isUsable(now time.Duration) bool {
-	healthy := !ep.ejection.unreachable && !ep.ejection.isEjected(now) && !ep.isUnresponsive(now)
-	return ep.State == Serving && healthy
+	isHealthy := !ep.ejection.isUnreachable && !ep.ejection.isEjected(now) && !ep.isUnresponsive(now)
+	return ep.State == Serving && isHealthy
 }
 
 // connectionState is what is known of the agent's connections to an endpoint.
 type connectionState struct {
-	connected          bool // the latest attempt left a connection that may be used again
+	isConnected        bool // the latest attempt left a connection that may be used again
 	lastUsedAt         time.Duration
-	latestAnsweredSend time.Duration // send time of the latest attempt that was answered
+	lastAnsweredSentAt time.Duration // send time of the latest attempt that was answered
 }
 
 // mayBeOpen reports whether an idle connection is probably still open.
 func (c *connectionState) mayBeOpen(now, idleClose time.Duration) bool {
-	return c.connected && (idleClose == 0 || now-c.lastUsedAt < idleClose)
+	return c.isConnected && (idleClose == 0 || now-c.lastUsedAt < idleClose)
 }
 
 // markDisconnected notes that the connections may be stuck, or are gone with the endpoint's process.
-func (c *connectionState) markDisconnected() { c.connected = false }
+func (c *connectionState) markDisconnected() { c.isConnected = false }
 
-// observe learns from the end of an attempt.
-func (c *connectionState) observe(now time.Duration, a *attempt, answered bool) {
-	c.connected = answered
+// recordResult learns from the end of an attempt.
+func (c *connectionState) recordResult(now time.Duration, a *attempt, isAnswered bool) {
+	c.isConnected = isAnswered
 	c.lastUsedAt = now
-	if answered {
-		c.latestAnsweredSend = max(c.latestAnsweredSend, a.sentAt)
+	if isAnswered {
+		c.lastAnsweredSentAt = max(c.lastAnsweredSentAt, a.sentAt)
 	}
 }
 
 const (
-	// latencyRatioPrior is the number of responses that the ratio of 1 counts for at a new endpoint.
-	latencyRatioPrior = 2.0
+	// latencyRatioPriorSamples is the number of responses that the ratio of 1 counts for at a new endpoint.
+	latencyRatioPriorSamples = 2.0
 	// maxLatencyRatioSample is the largest latency ratio that one response counts with.
 	maxLatencyRatioSample = 8.0
 )
@@ -113,32 +113,32 @@
 	hasServed    bool // since it started
 	lastServedAt time.Duration
 	latencyRatio float64 // mean of its latencies over the expected ones; 0: none observed
-	samples      float64 // latencies that the mean rests on
+	sampleCount  float64 // latencies that the mean rests on
 }
 
 // ratio is how many times the expected latency it takes.
 func (s *responseStats) ratio() float64 { return cmp.Or(s.latencyRatio, 1) }
 
-// observeServed notes a response.
-func (s *responseStats) observeServed(now time.Duration) {
+// recordServed notes a response.
+func (s *responseStats) recordServed(now time.Duration) {
 	s.lastServedAt, s.hasServed = now, true
 }
 
-// observeRatio learns from one latency over the expected one.
-func (s *responseStats) observeRatio(sample float64) {
-	s.samples++
+// updateLatencyRatio learns from one latency over the expected one.
+func (s *responseStats) updateLatencyRatio(sample float64) {
+	s.sampleCount++
 	s.latencyRatio = s.ratio()
-	weight := max(smoothing, 1/(s.samples+latencyRatioPrior))
+	weight := max(smoothing, 1/(s.sampleCount+latencyRatioPriorSamples))
 	s.latencyRatio += weight * (min(sample, maxLatencyRatioSample) - s.latencyRatio)
 }
 
-// observeNoResponse lets the next responses count for more, and forgets that the endpoint was faster than
+// recordNoResponse lets the next responses count for more, and forgets that the endpoint was faster than
 // others.
-func (s *responseStats) observeNoResponse() {
-	s.latencyRatio, s.samples = max(s.latencyRatio, 1), 0
+func (s *responseStats) recordNoResponse() {
+	s.latencyRatio, s.sampleCount = max(s.latencyRatio, 1), 0
 }
 
-// observeStart drops the statistics of the process before, but for the time of its last response.
-func (s *responseStats) observeStart() {
-	s.hasServed, s.latencyRatio, s.samples = false, 0, 0
+// resetOnRestart drops the statistics of the process before, but for the time of its last response.
+func (s *responseStats) resetOnRestart() {
+	s.hasServed, s.latencyRatio, s.sampleCount = false, 0, 0
 }
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -36,19 +36,19 @@
 
 // update takes over what the list now says of an endpoint.
 func (s *endpointSet) update(ep *endpoint, entry Endpoint) {
-	changesPlace := !ep.isObserved && (entry.Zone != ep.Zone || entry.Weight != ep.Weight)
-	if changesPlace {
+	needsReorder := !ep.isObserved && (entry.Zone != ep.Zone || entry.Weight != ep.Weight)
+	if needsReorder {
 		s.unobserved.remove(ep)
 	}
 	ep.Endpoint = entry
-	if changesPlace {
+	if needsReorder {
 		s.unobserved.add(ep)
 	}
 }
 
-// removeIfGone drops an endpoint that was removed and has no attempt in flight. Such an endpoint is observed.
-func (s *endpointSet) removeIfGone(ep *endpoint) {
-	if !ep.isGone() {
+// removeIfUnused drops an endpoint that was removed and has no attempt in flight. Such an endpoint is observed.
+func (s *endpointSet) removeIfUnused(ep *endpoint) {
+	if !ep.isUnused() {
 		return
 	}
 	s.all = deleteEndpoint(s.all, ep)
@@ -68,12 +68,12 @@
 		}
 		s.markObserved(ep)
 		ep.markRemoved()
-		if ep.isGone() {
+		if ep.isUnused() {
 			delete(s.byID, ep.ID)
 		}
 	}
-	s.all = slices.DeleteFunc(s.all, (*endpoint).isGone)
-	s.observed = slices.DeleteFunc(s.observed, (*endpoint).isGone)
+	s.all = slices.DeleteFunc(s.all, (*endpoint).isUnused)
+	s.observed = slices.DeleteFunc(s.observed, (*endpoint).isUnused)
 }
 
 // ejectedCount is the number of serving endpoints that are ejected.
@@ -96,10 +96,10 @@
 	return slices.Delete(endpoints, i, i+1)
 }
 
-// onEndpointList applies an endpoint list, or the failure to get one.
-func (b *Balancer) onEndpointList(list EndpointList) {
-	if wait, ok := b.subscriber.next(list.Kind); ok {
-		b.timers.registerSubscribe(b.setTimer(wait))
+// handleEndpointList applies an endpoint list, or the failure to get one.
+func (b *Balancer) handleEndpointList(list EndpointList) {
+	if delay, ok := b.subscriber.handleList(list.Kind); ok {
+		b.timers.registerSubscribe(b.setTimer(delay))
 	}
 	if list.Kind.hasFailed() {
 		return
@@ -126,9 +126,9 @@
 		b.endpoints.markObserved(ep)
 	}
 	if entry.StartedAt > ep.StartedAt {
-		b.onEndpointStarted(ep, min(max(entry.StartedAt, ep.warmUp.startedAt), b.now))
-		ep.ejection.observeStart()
+		b.handleEndpointStarted(ep, min(max(entry.StartedAt, ep.warmUp.startedAt), b.now))
+		ep.ejection.resetOnRestart()
 	}
 	b.endpoints.update(ep, entry)
-	b.endpoints.removeIfGone(ep)
+	b.endpoints.removeIfUnused(ep)
 }
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -11,7 +11,7 @@
 )
 
 // An endpoint that drains, was removed, or is missing from a complete list gets no request.
-func TestDrainingAndRemoved(t *testing.T) {
+func TestNoRequestsToDrainingOrRemoved(t *testing.T) {
 	tests := []struct {
 		name string
 		list balancer.EndpointList
@@ -50,7 +50,7 @@
 }
 
 // An endpoint that was removed and started again under the same ID gets its share of the traffic once it is warm.
-func TestRemovedEndpointReturns(t *testing.T) {
+func TestReaddedEndpointGetsTraffic(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(2))
 	h.serve(50, idempotent, 20*ms)
 	h.changeList(balancer.Endpoint{ID: "a", State: balancer.Removed})
@@ -63,7 +63,7 @@
 }
 
 // Endpoints that were removed are dropped once their last attempt has its outcome.
-func TestRemovedEndpointsAreDropped(t *testing.T) {
+func TestRemovedEndpointsAreDeleted(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(1))
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
@@ -80,7 +80,7 @@
 }
 
 // Each endpoint is either observed or in its place among the unobserved ones, whatever the lists and the outcomes are.
-func TestPlacesOfEndpoints(t *testing.T) {
+func TestEndpointSetInvariants(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		s := settings()
@@ -95,7 +95,7 @@
 				h.outcome(id, balancer.Result(rng.IntN(9)), ms)
 			}
 			h.advance(time.Duration(rng.IntN(200)) * ms)
-			if err := h.balancer.CheckPlaces(); err != nil {
+			if err := h.balancer.ValidateEndpointSet(); err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, i, err)
 			}
 		}
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -21,36 +21,37 @@
 	return max(len(set.all), len(set.byID), len(set.observed)+set.unobserved.len())
 }
 
-// CheckPlaces returns an error unless each endpoint is either observed or in its place among the unobserved ones.
-func (b *Balancer) CheckPlaces() error {
+// ValidateEndpointSet returns an error unless each endpoint is listed once, as observed or as unobserved, and
+// the unobserved ones are in rank order.
+func (b *Balancer) ValidateEndpointSet() error {
 	set := &b.endpoints
 	if len(set.all) != len(set.observed)+set.unobserved.len() || len(set.all) != len(set.byID) {
 		return fmt.Errorf("%d endpoints, %d by ID, %d observed, %d unobserved", len(set.all),
 			len(set.byID), len(set.observed), set.unobserved.len())
 	}
-	for _, order := range []rankOrder{set.unobserved.ownZone, set.unobserved.otherZones} {
-		if !slices.IsSortedFunc(order, compareUnobserved) {
+	for _, ranked := range []rankedEndpoints{set.unobserved.ownZone, set.unobserved.otherZones} {
+		if !slices.IsSortedFunc(ranked, compareUnobservedRank) {
 			return errors.New("the unobserved endpoints are not in order")
 		}
 	}
 	for _, ep := range set.all {
-		place := []*endpoint(*set.unobserved.orderOf(ep))
+		list := []*endpoint(*set.unobserved.rankedListOf(ep))
 		if ep.isObserved {
-			place = set.observed
-		} else if ep.State != Serving || len(ep.inFlight) > 0 || ep.warmUp.active {
+			list = set.observed
+		} else if ep.State != Serving || len(ep.inFlight) > 0 || ep.warmUp.isActive {
 			return fmt.Errorf("%s counts as unobserved", ep.ID)
 		}
-		if !slices.Contains(place, ep) {
+		if !slices.Contains(list, ep) {
 			return fmt.Errorf("%s is not where it belongs", ep.ID)
 		}
 	}
 	return nil
 }
 
-// EndpointsLookedAt counts the endpoints that a step and the pick for a new request look at one by one.
-func (b *Balancer) EndpointsLookedAt() int {
-	info := b.picker.pickInfo(&request{class: b.classes[0]}, b.now, b.fleet, minSubset)
+// EndpointsVisited counts the endpoints that a step and the pick for a new request look at one by one.
+func (b *Balancer) EndpointsVisited() int {
+	info := b.picker.newPickInfo(&request{class: b.classes[0]}, b.now, b.fleet, minSubsetSize)
 	var candidates candidateSet
-	b.picker.collect(&info, &candidates)
-	return len(b.endpoints.observed) + len(candidates.members) + len(candidates.outsiders)
+	b.picker.collectCandidates(&info, &candidates)
+	return len(b.endpoints.observed) + len(candidates.members) + len(candidates.fallbacks)
 }
--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -18,16 +18,16 @@
 	for _, ep := range s.observed {
 		if ep.State == Serving {
 			fleet.serving++
-			if !ep.warmUp.active {
+			if !ep.warmUp.isActive {
 				fleet.warm++
 			}
 		}
-		usable := ep.isUsable(now)
-		if usable {
-			fleet.capacity += slowStart.advanceWarmUp(ep, now)
+		isUsable := ep.isUsable(now)
+		if isUsable {
+			fleet.capacity += slowStart.updateWarmUp(ep, now)
 		}
 		for _, a := range ep.inFlight {
-			if !usable || a.isOverdue(now) {
+			if !isUsable || a.isOverdue(now) {
 				fleet.stalled++
 			}
 		}
@@ -35,7 +35,7 @@
 	return fleet
 }
 
-func (b *Balancer) measureFleet() { b.fleet = b.endpoints.summarize(b.now, &b.slowStart) }
+func (b *Balancer) updateFleet() { b.fleet = b.endpoints.summarize(b.now, &b.slowStart) }
 
 // activeInFlight is the number of attempts in flight that may still be served: those that the concurrency
 // limit bounds. It is too low, even under zero, once stalled attempts have ended since the fleet was
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -8,7 +8,7 @@
 )
 
 // Attempts in flight at an unresponsive endpoint do not use up the capacity of the others once it is ejected.
-func TestHangingAttemptsUseNoCapacity(t *testing.T) {
+func TestStalledAttemptsUseNoCapacity(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
 	h := newHarness(t, s, 1, endpoints(3))
--- a/balancer/fleetsim_test.go
+++ b/balancer/fleetsim_test.go
@@ -15,30 +15,30 @@
 // fleetSimulation runs many balancers against endpoints of two cores each, which warm up as slowly as the
 // settings allow.
 type fleetSimulation struct {
-	agents, endpoints int
-	started           int           // endpoints that start at the change
-	removed           int           // other endpoints that are removed at the change
-	restartAgents     bool          // all agents restart at the change, without state
-	load              float64       // of the capacity of the endpoints before the change
-	work              time.Duration // mean of a request, on one core
-	changeAt, length  time.Duration
-	settings          balancer.Settings
+	agentCount, endpointCount int
+	startCount                int           // endpoints that start at the change
+	removeCount               int           // other endpoints that are removed at the change
+	restartAgents             bool          // all agents restart at the change, without state
+	load                      float64       // of the capacity of the endpoints before the change
+	meanWork                  time.Duration // mean of a request, on one core
+	changeAt, duration        time.Duration
+	settings                  balancer.Settings
 
-	rng     *rand.Rand
-	now     time.Duration
-	queue   eventQueue
-	list    []balancer.Endpoint
-	servers []*simulatedEndpoint
-	fleet   []*simulatedAgent
-	arrived int // requests since the change
-	served  int // responses since the change
+	rng       *rand.Rand
+	now       time.Duration
+	queue     eventQueue
+	list      []balancer.Endpoint
+	servers   []*simulatedEndpoint
+	agents    []*simulatedAgent
+	requests  int // requests since the change
+	responses int // responses since the change
 }
 
 // simulatedEndpoint serves requests in the order of their arrival.
 type simulatedEndpoint struct {
 	balancer.Endpoint
 	coreFreeAt [2]time.Duration
-	sent       []time.Duration // when requests arrived since its start
+	arrivals   []time.Duration // when requests arrived since its start
 }
 
 // simulatedAgent is a balancer, and what its agent keeps for it.
@@ -91,11 +91,11 @@
 	const runs = 8
 	for i := range uint64(runs) {
 		run := f
-		run.run(t, uint64(f.agents)+i)
-		for _, server := range run.servers[:f.started] {
+		run.run(t, uint64(f.agentCount)+i)
+		for _, server := range run.servers[:f.startCount] {
 			worstOverload = max(worstOverload, run.overload(server))
 		}
-		servedShare += float64(run.served) / float64(run.arrived) / runs
+		servedShare += float64(run.responses) / float64(run.requests) / runs
 	}
 	return worstOverload, servedShare
 }
@@ -104,9 +104,9 @@
 func (f *fleetSimulation) run(t *testing.T, seed uint64) {
 	t.Helper()
 	f.rng = rand.New(rand.NewPCG(seed, 2))
-	f.settings.Agents = f.agents
+	f.settings.Agents = f.agentCount
 	f.now = time.Hour
-	change, end := f.now+f.changeAt, f.now+f.length
+	change, end := f.now+f.changeAt, f.now+f.duration
 	f.addEndpoints()
 	f.scheduleRequests(f.addAgents(t), change, end)
 	changed := false
@@ -115,7 +115,7 @@
 		f.now = max(f.now, next.at)
 		if !changed && f.now >= change {
 			changed = true
-			f.change(t, change)
+			f.applyChange(t, change)
 		}
 		f.deliver(next, change)
 	}
@@ -130,14 +130,14 @@
 		}
 	case balancer.Outcome:
 		if event.Result == balancer.Served && f.now >= change { // some of them arrived before
-			f.served++
+			f.responses++
 		}
 	}
 	f.step(next.agent, next.event)
 }
 
 func (f *fleetSimulation) addEndpoints() {
-	for i := range f.endpoints {
+	for i := range f.endpointCount {
 		entry := balancer.Endpoint{ID: fmt.Sprint("b", i), Zone: 0}
 		f.list = append(f.list, entry)
 		f.servers = append(f.servers, &simulatedEndpoint{Endpoint: entry})
@@ -147,10 +147,10 @@
 // addAgents adds the agents and returns the share of the requests that each gets, not normalized.
 func (f *fleetSimulation) addAgents(t *testing.T) []float64 {
 	t.Helper()
-	weights := make([]float64, f.agents)
+	weights := make([]float64, f.agentCount)
 	for i := range weights {
 		agent := &simulatedAgent{}
-		f.fleet = append(f.fleet, agent)
+		f.agents = append(f.agents, agent)
 		f.startAgent(t, agent, i)
 		f.schedule(f.now, agent, balancer.EndpointList{Kind: balancer.ListCached, Endpoints: f.list})
 		weights[i] = math.Exp(0.8 * f.rng.NormFloat64()) // some get several times the mean
@@ -177,31 +177,31 @@
 	for _, weight := range weights {
 		sum += weight
 	}
-	rate := f.load * 2 * float64(f.endpoints) / f.work.Seconds()
+	rate := f.load * 2 * float64(f.endpointCount) / f.meanWork.Seconds()
 	for at := f.now; at < end; at += time.Duration(f.rng.ExpFloat64() / rate * 1e9) {
 		u, i := f.rng.Float64()*sum, 0
 		for u -= weights[i]; u > 0; u -= weights[i] {
 			i++
 		}
 		request := balancer.Request{ID: fmt.Sprint("q", at), Class: idempotent, Timeout: 2000 * ms}
-		f.schedule(at, f.fleet[i], request)
+		f.schedule(at, f.agents[i], request)
 		if at >= change {
-			f.arrived++
+			f.requests++
 		}
 	}
 }
 
-// change starts and removes endpoints, and notifies the agents.
-func (f *fleetSimulation) change(t *testing.T, at time.Duration) {
+// applyChange starts and removes endpoints, and notifies the agents.
+func (f *fleetSimulation) applyChange(t *testing.T, at time.Duration) {
 	t.Helper()
-	affected := f.started + f.removed
+	affected := f.startCount + f.removeCount
 	for i, server := range f.servers[:affected] {
-		if f.list[i].StartedAt = at; i >= f.started {
+		if f.list[i].StartedAt = at; i >= f.startCount {
 			f.list[i].StartedAt, f.list[i].State = 0, balancer.Removed
 		}
 		server.Endpoint, server.coreFreeAt = f.list[i], [2]time.Duration{}
 	}
-	for i, agent := range f.fleet {
+	for i, agent := range f.agents {
 		if f.restartAgents {
 			f.startAgent(t, agent, i)
 		}
@@ -247,9 +247,9 @@
 	if server.coreFreeAt[1] < server.coreFreeAt[0] {
 		core = 1
 	}
-	work := float64(f.work) * f.rng.ExpFloat64()
+	work := float64(f.meanWork) * f.rng.ExpFloat64()
 	if server.StartedAt > 0 {
-		server.sent = append(server.sent, f.now)
+		server.arrivals = append(server.arrivals, f.now)
 		work /= warmUpFraction(f.settings, f.now-server.StartedAt)
 	}
 	server.coreFreeAt[core] = max(f.now, server.coreFreeAt[core]) + time.Duration(work)
@@ -266,12 +266,12 @@
 func (f *fleetSimulation) overload(e *simulatedEndpoint) (worst float64) {
 	s := f.settings
 	first := 0
-	for i, at := range e.sent {
-		for at-e.sent[first] > s.SlowStartOverloadWindow {
+	for i, at := range e.arrivals {
+		for at-e.arrivals[first] > s.SlowStartOverloadWindow {
 			first++
 		}
-		fraction := warmUpFraction(s, e.sent[first]-e.StartedAt)
-		n := s.SlowStartOverloadMultiple * fraction * 2 * s.SlowStartOverloadWindow.Seconds() / f.work.Seconds()
+		fraction := warmUpFraction(s, e.arrivals[first]-e.StartedAt)
+		n := s.SlowStartOverloadMultiple * fraction * 2 * s.SlowStartOverloadWindow.Seconds() / f.meanWork.Seconds()
 		worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -17,8 +17,8 @@
 
 func newHedger() hedger { return hedger{latencyDeviation: initialLatencyDeviation} }
 
-// observe learns from the deviation of one latency.
-func (h *hedger) observe(deviation float64) {
+// updateDeviation learns from the deviation of one latency.
+func (h *hedger) updateDeviation(deviation float64) {
 	h.latencyDeviation = movingAverage(h.latencyDeviation, deviation)
 }
 
@@ -30,7 +30,7 @@
 // scheduleHedge sets the time of a second attempt, if that can still be served within the objective. There is
 // no hedging under a concurrency limit, since a second attempt would take the capacity of another request.
 func (b *Balancer) scheduleHedge(r *request) {
-	if !b.attemptRules.allowHedge(r) || !b.limiter.isUnlimited(b.fleet) {
+	if !b.attemptRules.allowsHedge(r) || !b.limiter.isUnlimited(b.fleet) {
 		return
 	}
 	latencyNs := r.expectedLatencyNs()
@@ -43,15 +43,15 @@
 // hedge makes a second attempt for a request whose first one, which stays in flight, had no response in time.
 // The second one costs tokens and has a backoff like a retry after a time-out.
 func (b *Balancer) hedge(r *request) {
-	b.suspectLatestEndpoint(r)
-	b.retry(r, TimedOut)
+	b.recordHedgeTimeout(r)
+	b.scheduleRetry(r, TimedOut)
 }
 
-// suspectLatestEndpoint keeps the next attempt from the endpoint of the latest one, which has not responded,
+// recordHedgeTimeout keeps the next attempt from the endpoint of the latest one, which has not responded,
 // and lets that count as a time-out of the class there.
-func (b *Balancer) suspectLatestEndpoint(r *request) {
+func (b *Balancer) recordHedgeTimeout(r *request) {
 	ep := r.attempts[len(r.attempts)-1].endpoint
 	r.lastFailed = ep
 	ep.connection.markDisconnected()
-	b.outliers.ejectForClassIfWorse(ep, r.class, b.now)
+	b.outliers.ejectForClassIfLagging(ep, r.class, b.now)
 }
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -10,42 +10,42 @@
 	connectTimeout time.Duration
 }
 
-// allow reports whether an attempt of r may go to an endpoint now.
-func (rules *attemptRules) allow(r *request, ep *endpoint, now time.Duration) bool {
+// allows reports whether an attempt of r may go to an endpoint now.
+func (rules *attemptRules) allows(r *request, ep *endpoint, now time.Duration) bool {
 	if r.hasEnded() || r.isStreaming || len(r.attempts) >= rules.maxAttempts {
 		return false
 	}
 	if r.inFlight > 0 && !rules.allowHedging {
 		return false
 	}
-	return r.mayHaveRunCount == 0 || rules.allowRepeat(r, ep, now)
+	return r.mayHaveRunCount == 0 || rules.allowsRepeat(r, ep, now)
 }
 
-// allowHedge reports whether a request with an attempt in flight may get a second one beside it, as far as
+// allowsHedge reports whether a request with an attempt in flight may get a second one beside it, as far as
 // the request itself is concerned.
-func (rules *attemptRules) allowHedge(r *request) bool {
+func (rules *attemptRules) allowsHedge(r *request) bool {
 	if !rules.allowHedging || r.class.Idempotency == NotIdempotent {
 		return false
 	}
 	return r.inFlight == 1 && len(r.attempts) < rules.maxAttempts
 }
 
-// allowRepeat reports whether a request that may have run has no further effect at an endpoint.
-func (rules *attemptRules) allowRepeat(r *request, ep *endpoint, now time.Duration) bool {
+// allowsRepeat reports whether a request that may have run has no further effect at an endpoint.
+func (rules *attemptRules) allowsRepeat(r *request, ep *endpoint, now time.Duration) bool {
 	switch r.class.Idempotency {
 	case Idempotent:
 		return true
 	case IdempotentWithKey:
-		return rules.withinDedupWindow(r, now) && r.isInDedupScope(ep)
+		return rules.isWithinDedupWindow(r, now) && r.isInDedupScope(ep)
 	case NotIdempotent:
 		return false
 	}
 	return false
 }
 
-// withinDedupWindow reports whether a repeat that is sent now arrives before endpoints forget the request.
+// isWithinDedupWindow reports whether a repeat that is sent now arrives before endpoints forget the request.
 // Its connection may take all of its timeout to come up.
-func (rules *attemptRules) withinDedupWindow(r *request, now time.Duration) bool {
+func (rules *attemptRules) isWithinDedupWindow(r *request, now time.Duration) bool {
 	return now-r.firstMayHaveRun.sentAt < r.class.DedupWindow-rules.connectTimeout
 }
 
@@ -63,9 +63,9 @@
 	return false
 }
 
-// repeatWindowEnd is when endpoints no longer drop the next attempt of r as a repeat; 0: it repeats nothing,
+// dedupWindowEnd is when endpoints no longer drop the next attempt of r as a repeat; 0: it repeats nothing,
 // or may be repeated at any time.
-func (r *request) repeatWindowEnd() time.Duration {
+func (r *request) dedupWindowEnd() time.Duration {
 	if r.class.Idempotency != IdempotentWithKey || r.mayHaveRunCount == 0 {
 		return 0
 	}
--- a/balancer/idempotency_test.go
+++ b/balancer/idempotency_test.go
@@ -68,7 +68,7 @@
 }
 
 // An attempt that never ran sets neither scope nor window.
-func TestNoDedupOfWhatNeverRan(t *testing.T) {
+func TestNeverRanAttemptSetsNoDedupScope(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(6))
 	h.request("q", keyedInZone)
 	h.outcomeAfter("q", balancer.ConnectFailed, 400*ms)
@@ -100,7 +100,7 @@
 }
 
 // A repeat of a request with an idempotency key carries the end of its window; what never ran has none.
-func TestRepeatsCarryTheirWindow(t *testing.T) {
+func TestRepeatsCarryDedupWindowEnd(t *testing.T) {
 	tests := []struct {
 		name      string
 		class     int
@@ -114,7 +114,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			h := newHarness(t, settings(), 1, endpoints(4))
-			begun := h.now
+			sentAt := h.now
 			actions := h.request("q", tt.class)
 			h.outcomeAfter("q", balancer.Reset, 10*ms)
 			actions = append(actions, h.advance(200*ms)...)
@@ -124,7 +124,7 @@
 			}
 			want := time.Duration(0)
 			if tt.isBounded {
-				want = begun + settings().Classes[tt.class].DedupWindow
+				want = sentAt + settings().Classes[tt.class].DedupWindow
 			}
 			if len(bounds) != 2 || bounds[0] != 0 || bounds[1] != want {
 				t.Errorf("attempts not after %v, want 0 and %v", bounds, want)
--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -177,7 +177,7 @@
 		if !slices.Equal(subset, all[:min(set.subsetSize, len(all))]) {
 			t.Errorf("seed %d: the subset of %d is %v of %v", seed, set.subsetSize, subset, all)
 		}
-		if set.complete(); !slices.Equal(set.members, all) {
+		if set.mergeConnected(); !slices.Equal(set.members, all) {
 			t.Errorf("seed %d: all candidates are %v, want %v", seed, set.members, all)
 		}
 	}
@@ -239,7 +239,7 @@
 		for i := range waits {
 			s := subscriber{settings: &settings, rng: rng}
 			for _, kind := range tt.lists {
-				waits[i], _ = s.next(kind)
+				waits[i], _ = s.handleList(kind)
 			}
 		}
 		low, high := slices.Min(waits), slices.Max(waits)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// maxRunChance is the probability of a run of failures below which the run does not count as chance.
-	maxRunChance = 1e-3
-	// maxConnectRunChance is the same for failed connections, which are stronger evidence, and whose requests
+	// significanceLevel is the probability of a run of failures below which the run does not count as chance.
+	significanceLevel = 1e-3
+	// connectSignificanceLevel is the same for failed connections, which are stronger evidence, and whose requests
 	// never ran.
-	maxConnectRunChance = 50 * maxRunChance
-	// minRun and minConnectRun are the shortest runs of failures that eject an endpoint.
-	minRun        = 2.0
-	minConnectRun = 1.0
-	// maxRun is the length of a run of failures that ejects an endpoint in any case.
-	maxRun = 6
+	connectSignificanceLevel = 50 * significanceLevel
+	// minConsecutiveFailures and minConnectRun are the shortest runs of failures that eject an endpoint.
+	minConsecutiveFailures        = 2.0
+	minConsecutiveConnectFailures = 1.0
+	// maxConsecutiveFailures is the length of a run of failures that ejects an endpoint in any case.
+	maxConsecutiveFailures = 6
 	// minFailureRate and maxFailureRate bound the failure rate in the estimate of that probability.
 	minFailureRate = 1e-6
 	maxFailureRate = 0.3
@@ -27,8 +27,8 @@
 	// unansweredDialDivisor divides the connect timeout: a dial that took longer had no answer.
 	unansweredDialDivisor = 2
 	// minEjectionJitter and ejectionJitter spread the length of an ejection: times 0.75 to 1.25.
-	minEjectionJitter = 0.75
-	ejectionJitter    = 0.5
+	minEjectionJitter   = 0.75
+	ejectionJitterRange = 0.5
 )
 
 // outlierDetector decides which endpoints are ejected. Without ejection an endpoint that fails fast would be
@@ -40,44 +40,44 @@
 	failureRate    float64 // moving share of failures among served attempts and first failures of a run
 }
 
-// observeServed lowers the failure rate.
-func (d *outlierDetector) observeServed() { d.failureRate -= slowSmoothing * d.failureRate }
+// recordServed lowers the failure rate.
+func (d *outlierDetector) recordServed() { d.failureRate -= slowSmoothing * d.failureRate }
 
-// observeFailure notes a failed attempt at an endpoint. Only the first failure of a run counts in the failure
+// recordFailure notes a failed attempt at an endpoint. Only the first failure of a run counts in the failure
 // rate, which is that of the fleet: the further failures of one endpoint say nothing about the others.
-func (d *outlierDetector) observeFailure(ep *endpoint, now time.Duration) {
-	if ep.ejection.observeFailure(now) {
+func (d *outlierDetector) recordFailure(ep *endpoint, now time.Duration) {
+	if ep.ejection.recordFailure(now) {
 		d.failureRate += slowSmoothing * (1 - d.failureRate)
 	}
 }
 
 // failureThreshold is the number of failures in a row that are not chance at the current failure rate.
 func (d *outlierDetector) failureThreshold(result Result) int {
-	shortest, chance := minRun, maxRunChance
+	minFailures, significance := minConsecutiveFailures, significanceLevel
 	if result == ConnectFailed {
-		shortest, chance = minConnectRun, maxConnectRunChance
+		minFailures, significance = minConsecutiveConnectFailures, connectSignificanceLevel
 	}
 	rate := min(max(d.failureRate, minFailureRate), maxFailureRate)
-	run := math.Ceil(math.Log(chance) / math.Log(rate)) // the least n with rate^n <= chance
-	return int(min(max(shortest, run), maxRun))
+	failures := math.Ceil(math.Log(significance) / math.Log(rate)) // the least n with rate^n <= chance
+	return int(min(max(minFailures, failures), maxConsecutiveFailures))
 }
 
-// survivedFailedConnection reports whether an endpoint's process lives although a connection to it failed: a
+// isProcessAlive reports whether an endpoint's process lives although a connection to it failed: a
 // process that dies takes all its connections along, but older attempts are still in flight. A dial without
 // an answer proves no life.
-func (d *outlierDetector) survivedFailedConnection(ep *endpoint, outcome *Outcome) bool {
+func (d *outlierDetector) isProcessAlive(ep *endpoint, outcome *Outcome) bool {
 	if outcome.Result == ServerError {
 		return false
 	}
-	unanswered := outcome.Result == ConnectFailed && outcome.Latency > d.connectTimeout/unansweredDialDivisor
-	hasOlder := len(ep.inFlight) > 0 && ep.inFlight[0].sentAt < ep.ejection.firstFailureAt
-	return hasOlder && !unanswered
+	isUnanswered := outcome.Result == ConnectFailed && outcome.Latency > d.connectTimeout/unansweredDialDivisor
+	hasOlderAttempt := len(ep.inFlight) > 0 && ep.inFlight[0].sentAt < ep.ejection.firstFailureAt
+	return hasOlderAttempt && !isUnanswered
 }
 
 // mayEjectForErrors reports whether one more endpoint may be ejected.
 func mayEjectForErrors(endpoints *endpointSet, fleet fleetSummary, now time.Duration) bool {
-	most := max(1, maxEjectedShare*float64(fleet.serving))
-	return float64(endpoints.ejectedCount(now)+1) <= most
+	maxEjected := max(1, maxEjectedShare*float64(fleet.serving))
+	return float64(endpoints.ejectedCount(now)+1) <= maxEjected
 }
 
 // eject ejects the endpoint of a failed attempt, for longer with each level. An attempt that was sent before
@@ -87,21 +87,21 @@
 	if a.sentAt < e.ejectedAt {
 		return
 	}
-	jitter := minEjectionJitter + ejectionJitter*d.rng.Float64()
+	jitter := minEjectionJitter + ejectionJitterRange*d.rng.Float64()
 	e.eject(now, class.Objective, jitter)
 }
 
-// ejectForClassIfWorse ejects an endpoint for one class, if that class is served on time less often than the
+// ejectForClassIfLagging ejects an endpoint for one class, if that class is served on time less often than the
 // best one. Otherwise the whole fleet is slow, and not this endpoint.
-func (d *outlierDetector) ejectForClassIfWorse(ep *endpoint, class *classStats, now time.Duration) {
+func (d *outlierDetector) ejectForClassIfLagging(ep *endpoint, class *classStats, now time.Duration) {
 	if class.onTimeShare() > d.classes.best().onTimeShare()-significantOnTimeGap {
 		return
 	}
 	ep.ejection.byClass[class.index].eject(now, class.Objective)
 }
 
-// avoid keeps an endpoint that shed a request, or to which a connection failed, from new attempts for a
+// skipBriefly keeps an endpoint that shed a request, or to which a connection failed, from new attempts for a
 // random part of the mean latency.
-func (d *outlierDetector) avoid(ep *endpoint, class *classStats, now time.Duration) {
-	ep.ejection.avoidUntil(now + time.Duration(d.rng.Float64()*class.meanLatencyNs))
+func (d *outlierDetector) skipBriefly(ep *endpoint, class *classStats, now time.Duration) {
+	ep.ejection.skipUntil(now + time.Duration(d.rng.Float64()*class.meanLatencyNs))
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -9,7 +9,7 @@
 )
 
 // An endpoint that fails fast is always idle; it does not draw the traffic.
-func TestFastFailureIsEjected(t *testing.T) {
+func TestFastFailingEndpointIsEjected(t *testing.T) {
 	h := newHarness(t, settings(), 4, endpoints(6))
 	responseOf := faultAtA(response{balancer.ServerError, ms}, response{balancer.Served, 30 * ms})
 	failed := 0
@@ -30,14 +30,14 @@
 
 // An endpoint that leaves one class without response gets no more of it for a while, and keeps the others:
 // their responses show that the endpoint as a whole is healthy.
-func TestUnresponsiveForOneClass(t *testing.T) {
+func TestEjectionForOneClass(t *testing.T) {
 	s := settings()
 	s.Agents, s.MaxAttempts = 400, 1
 	h := newHarness(t, s, 1, endpoints(2))
 	unanswered, served := 0, 0
 	for i := range 200 {
-		probe := fmt.Sprint("u", i)
-		h.request(probe, notIdempotent)
+		unansweredID := fmt.Sprint("u", i)
+		h.request(unansweredID, notIdempotent)
 		for j := range 3 {
 			id := fmt.Sprint("q", i, "-", j)
 			h.request(id, idempotent)
@@ -46,11 +46,11 @@
 				served++
 			}
 		}
-		if h.firstEndpoint(probe) == "a" {
-			h.outcome(probe, balancer.TimedOut, 30*ms)
+		if h.firstEndpoint(unansweredID) == "a" {
+			h.outcome(unansweredID, balancer.TimedOut, 30*ms)
 			unanswered++
 		} else {
-			h.outcome(probe, balancer.Served, 10*ms)
+			h.outcome(unansweredID, balancer.Served, 10*ms)
 		}
 		h.now += 50 * ms
 	}
@@ -60,7 +60,7 @@
 }
 
 // Errors that come from all endpoints alike eject none, and do not lower the limit.
-func TestErrorsFromAllEndpointsAlike(t *testing.T) {
+func TestNoEjectionForUniformErrors(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.serve(200, notIdempotent, 10*ms)
 	for i := range 200 {
@@ -81,7 +81,7 @@
 }
 
 // One broken connection does not tell that an endpoint was restarted, so that it does not warm up; three in a row do.
-func TestOneResetIsNoRestart(t *testing.T) {
+func TestSingleResetIsNotRestart(t *testing.T) {
 	responseOf := faultAtA(response{balancer.Reset, 10 * ms}, response{balancer.Served, 10 * ms})
 	servedAfter := func(resets int) int {
 		h := newHarness(t, settings(), 1, endpoints(2))
@@ -100,7 +100,7 @@
 
 // Of eight endpoints, four of which answer every request with an error, one is ejected at a time, and the
 // others stay in use.
-func TestEjectionForErrorsIsBounded(t *testing.T) {
+func TestErrorEjectionsAreBounded(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(8))
 	h.waves(400, 8, notIdempotent, 10*ms)
 	for i := range 300 {
@@ -118,7 +118,7 @@
 
 // Connections that fail at every endpoint, by a cause of this machine's own, say nothing of the endpoints: requests
 // are served as before as soon as that is over, and no endpoint is treated as restarted.
-func TestLocalFailuresSayNothingOfEndpoints(t *testing.T) {
+func TestLocalFailuresDoNotAffectEndpoints(t *testing.T) {
 	for _, agents := range []int{1, 900} {
 		t.Run(fmt.Sprint(agents, " agents"), func(t *testing.T) {
 			s := settings()
@@ -150,8 +150,8 @@
 func (h *harness) failLocally(id string) {
 	h.t.Helper()
 	h.request(id, notIdempotent)
-	for ended := 0; len(h.sent[id]) > ended && finalAnswer(id, h.actions) == ""; {
-		ended = len(h.sent[id])
+	for finished := 0; len(h.sent[id]) > finished && finalAnswer(id, h.actions) == ""; {
+		finished = len(h.sent[id])
 		h.outcome(id, balancer.LocalFailure, 0)
 		h.advance(200 * ms)
 	}
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// crossZonePriceMultiple is by how much the weights of endpoints in other zones are divided, beyond 1, as
+	// crossZonePriceFactor is by how much the weights of endpoints in other zones are divided, beyond 1, as
 	// a multiple of the price of crossing zones.
-	crossZonePriceMultiple = 200.0
-	// crowdedSentPerOnTime is the number of requests sent for each one served on time above which zones are
+	crossZonePriceFactor = 200.0
+	// overloadedSentPerOnTime is the number of requests sent for each one served on time above which zones are
 	// crossed freely.
-	crowdedSentPerOnTime = 1.15
-	// maxEndpointShares is the most that one endpoint may hold, in mean shares of the concurrency limit.
-	maxEndpointShares = 3.0
-	// fullLoad is the number of attempts at the least loaded endpoint, from which on a new connection is
+	overloadedSentPerOnTime = 1.15
+	// maxLoadLimitMultiple is the most that one endpoint may hold, in mean shares of the concurrency limit.
+	maxLoadLimitMultiple = 3.0
+	// newConnectionLoad is the number of attempts at the least loaded endpoint, from which on a new connection is
 	// opened.
-	fullLoad = 2
+	newConnectionLoad = 2
 	// minMaxLoad is the least number of attempts up to which an endpoint gets more.
-	minMaxLoad = fullLoad
-	// largeFleetSubsets is the number of subsets that a fleet must exceed to count as large for its agents.
-	largeFleetSubsets = 2
-	// inFlightRatioShare is how much of the time that an attempt is in flight counts as its endpoint's
+	minMaxLoad = newConnectionLoad
+	// largeFleetSubsetMultiple is the number of subsets that a fleet must exceed to count as large for its agents.
+	largeFleetSubsetMultiple = 2
+	// inFlightLatencyFactor is how much of the time that an attempt is in flight counts as its endpoint's
 	// latency.
-	inFlightRatioShare = 0.5
+	inFlightLatencyFactor = 0.5
 	// loadJitter is the random share of a load that breaks ties.
 	loadJitter = 0.01
 	// minUniform keeps the logarithm of a uniform random number finite.
 	minUniform = 1e-12
-	// maxDraws bounds the draws of an outsider: each may meet an endpoint that is small, or that may not get
+	// maxFallbackDraws bounds the draws of an outsider: each may meet an endpoint that is small, or that may not get
 	// the request.
-	maxDraws = 50
+	maxFallbackDraws = 50
 	// uniformBits is the number of random bits that a float64 in [0, 1) holds, and hashBits that of a hash.
 	uniformBits = 53
 	hashBits    = 64
@@ -43,9 +43,9 @@
 
 // The tiers of idle candidates: one of the first tier that has any is taken.
 const (
-	tierSubset    = iota // in the subset, or treated as such
-	tierConnected        // outside the subset, with a connection
-	tierOther            // outside the subset, without one: with cache affinity alone
+	tierSubset      = iota // in the subset, or treated as such
+	tierConnected          // outside the subset, with a connection
+	tierUnconnected        // outside the subset, without one: with cache affinity alone
 	tierCount
 )
 
@@ -67,7 +67,7 @@
 	request          *request
 	now              time.Duration
 	fleet            fleetSummary
-	wantedSubset     float64 // wanted size of the subset, in endpoints
+	targetSubsetSize float64 // wanted size of the subset, in endpoints
 	crossZoneDivisor float64 // divides the weights, and so multiplies the ranks, of endpoints in other zones
 	newEndpointLoad  float64 // load, in attempts, of an endpoint without a response yet
 	maxLoad          float64 // load, in attempts, at which an endpoint gets nothing more
@@ -76,52 +76,52 @@
 // pick chooses an endpoint for a request: an idle one; otherwise the least loaded one; otherwise, if none is
 // healthy, an unhealthy one of low ejection level and load. It returns nil if none may be used now.
 func (p *picker) pick(r *request, now time.Duration, fleet fleetSummary) *endpoint {
-	info := p.pickInfo(r, now, fleet, minSubset+subsetPerAttempt*p.traffic.peakInFlight)
+	info := p.newPickInfo(r, now, fleet, minSubsetSize+subsetGrowthPerAttempt*p.traffic.peakInFlight)
 	candidates := &p.candidates
-	unhealthy := p.collect(&info, candidates)
-	idle, busy := p.chooseIdleAndBusy(&info, candidates.members)
+	unhealthy := p.collectCandidates(&info, candidates)
+	idle, busy := p.selectIdleAndBusy(&info, candidates.members)
 	if preferred := cmp.Or(idle[tierSubset], idle[tierConnected]); preferred != nil {
 		return preferred
 	}
 	// By its own attempts, not by the mean load that stands for a new endpoint.
-	if busy == nil || loadOf(busy, now) >= fullLoad {
-		outsider := p.drawOutsider(&info, candidates) // in any case, which keeps the sequence of random draws
-		if other := cmp.Or(idle[tierOther], outsider); other != nil {
-			return other
+	if busy == nil || loadOf(busy, now) >= newConnectionLoad {
+		fallback := p.drawFallback(&info, candidates) // in any case, which keeps the sequence of random draws
+		if unconnected := cmp.Or(idle[tierUnconnected], fallback); unconnected != nil {
+			return unconnected
 		}
 	}
 	return cmp.Or(busy, unhealthy)
 }
 
-// pickInfo works out what a pick for a request goes by.
-func (p *picker) pickInfo(r *request, now time.Duration, fleet fleetSummary, wantedSubset float64) pickInfo {
+// newPickInfo works out what a pick for a request goes by.
+func (p *picker) newPickInfo(r *request, now time.Duration, fleet fleetSummary, targetSubsetSize float64) pickInfo {
 	return pickInfo{
 		request:          r,
 		now:              now,
 		fleet:            fleet,
-		wantedSubset:     wantedSubset,
+		targetSubsetSize: targetSubsetSize,
 		crossZoneDivisor: p.crossZoneDivisor(now, fleet),
 		newEndpointLoad:  p.meanLoad(now),
-		maxLoad:          max(minMaxLoad, p.limiter.partOfEndpointLimit(maxEndpointShares)),
+		maxLoad:          max(minMaxLoad, p.limiter.partOfEndpointLimit(maxLoadLimitMultiple)),
 	}
 }
 
-// collect lists the candidates, and returns the best of the unhealthy endpoints.
-func (p *picker) collect(info *pickInfo, candidates *candidateSet) (unhealthy *endpoint) {
-	subsetSize := int(math.Ceil(info.wantedSubset))
+// collectCandidates lists the candidates, and returns the best of the unhealthy endpoints.
+func (p *picker) collectCandidates(info *pickInfo, candidates *candidateSet) (unhealthy *endpoint) {
+	subsetSize := int(math.Ceil(info.targetSubsetSize))
 	if p.settings.CacheAffinity { // a key draws from all endpoints
 		subsetSize = len(p.endpoints.all)
 	}
 	candidates.reset(subsetSize)
 	unhealthy = p.collectObserved(info, candidates)
 	p.collectUnobserved(info, candidates)
-	candidates.complete()
+	candidates.mergeConnected()
 	return unhealthy
 }
 
 // collectObserved adds the observed endpoints, and returns the best of those that are unhealthy.
 func (p *picker) collectObserved(info *pickInfo, candidates *candidateSet) (unhealthy *endpoint) {
-	leastScore := math.Inf(1)
+	minScore := math.Inf(1)
 	for _, ep := range p.endpoints.observed {
 		load, latencyRatio := loadAndLatencyRatio(ep, info.now)
 		if load >= info.maxLoad || !p.isEligible(info, ep) {
@@ -129,8 +129,8 @@
 		}
 		if !ep.isHealthyFor(info.request.class, info.now) {
 			score := ep.ejection.level + p.rng.Float64() + load // the draw chooses among equals
-			if score < leastScore {
-				unhealthy, leastScore = ep, score
+			if score < minScore {
+				unhealthy, minScore = ep, score
 			}
 			continue
 		}
@@ -148,7 +148,7 @@
 		if !candidates.admits(weightedRank) {
 			return // nor does it admit any that follows
 		}
-		if p.rules.allow(info.request, ep, info.now) {
+		if p.rules.allows(info.request, ep, info.now) {
 			p.addCandidate(info, candidates, p.newCandidate(info, ep, info.newEndpointLoad, 1))
 		}
 	}
@@ -157,39 +157,39 @@
 // addCandidate adds a candidate to the subset or, if it is observed, to those outside. Unobserved endpoints
 // outside the subset are not listed.
 func (p *picker) addCandidate(info *pickInfo, candidates *candidateSet, c candidate) {
-	outside, isOutside := candidates.insert(c)
-	if !isOutside || !outside.endpoint.isObserved {
+	excluded, isExcluded := candidates.insert(c)
+	if !isExcluded || !excluded.endpoint.isObserved {
 		return
 	}
-	if outside.connected || info.warmingJoinsSubset(outside.endpoint) {
-		candidates.connected = append(candidates.connected, outside)
+	if excluded.isConnected || info.isWarmingMember(excluded.endpoint) {
+		candidates.connected = append(candidates.connected, excluded)
 		return
 	}
-	candidates.outsiders = append(candidates.outsiders, outsider{outside.endpoint, outside.weight})
+	candidates.fallbacks = append(candidates.fallbacks, fallback{excluded.endpoint, excluded.weight})
 }
 
-// warmingJoinsSubset reports whether an endpoint belongs to the subset without a connection since it warms
+// isWarmingMember reports whether an endpoint belongs to the subset without a connection since it warms
 // up: in a fleet that is large for its agents' subsets most agents would otherwise never send to it.
-func (info *pickInfo) warmingJoinsSubset(ep *endpoint) bool {
-	return ep.warmUp.active && largeFleetSubsets*info.wantedSubset < float64(info.fleet.serving)
+func (info *pickInfo) isWarmingMember(ep *endpoint) bool {
+	return ep.warmUp.isActive && largeFleetSubsetMultiple*info.targetSubsetSize < float64(info.fleet.serving)
 }
 
 // isEligible reports whether an observed endpoint may get the request, ejections aside. It renews a slow
 // start permit that has lapsed.
 func (p *picker) isEligible(info *pickInfo, ep *endpoint) bool {
 	r := info.request
-	failedLast := ep == r.lastFailed && info.fleet.serving > 1
-	if ep.State != Serving || failedLast || info.now < ep.ejection.avoidedUntil {
+	hasJustFailed := ep == r.lastFailed && info.fleet.serving > 1
+	if ep.State != Serving || hasJustFailed || info.now < ep.ejection.skippedUntil {
 		return false
 	}
-	if !p.rules.allow(r, ep, info.now) {
+	if !p.rules.allows(r, ep, info.now) {
 		return false
 	}
 	if !p.slowStart.needsPermit(ep, info.now) {
 		return true
 	}
-	p.slowStart.renewLapsedPermit(ep, info.now, r.class.meanLatencyNs, info.fleet)
-	return ep.warmUp.permits(r, info.now)
+	p.slowStart.renewExpiredPermit(ep, info.now, r.class.meanLatencyNs, info.fleet)
+	return ep.warmUp.allows(r, info.now)
 }
 
 // newCandidate weighs an endpoint: by its size, less while it warms up or is slower than others, and less
@@ -199,8 +199,8 @@
 		endpoint:       ep,
 		load:           load,
 		latencyRatio:   latencyRatio,
-		warmUpFraction: p.slowStart.advanceWarmUp(ep, info.now),
-		connected:      ep.isConnected(info.now, p.settings.IdleClose),
+		warmUpFraction: p.slowStart.updateWarmUp(ep, info.now),
+		isConnected:    ep.isConnected(info.now, p.settings.IdleClose),
 	}
 	// Cubed: an even choice would load slow endpoints as much as others.
 	penalty := latencyRatio * latencyRatio * latencyRatio
@@ -209,29 +209,29 @@
 		c.weight /= info.crossZoneDivisor
 	}
 	c.weightedRank = ep.rank / c.weight
-	if c.connected {
+	if c.isConnected {
 		c.weightedRank *= connectedRankFactor
 	}
 	return c
 }
 
-// chooseIdleAndBusy draws an idle candidate of each tier by weight, and takes the least loaded busy one.
-func (p *picker) chooseIdleAndBusy(
+// selectIdleAndBusy draws an idle candidate of each tier by weight, and takes the least loaded busy one.
+func (p *picker) selectIdleAndBusy(
 	info *pickInfo, candidates []candidate,
 ) (idle [tierCount]*endpoint, busy *endpoint) {
-	leastLoad := math.Inf(1)
-	leastWait := [tierCount]float64{math.Inf(1), math.Inf(1), math.Inf(1)}
+	minLoad := math.Inf(1)
+	minKeys := [tierCount]float64{math.Inf(1), math.Inf(1), math.Inf(1)}
 	for position := range candidates {
 		c := &candidates[position]
 		if !c.isIdle() {
-			if load := p.jitteredLoad(c); load < leastLoad {
-				busy, leastLoad = c.endpoint, load
+			if load := p.jitteredLoad(c); load < minLoad {
+				busy, minLoad = c.endpoint, load
 			}
 			continue
 		}
 		tier := p.tier(info, c, position)
-		if wait := p.drawWait(info.request, c); wait < leastWait[tier] {
-			idle[tier], leastWait[tier] = c.endpoint, wait
+		if key := p.drawSamplingKey(info.request, c); key < minKeys[tier] {
+			idle[tier], minKeys[tier] = c.endpoint, key
 		}
 	}
 	return idle, busy
@@ -246,55 +246,55 @@
 // tier is the tier of an idle candidate at a position in the order of weighted rank. With cache affinity the
 // subset does not matter while requests over new connections are served on time as often as others.
 func (p *picker) tier(info *pickInfo, c *candidate, position int) int {
-	ignoresSubset := p.settings.CacheAffinity && info.request.class.newConnectionsAreOnTime()
-	warmingJoins := (c.endpoint.warmUp.active && c.connected) || info.warmingJoinsSubset(c.endpoint)
+	isSubsetIgnored := p.settings.CacheAffinity && info.request.class.newConnectionsAreOnTime()
+	isWarmingMember := (c.endpoint.warmUp.isActive && c.isConnected) || info.isWarmingMember(c.endpoint)
 	switch {
-	case float64(position) < info.wantedSubset || ignoresSubset || warmingJoins:
+	case float64(position) < info.targetSubsetSize || isSubsetIgnored || isWarmingMember:
 		return tierSubset
-	case c.connected:
+	case c.isConnected:
 		return tierConnected
 	default:
-		return tierOther
+		return tierUnconnected
 	}
 }
 
-// drawWait draws an exponential time at the rate of the candidate's weight: the candidate with the least time
+// drawSamplingKey draws an exponential time at the rate of the candidate's weight: the candidate with the least time
 // is a random choice by weight. With cache affinity all agents draw alike for a key (rendezvous hashing), so
 // that it goes to the endpoint that has cached it.
-func (p *picker) drawWait(r *request, c *candidate) float64 {
+func (p *picker) drawSamplingKey(r *request, c *candidate) float64 {
 	uniform := p.rng.Float64() // in any case, which keeps the sequence of random draws
 	if p.settings.CacheAffinity && r.keyHash != 0 {
-		uniform = keyedUniform(c.endpoint.hash, r.keyHash)
+		uniform = rendezvousUniform(c.endpoint.hash, r.keyHash)
 	}
 	return -math.Log(max(uniform, minUniform)) / c.weight
 }
 
-// keyedUniform is a random number in [0, 1), the same at every agent for an endpoint and a key.
-func keyedUniform(endpointHash, keyHash uint64) float64 {
+// rendezvousUniform is a random number in [0, 1), the same at every agent for an endpoint and a key.
+func rendezvousUniform(endpointHash, keyHash uint64) float64 {
 	var pair [16]byte
 	binary.LittleEndian.PutUint64(pair[:8], endpointHash)
 	binary.LittleEndian.PutUint64(pair[8:], keyHash)
 	return float64(xxhash.Sum64(pair[:])>>(hashBits-uniformBits)) / (1 << uniformBits)
 }
 
-// drawOutsider draws an endpoint that is neither in the subset nor connected, by weight; nil if none was
+// drawFallback draws an endpoint that is neither in the subset nor connected, by weight; nil if none was
 // found. An unobserved endpoint of the subset may be drawn as well, but it is idle and would have been chosen
 // before. All draws are made even if there is nothing to draw from.
-func (p *picker) drawOutsider(info *pickInfo, candidates *candidateSet) *endpoint {
+func (p *picker) drawFallback(info *pickInfo, candidates *candidateSet) *endpoint {
 	unobserved := &p.endpoints.unobserved
-	observedWeight := candidates.outsiderWeight()
-	ownZoneWeight := float64(len(unobserved.ownZone)) * unobserved.largestSize
-	otherZonesWeight := float64(len(unobserved.otherZones)) * unobserved.largestSize / info.crossZoneDivisor
-	for range maxDraws {
+	observedWeight := candidates.fallbackWeight()
+	ownZoneWeight := float64(len(unobserved.ownZone)) * unobserved.maxSize
+	otherZonesWeight := float64(len(unobserved.otherZones)) * unobserved.maxSize / info.crossZoneDivisor
+	for range maxFallbackDraws {
 		target := p.rng.Float64() * (observedWeight + ownZoneWeight + otherZonesWeight)
 		if target < observedWeight {
-			return candidates.outsiderAt(target)
+			return candidates.fallbackAt(target)
 		}
-		order := unobserved.otherZones
+		ranked := unobserved.otherZones
 		if target < observedWeight+ownZoneWeight {
-			order = unobserved.ownZone
+			ranked = unobserved.ownZone
 		}
-		if ep := p.drawUnobserved(info, order); ep != nil {
+		if ep := p.drawUnobserved(info, ranked); ep != nil {
 			return ep
 		}
 	}
@@ -303,13 +303,13 @@
 
 // drawUnobserved draws an unobserved endpoint by size; nil if it has to be drawn again. It samples by
 // rejection: an endpoint is drawn evenly, and accepted with the probability of its size over the largest one.
-func (p *picker) drawUnobserved(info *pickInfo, order rankOrder) *endpoint {
-	if len(order) == 0 {
+func (p *picker) drawUnobserved(info *pickInfo, ranked rankedEndpoints) *endpoint {
+	if len(ranked) == 0 {
 		return nil
 	}
-	ep := order[p.rng.IntN(len(order))]
-	accepted := p.rng.Float64()*p.endpoints.unobserved.largestSize < ep.size()
-	if !accepted || !p.rules.allow(info.request, ep, info.now) {
+	ep := ranked[p.rng.IntN(len(ranked))]
+	isAccepted := p.rng.Float64()*p.endpoints.unobserved.maxSize < ep.size()
+	if !isAccepted || !p.rules.allows(info.request, ep, info.now) {
 		return nil
 	}
 	return ep
@@ -318,17 +318,17 @@
 // crossZoneDivisor divides the weights of endpoints in other zones. It is 1 where the fleet is so crowded
 // that crossing zones is worth its price.
 func (p *picker) crossZoneDivisor(now time.Duration, fleet fleetSummary) float64 {
-	if p.isCrowded(now, fleet) {
+	if p.isFleetOverloaded(now, fleet) {
 		return 1
 	}
-	return 1 + crossZonePriceMultiple*p.settings.CrossZonePrice
+	return 1 + crossZonePriceFactor*p.settings.CrossZonePrice
 }
 
-// isCrowded reports whether the fleet is short of capacity: the concurrency limit has fallen within the time
+// isFleetOverloaded reports whether the fleet is short of capacity: the concurrency limit has fallen within the time
 // of a slow start or, where the throttle stands in for the limit, too few requests are served on time.
-func (p *picker) isCrowded(now time.Duration, fleet fleetSummary) bool {
+func (p *picker) isFleetOverloaded(now time.Duration, fleet fleetSummary) bool {
 	if p.limiter.leastLimitIsBelow(1, fleet) {
-		return p.traffic.excessSent(crowdedSentPerOnTime) > 0
+		return p.traffic.excessSent(overloadedSentPerOnTime) > 0
 	}
 	return now-p.limiter.decreasedAt <= p.settings.SlowStartDuration
 }
@@ -357,8 +357,8 @@
 	load, latencyRatio = float64(len(ep.inFlight)), ep.responses.ratio()
 	for _, a := range ep.inFlight {
 		// While the endpoint warms up no attempt counts as lost.
-		if a.sentAt > ep.connection.latestAnsweredSend || ep.warmUp.active {
-			return load, max(latencyRatio, a.latencyRatio(now-a.sentAt)*inFlightRatioShare)
+		if a.sentAt > ep.connection.lastAnsweredSentAt || ep.warmUp.isActive {
+			return load, max(latencyRatio, a.latencyRatio(now-a.sentAt)*inFlightLatencyFactor)
 		}
 		if a.isOverdue(now) {
 			load--
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -80,7 +80,7 @@
 }
 
 // A stalled endpoint is recognized by the time that its oldest attempt is in flight, before any outcome.
-func TestStallIsAvoided(t *testing.T) {
+func TestPickAvoidsStalledEndpoint(t *testing.T) {
 	h := newHarness(t, settings(), 4, endpoints(3))
 	h.serve(60, idempotent, 20*ms)
 	h.burst("hanging", 3, idempotent) // one on each
@@ -104,16 +104,16 @@
 	h.serve(60, idempotent, 20*ms)
 	got := 0
 	for round := range 60 {
-		got += playRoundWithTimeouts(h, round)
+		got += runRoundWithTimeouts(h, round)
 	}
 	if got > 90 {
 		t.Errorf("an endpoint that times out half its requests got %d of 360", got)
 	}
 }
 
-// playRoundWithTimeouts plays six requests at once. Endpoint a serves the first that it gets, and the others time
+// runRoundWithTimeouts plays six requests at once. Endpoint a serves the first that it gets, and the others time
 // out. It returns how many it gets.
-func playRoundWithTimeouts(h *harness, round int) (got int) {
+func runRoundWithTimeouts(h *harness, round int) (got int) {
 	prefix := fmt.Sprint("q", round, "-")
 	h.burst(prefix, 6, idempotent)
 	h.now += 20 * ms
@@ -139,7 +139,7 @@
 
 // Endpoints are drawn by their listed weight, without which agents that see few responses of each endpoint would
 // load large and small ones alike.
-func TestListedWeight(t *testing.T) {
+func TestPickByListedWeight(t *testing.T) {
 	list := endpoints(4)
 	for i, size := range []float64{3, 1, 3, 1} {
 		list[i].Weight = size
@@ -181,7 +181,7 @@
 
 // With cache affinity, connected endpoints come first once attempts over new connections are served on time less
 // often.
-func TestConnectedFirstDuringFaults(t *testing.T) {
+func TestCacheAffinityPrefersConnectedDuringFaults(t *testing.T) {
 	s := settings()
 	s.CacheAffinity, s.MaxAttempts = true, 1
 	h := newHarness(t, s, 1, endpoints(12))
@@ -208,23 +208,23 @@
 // of keys, since the key draws the endpoint.
 func TestCrossZonePrice(t *testing.T) {
 	const sets, requests = 20, 400
-	crossings := func(price float64, latency time.Duration) (crossed int) {
+	countCrossings := func(price float64, latency time.Duration) (crossed int) {
 		for set := range sets {
-			crossed += crossingsOfSet(t, set, requests, price, latency)
+			crossed += countSetCrossings(t, set, requests, price, latency)
 		}
 		return crossed
 	}
-	free, dear := crossings(0, 20*ms), crossings(0.1, 20*ms)
-	if free < 100*sets || dear > free/4 {
-		t.Errorf("%d of %d crossed without a price, %d with one", free, sets*requests, dear)
+	unpriced, priced := countCrossings(0, 20*ms), countCrossings(0.1, 20*ms)
+	if unpriced < 100*sets || priced > unpriced/4 {
+		t.Errorf("%d of %d crossed without a price, %d with one", unpriced, sets*requests, priced)
 	}
-	if late := crossings(0.1, 600*ms); late < 5*sets {
+	if late := countCrossings(0.1, 600*ms); late < 5*sets {
 		t.Errorf("%d of %d crossed while all responses were late", late, sets*requests)
 	}
 }
 
-// crossingsOfSet counts the requests of one set of keys that are sent to another zone.
-func crossingsOfSet(t *testing.T, set, requests int, price float64, latency time.Duration) (crossed int) {
+// countSetCrossings counts the requests of one set of keys that are sent to another zone.
+func countSetCrossings(t *testing.T, set, requests int, price float64, latency time.Duration) (crossed int) {
 	t.Helper()
 	s := settings()
 	s.Agents, s.CrossZonePrice, s.CacheAffinity = 40, price, true
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -76,7 +76,7 @@
 
 // endAttempt notes the end of an attempt.
 func (r *request) endAttempt(a *attempt, mayHaveRun bool) {
-	a.inFlight = false
+	a.isInFlight = false
 	r.inFlight--
 	if mayHaveRun {
 		return
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -17,10 +17,10 @@
 	// successTokenRefill is the number of tokens that each served request brings back.
 	successTokenRefill = 1.0
 
-	// backoffUnitShare is the longest first backoff, as a share of the objective.
-	backoffUnitShare = 1.0 / 32
-	// maxBackoffUnits is the longest backoff of all, in longest first backoffs.
-	maxBackoffUnits = 8.0
+	// baseBackoffShare is the longest first backoff, as a share of the objective.
+	baseBackoffShare = 1.0 / 32
+	// maxBackoffMultiple is the longest backoff of all, in longest first backoffs.
+	maxBackoffMultiple = 8.0
 )
 
 // tokenBucket bounds retries: they cannot multiply the load of a fleet at fault, since only served requests
@@ -53,30 +53,30 @@
 
 // drawBackoff draws the wait before a retry: exponential in the retries so far, with full jitter.
 func drawBackoff(rng *rand.Rand, retries int, objective time.Duration) time.Duration {
-	units := min(math.Exp2(float64(retries)), maxBackoffUnits)
-	return time.Duration(rng.Float64() * units * backoffUnitShare * float64(objective))
+	multiple := min(math.Exp2(float64(retries)), maxBackoffMultiple)
+	return time.Duration(rng.Float64() * multiple * baseBackoffShare * float64(objective))
 }
 
-// retry schedules the next attempt of a request after a backoff. The request is answered instead if no
+// scheduleRetry schedules the next attempt of a request after a backoff. The request is answered instead if no
 // endpoint may take the attempt, if the token bucket does not pay for it, or if it would be too late.
-func (b *Balancer) retry(r *request, result Result) {
-	at := b.now + drawBackoff(b.rng, r.retries, r.class.Objective)
+func (b *Balancer) scheduleRetry(r *request, result Result) {
+	sendAt := b.now + drawBackoff(b.rng, r.retries, r.class.Objective)
 	// An attempt was not sent since the time of its request was over, or nothing could be sent for it any
 	// more.
-	possible := result != NotSent && b.someEndpointMayTake(r) && !r.isTooLate(b.now, at)
-	if !possible || !b.retryTokens.take(retryCost(result)) {
+	canRetry := result != NotSent && b.hasEligibleEndpoint(r) && !r.isTooLate(b.now, sendAt)
+	if !canRetry || !b.retryTokens.take(retryCost(result)) {
 		b.answerUnlessInFlight(r)
 		return
 	}
 	r.retries++
 	r.phase = phaseBackingOff
-	b.setRequestTimer(r, at)
+	b.setRequestTimer(r, sendAt)
 }
 
-// someEndpointMayTake reports whether the rules allow a further attempt of a request anywhere.
-func (b *Balancer) someEndpointMayTake(r *request) bool {
+// hasEligibleEndpoint reports whether the rules allow a further attempt of a request anywhere.
+func (b *Balancer) hasEligibleEndpoint(r *request) bool {
 	return slices.ContainsFunc(b.endpoints.all, func(ep *endpoint) bool {
-		return ep.State == Serving && b.attemptRules.allow(r, ep, b.now)
+		return ep.State == Serving && b.attemptRules.allows(r, ep, b.now)
 	})
 }
 
@@ -86,6 +86,6 @@
 	if !b.settings.SendRetryAfter {
 		return 0
 	}
-	longest := maxBackoffUnits * backoffUnitShare * float64(r.class.Objective)
-	return time.Duration(b.rng.Float64() * min(longest, float64(b.settings.MaxRetryAfter)))
+	maxWait := maxBackoffMultiple * baseBackoffShare * float64(r.class.Objective)
+	return time.Duration(b.rng.Float64() * min(maxWait, float64(b.settings.MaxRetryAfter)))
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -10,7 +10,7 @@
 )
 
 // The result of an attempt decides for each kind of class: a retry at another endpoint, or a final answer.
-func TestOutcomes(t *testing.T) {
+func TestRetryByResult(t *testing.T) {
 	const retry = "retry"
 	tests := []struct {
 		class  int
@@ -59,15 +59,15 @@
 
 // The token bucket holds 100 tokens: 20 retries at 5, or 10 at 10 after time-outs. First attempts are sent when it is
 // empty; served requests bring one token each, up to the capacity.
-func TestRetryBucket(t *testing.T) {
+func TestRetryTokenBucket(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 2
 	tests := []struct {
-		name   string
-		result balancer.Result
-		served int // requests, after the bucket was emptied
-		first  int // retries that a full bucket pays for
-		then   int // retries that it pays for after the served requests
+		name         string
+		result       balancer.Result
+		served       int // requests, after the bucket was emptied
+		wantFull     int // retries that a full bucket pays for
+		wantRefilled int // retries that it pays for after the served requests
 	}{
 		{"errors cost 5", balancer.ServerError, 4, 20, 0},
 		{"five served pay for a retry", balancer.ServerError, 5, 20, 1},
@@ -78,21 +78,21 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			h := newHarness(t, s, 5, endpoints(6))
-			if got := h.failAll(30, tt.result); got != tt.first {
-				t.Errorf("a full bucket paid for %d retries, want %d", got, tt.first)
+			if got := h.failRequests(30, tt.result); got != tt.wantFull {
+				t.Errorf("a full bucket paid for %d retries, want %d", got, tt.wantFull)
 			}
 			h.serve(tt.served, idempotent, 20*ms)
 			h.advance(30 * time.Second)
-			if got := h.failAll(30, tt.result); got != tt.then {
-				t.Errorf("then it paid for %d retries, want %d", got, tt.then)
+			if got := h.failRequests(30, tt.result); got != tt.wantRefilled {
+				t.Errorf("then it paid for %d retries, want %d", got, tt.wantRefilled)
 			}
 		})
 	}
 }
 
-// failAll has n requests fail, the first attempt with the result and its retry with an error, and returns how many
+// failRequests has n requests fail, the first attempt with the result and its retry with an error, and returns how many
 // were retried.
-func (h *harness) failAll(n int, result balancer.Result) (retried int) {
+func (h *harness) failRequests(n int, result balancer.Result) (retried int) {
 	h.t.Helper()
 	for range n {
 		id := fmt.Sprintf("fail-%d", len(h.sent))
@@ -117,7 +117,7 @@
 	const retries = 6
 	var waits [retries][]time.Duration
 	for seed := range uint64(300) {
-		for retry, wait := range backoffs(t, seed, retries) {
+		for retry, wait := range collectBackoffs(t, seed, retries) {
 			waits[retry] = append(waits[retry], wait)
 		}
 	}
@@ -134,8 +134,8 @@
 	}
 }
 
-// backoffs returns the waits before the retries of one request, a quarter of a millisecond exact.
-func backoffs(t *testing.T, seed uint64, retries int) (waits []time.Duration) {
+// collectBackoffs returns the waits before the retries of one request, a quarter of a millisecond exact.
+func collectBackoffs(t *testing.T, seed uint64, retries int) (waits []time.Duration) {
 	t.Helper()
 	s := settings()
 	s.MaxAttempts = retries + 1
@@ -156,7 +156,7 @@
 }
 
 // A retry whose backoff would outlast the deadline is not made.
-func TestBackoffWithinTimeLeft(t *testing.T) {
+func TestNoRetryPastDeadline(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.request("q", idempotent)
 	if actions := h.outcomeAfter("q", balancer.TimedOut, 2000*ms); finalAnswer("q", actions) != "fail" {
@@ -167,23 +167,23 @@
 // Clients that are rejected together do not return together: Retry-After is spread up to the longest that clients
 // heed, and up to the longest backoff: 100 ms. It is given only where clients are shown it.
 func TestRetryAfterIsSpread(t *testing.T) {
-	for _, longest := range []time.Duration{60 * ms, time.Minute} {
-		waits, bound := retryAfters(t, true, longest), min(longest, 100*ms)
+	for _, maxRetryAfter := range []time.Duration{60 * ms, time.Minute} {
+		waits, maxWait := collectRetryAfters(t, true, maxRetryAfter), min(maxRetryAfter, 100*ms)
 		low, high := slices.Min(waits), slices.Max(waits)
-		if low < 0 || low > bound/4 || high > bound || high < bound*3/4 {
-			t.Errorf("Retry-After from %v to %v, want it spread from 0 to %v", low, high, bound)
+		if low < 0 || low > maxWait/4 || high > maxWait || high < maxWait*3/4 {
+			t.Errorf("Retry-After from %v to %v, want it spread from 0 to %v", low, high, maxWait)
 		}
 	}
-	if high := slices.Max(retryAfters(t, false, time.Minute)); high != 0 {
+	if high := slices.Max(collectRetryAfters(t, false, time.Minute)); high != 0 {
 		t.Errorf("Retry-After of %v for clients that are not shown it", high)
 	}
 }
 
-// retryAfters returns the Retry-After of 50 rejections.
-func retryAfters(t *testing.T, shown bool, longest time.Duration) (waits []time.Duration) {
+// collectRetryAfters returns the Retry-After of 50 rejections.
+func collectRetryAfters(t *testing.T, sendRetryAfter bool, maxRetryAfter time.Duration) (waits []time.Duration) {
 	t.Helper()
 	s := settings()
-	s.SendRetryAfter, s.MaxRetryAfter = shown, longest
+	s.SendRetryAfter, s.MaxRetryAfter = sendRetryAfter, maxRetryAfter
 	h := newHarness(t, s, 3, endpoints(4))
 	for i := range 50 {
 		id := fmt.Sprint("q", i)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -48,14 +48,14 @@
 	list := endpoints(5)
 	o := overloadedAgent{harness: newHarness(t, settings(), seed, list), served: map[string]float64{}}
 	for i := range 20 {
-		o.note(o.request(fmt.Sprint("first", i), idempotent))
+		o.recordSends(o.request(fmt.Sprint("first", i), idempotent))
 	}
-	o.play(400)
+	o.run(400)
 	list[0].StartedAt = o.now
 	o.changeList(list[0])
 	o.warming = "a"
 	clear(o.served)
-	o.play(400)
+	o.run(400)
 	warm := (o.served["b"] + o.served["c"] + o.served["d"] + o.served["e"]) / 4
 	return o.served["a"] / warm
 }
@@ -68,18 +68,18 @@
 	served   map[string]float64 // requests by endpoint
 }
 
-// note keeps the requests that are being sent.
-func (o *overloadedAgent) note(actions []balancer.Action) {
+// recordSends keeps the requests that are being sent.
+func (o *overloadedAgent) recordSends(actions []balancer.Action) {
 	for _, send := range sendsOf(actions) {
 		o.inFlight = append(o.inFlight, send.Request)
 	}
 }
 
-// play plays steps of 5 ms. In each, the endpoint that warms up responds to all its requests, the others together to
+// run plays steps of 5 ms. In each, the endpoint that warms up responds to all its requests, the others together to
 // the oldest one of all, if it is theirs, and two new requests arrive.
-func (o *overloadedAgent) play(steps int) {
+func (o *overloadedAgent) run(steps int) {
 	for range steps {
-		o.note(o.advance(5 * ms))
+		o.recordSends(o.advance(5 * ms))
 		before := o.inFlight
 		o.inFlight = nil
 		for i, id := range before {
@@ -93,18 +93,18 @@
 			}
 		}
 		for range 2 {
-			o.note(o.request(fmt.Sprint("q", len(o.sent), "-", o.now), idempotent))
+			o.recordSends(o.request(fmt.Sprint("q", len(o.sent), "-", o.now), idempotent))
 		}
 	}
 }
 
 func (o *overloadedAgent) serveOne(id string, latency time.Duration) {
 	o.served[o.firstEndpoint(id)]++
-	o.note(o.outcome(id, balancer.Served, latency))
+	o.recordSends(o.outcome(id, balancer.Served, latency))
 }
 
 // A heavy request, which alone could overload it, does not go to an endpoint that warms up.
-func TestSlowStartGetsNoHeavyRequest(t *testing.T) {
+func TestWarmingEndpointGetsNoHeavyRequest(t *testing.T) {
 	h := newHarness(t, settings(), 9, endpoints(3))
 	send := func(id string, work time.Duration) (endpoint string) {
 		h.step(balancer.Request{ID: id, Class: idempotent, Timeout: 2000 * ms, Work: work})
@@ -166,7 +166,7 @@
 }
 
 // A new endpoint does not get a request from every agent with little traffic at once.
-func TestNewEndpointIsNotRushed(t *testing.T) {
+func TestNewEndpointIsNotFlooded(t *testing.T) {
 	agents := 0
 	for seed := uint64(1); seed <= 100; seed++ {
 		s := settings()
@@ -185,7 +185,7 @@
 }
 
 // With no warm endpoint to go by, requests are still sent.
-func TestAllWarmingUpStillServes(t *testing.T) {
+func TestAllEndpointsWarmingUp(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.serve(100, notIdempotent, 10*ms)
 	list := endpoints(4)
@@ -211,7 +211,7 @@
 
 // All agents together do not overload endpoints that warm up, though none sends much, nor leave them idle while the
 // others are crowded.
-func TestSlowStartByAllAgentsTogether(t *testing.T) {
+func TestSlowStartAcrossAgents(t *testing.T) {
 	tests := []struct {
 		name           string
 		startedShare   float64 // of the endpoints; at least one starts
@@ -233,8 +233,8 @@
 			t.Run(fmt.Sprintf("%s/%d agents", tt.name, agents), func(t *testing.T) {
 				t.Parallel()
 				f := newFleetSimulation(agents)
-				f.started = max(1, int(tt.startedShare*float64(f.endpoints)))
-				f.removed = min(int(tt.removedShare*float64(f.endpoints)), f.endpoints-f.started)
+				f.startCount = max(1, int(tt.startedShare*float64(f.endpointCount)))
+				f.removeCount = min(int(tt.removedShare*float64(f.endpointCount)), f.endpointCount-f.startCount)
 				f.restartAgents = tt.restartAgents
 				overload, servedShare := f.runMany(t)
 				if overload > 1 {
@@ -250,10 +250,10 @@
 
 // newFleetSimulation returns the simulation of TestSlowStartByAllAgentsTogether before its change is chosen.
 func newFleetSimulation(agents int) fleetSimulation {
-	f := fleetSimulation{agents: agents, endpoints: 30, load: 0.7, work: 60 * ms, changeAt: 4 * time.Second,
-		length: 10 * time.Second}
+	f := fleetSimulation{agentCount: agents, endpointCount: 30, load: 0.7, meanWork: 60 * ms, changeAt: 4 * time.Second,
+		duration: 10 * time.Second}
 	if agents > 100 {
-		f.endpoints = 60
+		f.endpointCount = 60
 	}
 	f.settings = settings()
 	f.settings.SlowStartOverloadMultiple, f.settings.SlowStartOverloadWindow = 3, 1500*ms
@@ -262,7 +262,7 @@
 }
 
 // A start in the future, as a clock that is off gives it, counts from now on.
-func TestStartInTheFuture(t *testing.T) {
+func TestFutureStartTime(t *testing.T) {
 	s := settings()
 	h := newHarness(t, s, 1, endpoints(4))
 	h.waves(40, 4, idempotent, 30*ms)
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -20,33 +20,33 @@
 // subscriber decides when to subscribe, where the endpoint list has to be subscribed to. The first time is
 // after the cached list that the agent starts with.
 type subscriber struct {
-	settings *Settings
-	rng      *rand.Rand
-	failures int // lists that could not be had, in a row
+	settings            *Settings
+	rng                 *rand.Rand
+	consecutiveFailures int // lists that could not be had, in a row
 }
 
-// next learns from a list and reports whether, and after which wait, to subscribe.
-func (s *subscriber) next(kind ListKind) (wait time.Duration, ok bool) {
-	failed := kind.hasFailed()
-	s.failures++
-	if !failed {
-		s.failures = 0
+// handleList learns from a list and reports whether, and after which wait, to subscribe.
+func (s *subscriber) handleList(kind ListKind) (delay time.Duration, ok bool) {
+	hasFailed := kind.hasFailed()
+	s.consecutiveFailures++
+	if !hasFailed {
+		s.consecutiveFailures = 0
 	}
-	if !s.settings.Subscribe || !failed && kind != ListCached {
+	if !s.settings.Subscribe || !hasFailed && kind != ListCached {
 		return 0, false
 	}
-	return s.drawWait(kind == ListRefused), true
+	return s.drawDelay(kind == ListRefused), true
 }
 
-// drawWait draws a fully jittered wait. Its spread grows with the number of agents, which may all subscribe
+// drawDelay draws a fully jittered wait. Its spread grows with the number of agents, which may all subscribe
 // together, and doubles with each failure.
-func (s *subscriber) drawWait(refused bool) time.Duration {
+func (s *subscriber) drawDelay(isRefused bool) time.Duration {
 	firstSpread := min(subscribeSpreadPerAgent*float64(s.settings.Agents), maxFirstSubscribeSpread)
-	spread := firstSpread * math.Exp2(float64(min(s.failures, maxSubscribeDoublings)))
-	longest := s.settings.SubscribeSpread
-	if refused { // a refusal proves that discovery could not be reached until now
-		longest = s.settings.RefusedSubscribeSpread
+	spread := firstSpread * math.Exp2(float64(min(s.consecutiveFailures, maxSubscribeDoublings)))
+	maxDelay := s.settings.SubscribeSpread
+	if isRefused { // a refusal proves that discovery could not be reached until now
+		maxDelay = s.settings.RefusedSubscribeSpread
 	}
-	longest = min(cmp.Or(longest, s.settings.PollWithin), s.settings.PollWithin)
-	return time.Duration(s.rng.Float64() * min(spread*float64(s.settings.PollWithin), float64(longest)))
+	maxDelay = min(cmp.Or(maxDelay, s.settings.PollWithin), s.settings.PollWithin)
+	return time.Duration(s.rng.Float64() * min(spread*float64(s.settings.PollWithin), float64(maxDelay)))
 }
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -7,8 +7,8 @@
 	"ashshunt/balancer"
 )
 
-// polls counts the Subscribe actions.
-func polls(actions []balancer.Action) (n int) {
+// countSubscribes counts the Subscribe actions.
+func countSubscribes(actions []balancer.Action) (n int) {
 	for _, action := range actions {
 		if _, ok := action.(balancer.Subscribe); ok {
 			n++
@@ -26,17 +26,17 @@
 	for seed := range uint64(10) {
 		h := newHarness(t, s, seed, endpoints(2))
 		waits[h.timers[0].at-h.now] = true
-		if n := polls(h.advance(s.PollWithin / 10)); n != 1 {
+		if n := countSubscribes(h.advance(s.PollWithin / 10)); n != 1 {
 			t.Fatalf("polled %d times at the start, want once", n)
 		}
 		for range 8 {
 			h.step(balancer.EndpointList{Kind: balancer.ListFailed})
-			if n := polls(h.advance(s.PollWithin / 2)); n != 1 {
+			if n := countSubscribes(h.advance(s.PollWithin / 2)); n != 1 {
 				t.Fatalf("polled %d times after a failure, want once", n)
 			}
 		}
 		h.replaceList(endpoints(2)...)
-		if n := polls(h.advance(time.Minute)); n != 0 {
+		if n := countSubscribes(h.advance(time.Minute)); n != 0 {
 			t.Errorf("polled %d times while subscribed", n)
 		}
 	}
@@ -46,10 +46,10 @@
 }
 
 // Where the list comes without a subscription there are no polls.
-func TestNoPollWithoutSubscription(t *testing.T) {
+func TestNoSubscribeUnlessConfigured(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(2))
 	actions := h.step(balancer.EndpointList{Kind: balancer.ListFailed})
-	if n := polls(append(actions, h.advance(time.Minute)...)); n != 0 {
+	if n := countSubscribes(append(actions, h.advance(time.Minute)...)); n != 0 {
 		t.Errorf("polled %d times", n)
 	}
 }
@@ -84,34 +84,34 @@
 // subscribingAgent is an agent that polls a discovery service.
 type subscribingAgent struct {
 	*harness
-	answerAt  time.Duration // of the call in flight; 0: there is none
-	willServe bool          // the call in flight will bring the list
-	hasList   bool          // the latest answer was the list
-	calls     int
+	answerAt    time.Duration // of the call in flight; 0: there is none
+	willSucceed bool          // the call in flight will bring the list
+	hasList     bool          // the latest answer was the list
+	calls       int
 }
 
 // advanceTo moves the clock, and takes in an answer and makes a call that are due by then.
 func (a *subscribingAgent) advanceTo(now time.Duration, discovery *discoveryService, failure balancer.ListKind) {
 	actions := a.advance(now - a.now)
 	if a.answerAt > 0 && a.answerAt <= a.now {
-		a.answerAt, a.hasList = 0, a.willServe
+		a.answerAt, a.hasList = 0, a.willSucceed
 		list := balancer.EndpointList{Kind: failure}
-		if a.willServe {
+		if a.willSucceed {
 			list = balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(2)}
 		}
 		actions = append(actions, a.step(list)...)
 	}
-	for range polls(actions) {
+	for range countSubscribes(actions) {
 		a.calls++
-		a.answerAt, a.willServe = discovery.call(a.now)
+		a.answerAt, a.willSucceed = discovery.call(a.now)
 	}
 }
 
-// subscribeTogether starts agents at one moment and returns how many have the list after the span, and how many calls
+// startAndSubscribe starts agents at one moment and returns how many have the list after the span, and how many calls
 // that took. spread is the SubscribeSpread setting; 0: there is none.
-func subscribeTogether(
+func startAndSubscribe(
 	t *testing.T, agents int, spread time.Duration, discovery *discoveryService, span time.Duration,
-) (listed, calls int) {
+) (withList, calls int) {
 	t.Helper()
 	s := settings()
 	s.Subscribe, s.Agents, s.SubscribeSpread, s.RefusedSubscribeSpread = true, agents, spread, 8*spread/3
@@ -132,15 +132,15 @@
 	for _, agent := range fleet {
 		calls += agent.calls
 		if agent.hasList {
-			listed++
+			withList++
 		}
 	}
-	return listed, calls
+	return withList, calls
 }
 
 // Agents that start together, as at a release, do not overload a discovery of little capacity, which would work on
 // calls whose callers have given up, and serve none.
-func TestSubscribingTogether(t *testing.T) {
+func TestAgentsStartingTogether(t *testing.T) {
 	pollWithin := settings().PollWithin
 	tests := []struct {
 		name        string
@@ -163,9 +163,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			listed, calls := subscribeTogether(t, tt.agents, tt.spread, newDiscoveryService(tt.serviceTime), tt.span)
-			if listed < tt.agents {
-				t.Errorf("%d of %d have the list after %v and %d calls", listed, tt.agents, tt.span, calls)
+			withList, calls := startAndSubscribe(t, tt.agents, tt.spread, newDiscoveryService(tt.serviceTime), tt.span)
+			if withList < tt.agents {
+				t.Errorf("%d of %d have the list after %v and %d calls", withList, tt.agents, tt.span, calls)
 			}
 			if tt.maxCalls > 0 && calls > tt.maxCalls {
 				t.Errorf("%d calls, want %d at most", calls, tt.maxCalls)
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// minSubset is the size of the subset, in endpoints, of an agent without attempts in flight.
-	minSubset = 2.0
-	// subsetPerAttempt is by how much the subset grows with each attempt of the recent peak in flight.
-	subsetPerAttempt = 0.5
+	// minSubsetSize is the size of the subset, in endpoints, of an agent without attempts in flight.
+	minSubsetSize = 2.0
+	// subsetGrowthPerAttempt is by how much the subset grows with each attempt of the recent peak in flight.
+	subsetGrowthPerAttempt = 0.5
 	// connectedRankFactor multiplies the weighted rank of a connected endpoint: the least comes first.
 	connectedRankFactor = 0.5
 )
@@ -20,18 +20,18 @@
 	load           float64 // attempts in flight
 	latencyRatio   float64 // its latency over the expected one
 	warmUpFraction float64 // share of its full capacity
-	connected      bool
+	isConnected    bool
 	weight         float64 // in a random choice
 	weightedRank   float64 // rank over weight: its place in this agent's own order, the least first
 }
 
 // isIdle reports whether a new attempt would not wait behind another one.
-func (c *candidate) isIdle() bool { return c.load < 1 || !c.connected }
+func (c *candidate) isIdle() bool { return c.load < 1 || !c.isConnected }
 
 func compareWeightedRank(x, y candidate) int { return cmp.Compare(x.weightedRank, y.weightedRank) }
 
-// outsider is a candidate that is neither in the subset nor connected.
-type outsider struct {
+// fallback is a candidate that is neither in the subset nor connected.
+type fallback struct {
 	endpoint *endpoint
 	weight   float64 // in a random choice
 }
@@ -43,13 +43,13 @@
 	subsetSize int
 	members    []candidate // the subset; complete adds the connected candidates outside of it
 	connected  []candidate // outside the subset, but connected or warming up
-	outsiders  []outsider  // observed and outside the subset; one is drawn if the pick comes to that
+	fallbacks  []fallback  // observed and outside the subset; one is drawn if the pick comes to that
 }
 
 // reset empties the set and keeps its memory.
 func (s *candidateSet) reset(subsetSize int) {
 	s.subsetSize = subsetSize
-	s.members, s.connected, s.outsiders = s.members[:0], s.connected[:0], s.outsiders[:0]
+	s.members, s.connected, s.fallbacks = s.members[:0], s.connected[:0], s.fallbacks[:0]
 }
 
 // admits reports whether a candidate with a weighted rank would belong to the subset.
@@ -62,7 +62,7 @@
 
 // insert puts a candidate into the subset, if it belongs there. Once the subset is full, it returns the
 // candidate that is left outside.
-func (s *candidateSet) insert(c candidate) (outside candidate, isOutside bool) {
+func (s *candidateSet) insert(c candidate) (excluded candidate, isExcluded bool) {
 	if len(s.members) < s.subsetSize {
 		s.members = append(s.members, c)
 		if len(s.members) == s.subsetSize {
@@ -81,28 +81,28 @@
 	return displaced, true
 }
 
-// complete adds the connected candidates to the members and sorts all of them.
-func (s *candidateSet) complete() {
+// mergeConnected adds the connected candidates to the members and sorts all of them.
+func (s *candidateSet) mergeConnected() {
 	s.members = append(s.members, s.connected...)
 	slices.SortFunc(s.members, compareWeightedRank)
 }
 
-// outsiderWeight is the sum of the weights of the outsiders.
-func (s *candidateSet) outsiderWeight() float64 {
+// fallbackWeight is the sum of the weights of the outsiders.
+func (s *candidateSet) fallbackWeight() float64 {
 	sum := 0.0
-	for _, o := range s.outsiders {
-		sum += o.weight
+	for _, f := range s.fallbacks {
+		sum += f.weight
 	}
 	return sum
 }
 
-// outsiderAt is the outsider at which the sum of the weights reaches target. There is at least one.
-func (s *candidateSet) outsiderAt(target float64) *endpoint {
-	for _, o := range s.outsiders {
+// fallbackAt is the outsider at which the sum of the weights reaches target. There is at least one.
+func (s *candidateSet) fallbackAt(target float64) *endpoint {
+	for _, o := range s.fallbacks {
 		target -= o.weight
 		if target < 0 {
 			return o.endpoint
 		}
 	}
-	return s.outsiders[len(s.outsiders)-1].endpoint
+	return s.fallbacks[len(s.fallbacks)-1].endpoint
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -10,7 +10,7 @@
 
 // An agent with little traffic uses a few endpoints, one with more traffic as many as it needs: agents that each
 // connect to every endpoint would fill its connection table.
-func TestSubset(t *testing.T) {
+func TestSubsetGrowsWithTraffic(t *testing.T) {
 	s := settings()
 	s.IdleClose = time.Minute
 	h := newHarness(t, s, 2, endpoints(20))
@@ -31,7 +31,7 @@
 }
 
 // An endpoint that rejects requests leaves the subset, so that an agent comes to use others.
-func TestRejectingEndpointLeavesTheSubset(t *testing.T) {
+func TestRejectingEndpointLeavesSubset(t *testing.T) {
 	h := newHarness(t, settings(), 5, endpoints(20))
 	first := h.serve(40, idempotent, 20*ms)
 	for i := range 30 {
@@ -57,7 +57,7 @@
 
 // An endpoint that gave no response leaves the subset; one that answered with an error still has a good
 // connection, and returns to the subset after its ejection.
-func TestWhatLeavesTheSubset(t *testing.T) {
+func TestSubsetAfterFailure(t *testing.T) {
 	tests := []struct {
 		name   string
 		result balancer.Result
@@ -86,20 +86,20 @@
 // Agents do not stay with the endpoints that they are connected to while others join, or a zone returns: new
 // endpoints get their share of all agents' traffic once they are warm. The figures are those of a few fleets, since
 // that of one varies by a fifth.
-func TestNewEndpointsGetTheirShare(t *testing.T) {
-	const fleets, agents, joined, requests = 5, 80, 20, 40
-	served, idle, widest := 0, 0, 0
+func TestAddedEndpointsGetTheirShare(t *testing.T) {
+	const fleets, agents, added, requests = 5, 80, 20, 40
+	served, idle, maxUsed := 0, 0, 0
 	for fleet := range uint64(fleets) {
 		counts := map[string]int{}
 		for i := range uint64(agents) {
-			part := servedAfterJoin(t, agents, 1000*fleet+i, joined, requests)
-			widest = max(widest, len(part))
-			for id, n := range part {
+			agentCounts := servedAfterAddition(t, agents, 1000*fleet+i, added, requests)
+			maxUsed = max(maxUsed, len(agentCounts))
+			for id, n := range agentCounts {
 				counts[id] += n
 			}
 		}
-		for i := range joined {
-			n := counts[joinedID(i)]
+		for i := range added {
+			n := counts[addedID(i)]
 			served += n
 			if n == 0 {
 				idle++
@@ -108,20 +108,20 @@
 	}
 	// A third of the endpoints; agents are slow to leave those that they know.
 	if all := requests * agents * fleets; served < all/8 || served > all/2 || idle > 10*fleets {
-		t.Errorf("20 new endpoints of 60 got %d of %d requests, and %d of %d none", served, all, idle, joined*fleets)
+		t.Errorf("20 new endpoints of 60 got %d of %d requests, and %d of %d none", served, all, idle, added*fleets)
 	}
-	if widest > 8 {
+	if maxUsed > 8 {
 		t.Errorf("an agent with little traffic used %d endpoints, want a few: each takes only so many connections",
-			widest)
+			maxUsed)
 	}
 }
 
-// joinedID is the ID of an endpoint that joins.
-func joinedID(i int) string { return fmt.Sprint("new", i) }
+// addedID is the ID of an endpoint that joins.
+func addedID(i int) string { return fmt.Sprint("new", i) }
 
-// servedAfterJoin has an agent serve some requests with 40 endpoints, then others join and get warm. It returns how
+// servedAfterAddition has an agent serve some requests with 40 endpoints, then others join and get warm. It returns how
 // many of so many further requests each endpoint gets.
-func servedAfterJoin(t *testing.T, agents int, seed uint64, joined, requests int) map[string]int {
+func servedAfterAddition(t *testing.T, agents int, seed uint64, added, requests int) map[string]int {
 	t.Helper()
 	s := settings()
 	s.Agents, s.AgentIndex = agents, int(seed%uint64(agents))
@@ -131,8 +131,8 @@
 	}
 	h := newHarness(t, s, seed, list)
 	h.serve(40, idempotent, 50*ms)
-	for i := range joined {
-		list = append(list, balancer.Endpoint{ID: joinedID(i), StartedAt: h.now})
+	for i := range added {
+		list = append(list, balancer.Endpoint{ID: addedID(i), StartedAt: h.now})
 	}
 	h.replaceList(list...)
 	h.advance(s.SlowStartDuration)
