--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -126,7 +126,7 @@
 	ep, connectFailed := a.endpoint, outcome.Result == ConnectFailed
 	threshold := b.outliers.failureThreshold(outcome.Result) // by the failures before this one
 	b.outliers.recordFailure(ep, b.now)
-	if b.outliers.isProcessAlive(ep, outcome) {
+	if b.outliers.isSingleConnectionFailure(ep, outcome) {
 		threshold = maxConsecutiveFailures
 		if connectFailed {
 			b.outliers.skipBriefly(ep, r.class, b.now)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -62,10 +62,10 @@
 	return int(min(max(minFailures, failures), maxConsecutiveFailures))
 }
 
-// isProcessAlive reports whether an endpoint's process lives although a connection to it failed: a
+// isSingleConnectionFailure reports whether an endpoint's process lives although a connection to it failed: a
 // process that dies takes all its connections along, but older attempts are still in flight. A dial without
 // an answer proves no life.
-func (d *outlierDetector) isProcessAlive(ep *endpoint, outcome *Outcome) bool {
+func (d *outlierDetector) isSingleConnectionFailure(ep *endpoint, outcome *Outcome) bool {
 	if outcome.Result == ServerError {
 		return false
 	}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -98,10 +98,10 @@
 
 // fallbackAt is the outsider at which the sum of the weights reaches target. There is at least one.
 func (s *candidateSet) fallbackAt(target float64) *endpoint {
-	for _, o := range s.fallbacks {
-		target -= o.weight
+	for _, f := range s.fallbacks {
+		target -= f.weight
 		if target < 0 {
-			return o.endpoint
+			return f.endpoint
 		}
 	}
 	return s.fallbacks[len(s.fallbacks)-1].endpoint
--- a/balancer/unobserved.go
+++ b/balancer/unobserved.go
@@ -29,27 +29,27 @@
 	return cmp.Compare(x.unobservedRank(), y.unobservedRank())
 }
 
-func (o *rankedEndpoints) add(ep *endpoint) {
-	position, _ := slices.BinarySearchFunc(*o, ep, compareUnobservedRank)
-	*o = slices.Insert(*o, position, ep)
+func (r *rankedEndpoints) add(ep *endpoint) {
+	position, _ := slices.BinarySearchFunc(*r, ep, compareUnobservedRank)
+	*r = slices.Insert(*r, position, ep)
 }
 
-func (o *rankedEndpoints) remove(ep *endpoint) {
-	position, _ := slices.BinarySearchFunc(*o, ep, compareUnobservedRank)
-	for ; position < len(*o); position++ { // endpoints of equal weighted rank are next to each other
-		if (*o)[position] == ep {
-			*o = slices.Delete(*o, position, position+1)
+func (r *rankedEndpoints) remove(ep *endpoint) {
+	position, _ := slices.BinarySearchFunc(*r, ep, compareUnobservedRank)
+	for ; position < len(*r); position++ { // endpoints of equal weighted rank are next to each other
+		if (*r)[position] == ep {
+			*r = slices.Delete(*r, position, position+1)
 			return
 		}
 	}
 }
 
 // minWeightedRank is the weighted rank of the first endpoint; infinite if there is none.
-func (o rankedEndpoints) minWeightedRank() float64 {
-	if len(o) == 0 {
+func (r rankedEndpoints) minWeightedRank() float64 {
+	if len(r) == 0 {
 		return math.Inf(1)
 	}
-	return o[0].unobservedRank()
+	return r[0].unobservedRank()
 }
 
 func (u *unobservedEndpoints) len() int { return len(u.ownZone) + len(u.otherZones) }
