--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	// overdueObjectiveShare is the least time without a response, as a share of the objective, that makes an
-	// attempt overdue.
+	// overdueObjectiveShare is the minimum time without a response after which an attempt is overdue, as a
+	// share of the objective.
 	overdueObjectiveShare = 0.35
-	// overdueExpectedLatencies is the same in expected latencies, which are long where all endpoints are crowded.
+	// overdueExpectedLatencies is the same in expected latencies. It exceeds the share of the objective where
+	// all endpoints are overloaded.
 	overdueExpectedLatencies = 6.0
-	// minInformativeTimeoutShare is the least time, as a share of the objective, for which a client must wait for
-	// the result to carry information about the endpoint.
+	// minInformativeTimeoutShare is the minimum time that a client must wait for the result of an attempt to
+	// carry information about the endpoint, as a share of the objective.
 	minInformativeTimeoutShare = overdueObjectiveShare
 	// minExpectedLatencyNs keeps divisions by an expected latency finite.
 	minExpectedLatencyNs = 1.0
 )
 
-// attempt is one try of a request at one endpoint.
+// attempt is one attempt of a request at one endpoint.
 type attempt struct {
 	endpoint          *endpoint
 	sentAt            time.Duration
 	expectedLatencyNs float64       // at least minExpectedLatencyNs
-	overdueAfter      time.Duration // without a response for longer, its endpoint may be unresponsive
+	overdueAfter      time.Duration // time since sentAt after which the attempt is overdue
 	isInFlight        bool
-	usesNewConnection bool // the endpoint was not connected
+	usesNewConnection bool // the endpoint was not connected when the attempt was sent
 }
 
 func newAttempt(r *request, ep *endpoint, now time.Duration, usesNewConnection bool) *attempt {
@@ -40,27 +41,27 @@
 
 func (a *attempt) isOverdue(now time.Duration) bool { return now-a.sentAt > a.overdueAfter }
 
-// latencyRatio is a latency over the expected one.
+// latencyRatio returns a latency over the expected latency of the attempt.
 func (a *attempt) latencyRatio(latency time.Duration) float64 {
 	return float64(latency) / a.expectedLatencyNs
 }
 
-// hasShortTimeout reports whether the client of an attempt waited for so short a time that the result carries
-// no information about the endpoint.
+// hasShortTimeout reports whether the client waits for so short a time after the attempt was sent that the
+// result carries no information about the endpoint.
 func (a *attempt) hasShortTimeout(r *request) bool {
 	minTimeoutNs := minInformativeTimeoutShare * float64(min(r.class.Objective, r.class.Deadline))
 	return r.deadline-a.sentAt < time.Duration(minTimeoutNs)
 }
 
-// send starts an attempt. It is the only place that does. The queue and the picker have checked the rules for
-// attempts; they are checked once more, so that a mistake there cannot break them.
+// send starts an attempt; no other function does. The queue and the picker have already applied attemptRules.
+// send applies them again, so that a defect there cannot violate them.
 func (b *Balancer) send(r *request, ep *endpoint) {
 	isAllowed := b.attemptRules.allows(r, ep, b.now) && r.isNextOfKey(b.now)
 	if ep.State != Serving || !isAllowed || b.now >= r.deadline {
 		b.answerUnserved(r)
 		return
 	}
-	notAfter := r.dedupWindowEnd() // before this attempt counts
+	notAfter := r.dedupWindowEnd() // computed before this attempt is added
 	a := newAttempt(r, ep, b.now, !ep.isConnected(b.now, b.settings.IdleClose))
 	r.addAttempt(a)
 	b.endpoints.markObserved(ep)
@@ -73,12 +74,12 @@
 		b.slowStart.scheduleNextPermit(ep, b.now, a.expectedLatencyNs, b.fleet)
 	}
 	b.act(Send{Request: r.id, Endpoint: ep.ID, NotAfter: notAfter})
-	r.timer = 0 // voids the timer that it was queued with
+	r.timer = 0 // the timer set while it was queued no longer applies
 	b.scheduleHedge(r)
 }
 
-// finishAttempt takes an attempt out of the counts of those in flight. One that may still be running starts the
-// quiet period of its request's key.
+// finishAttempt removes an attempt from the counts of attempts in flight. If the attempt may still be
+// running, the quiet period of its request's key starts.
 func (b *Balancer) finishAttempt(r *request, a *attempt, result Result) {
 	r.endAttempt(a, b.settings.MayHaveRun(result))
 	a.endpoint.removeAttempt(a)
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -9,7 +9,7 @@
 type endpointSet struct {
 	byID       map[string]*endpoint
 	all        []*endpoint // in the order in which they were first listed
-	observed   []*endpoint // in the order in which they became so; a step looks at each
+	observed   []*endpoint // in the order in which they became observed; each step iterates over them
 	unobserved unobservedEndpoints
 }
 
@@ -17,14 +17,15 @@
 	return endpointSet{byID: map[string]*endpoint{}, unobserved: unobservedEndpoints{zone: ownZone}}
 }
 
-// add adds an endpoint that has just been listed.
+// add adds an endpoint that is new in the list.
 func (s *endpointSet) add(ep *endpoint) {
 	s.byID[ep.ID] = ep
 	s.all = append(s.all, ep)
 	s.unobserved.add(ep)
 }
 
-// markObserved moves an endpoint to those that each step looks at, before anything about it changes.
+// markObserved moves an endpoint to the observed ones, which each step iterates over. It must be called
+// before the state of the endpoint changes.
 func (s *endpointSet) markObserved(ep *endpoint) {
 	if ep.isObserved {
 		return
@@ -34,7 +35,7 @@
 	s.observed = append(s.observed, ep)
 }
 
-// update takes over what the list now says of an endpoint.
+// update replaces the list entry of an endpoint.
 func (s *endpointSet) update(ep *endpoint, entry Endpoint) {
 	needsReorder := !ep.isObserved && (entry.Zone != ep.Zone || entry.Weight != ep.Weight)
 	if needsReorder {
@@ -46,7 +47,7 @@
 	}
 }
 
-// removeIfUnused drops an endpoint that was removed and has no attempt in flight. Such an endpoint is observed.
+// removeIfUnused removes an endpoint that is unused. Such an endpoint is observed.
 func (s *endpointSet) removeIfUnused(ep *endpoint) {
 	if !ep.isUnused() {
 		return
@@ -56,7 +57,7 @@
 	delete(s.byID, ep.ID)
 }
 
-// removeUnlisted removes the endpoints that a complete list does not name, in one pass.
+// removeUnlisted removes the endpoints that a complete list does not contain, in one pass.
 func (s *endpointSet) removeUnlisted(entries []Endpoint) {
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
@@ -76,7 +77,7 @@
 	s.observed = slices.DeleteFunc(s.observed, (*endpoint).isUnused)
 }
 
-// ejectedCount is the number of serving endpoints that are ejected.
+// ejectedCount returns the number of serving endpoints that are ejected.
 func (s *endpointSet) ejectedCount(now time.Duration) int {
 	count := 0
 	for _, ep := range s.observed {
@@ -87,7 +88,7 @@
 	return count
 }
 
-// deleteEndpoint removes an endpoint, if it is there.
+// deleteEndpoint returns endpoints without ep.
 func deleteEndpoint(endpoints []*endpoint, ep *endpoint) []*endpoint {
 	i := slices.Index(endpoints, ep)
 	if i < 0 {
@@ -96,7 +97,7 @@
 	return slices.Delete(endpoints, i, i+1)
 }
 
-// handleEndpointList applies an endpoint list, or the failure to get one.
+// handleEndpointList handles an endpoint list, or the failure to get one.
 func (b *Balancer) handleEndpointList(list EndpointList) {
 	if delay, ok := b.subscriber.handleList(list.Kind); ok {
 		b.timers.registerSubscribe(b.setTimer(delay))
@@ -112,7 +113,7 @@
 	}
 }
 
-// applyEntry applies one entry of a list.
+// applyEntry applies one entry of an endpoint list.
 func (b *Balancer) applyEntry(entry Endpoint) {
 	ep := b.endpoints.byID[entry.ID]
 	if ep == nil {
--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// fleetSummary sums up the endpoints. It is measured at the start of each step and after each endpoint list.
+// fleetSummary summarizes the endpoints. It is updated at the start of each step and after each endpoint
+// list.
 type fleetSummary struct {
-	serving  int     // endpoints that are listed as serving
-	warm     int     // of these, those whose warm-up was over before the measurement
-	capacity float64 // usable endpoints, each counted by its warm-up fraction
+	serving  int     // endpoints listed as serving
+	warm     int     // serving endpoints that were not warming up before this update
+	capacity float64 // sum of the warm-up fractions of the usable endpoints
 	stalled  int     // attempts in flight that are overdue, or at endpoints that are not usable
 }
 
-// summarize measures the fleet. Unobserved endpoints are usable and warm: only their number counts, so that
-// the cost does not grow with the fleet.
+// summarize returns the summary of the endpoints. Unobserved endpoints are usable and warm, and only their
+// number is needed, so that the cost does not grow with the fleet.
 func (s *endpointSet) summarize(now time.Duration, slowStart *slowStart) fleetSummary {
 	unobserved := s.unobserved.len()
 	fleet := fleetSummary{serving: unobserved, warm: unobserved, capacity: float64(unobserved)}
@@ -37,7 +38,7 @@
 
 func (b *Balancer) updateFleet() { b.fleet = b.endpoints.summarize(b.now, &b.slowStart) }
 
-// activeInFlight is the number of attempts in flight that may still be served: those that the concurrency
-// limit bounds. It is too low, even under zero, once stalled attempts have ended since the fleet was
-// measured.
+// activeInFlight returns the number of attempts in flight that may still be served, which the concurrency
+// limit bounds. It is too low, and may be negative, if stalled attempts have finished since the latest
+// updateFleet.
 func (b *Balancer) activeInFlight() float64 { return float64(b.attemptsInFlight - b.fleet.stalled) }
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// attemptRules say where a first or further attempt of a request may go. They hold for every attempt,
-// whatever the picker, the retries and the hedging want.
+// attemptRules decides which endpoints may get a first or further attempt of a request. The rules apply to
+// every attempt, including retries and hedges.
 type attemptRules struct {
 	maxAttempts    int
 	allowHedging   bool
 	connectTimeout time.Duration
 }
 
-// allows reports whether an attempt of r may go to an endpoint now.
+// allows reports whether an attempt of r may be sent to an endpoint now.
 func (rules *attemptRules) allows(r *request, ep *endpoint, now time.Duration) bool {
 	if r.hasEnded() || r.isStreaming || len(r.attempts) >= rules.maxAttempts {
 		return false
@@ -21,8 +21,7 @@
 	return r.mayHaveRunCount == 0 || rules.allowsRepeat(r, ep, now)
 }
 
-// allowsHedge reports whether a request with an attempt in flight may get a second one beside it, as far as
-// the request itself is concerned.
+// allowsHedge reports whether a request with an attempt in flight may be hedged, regardless of the endpoint.
 func (rules *attemptRules) allowsHedge(r *request) bool {
 	if !rules.allowHedging || r.class.Idempotency == NotIdempotent {
 		return false
@@ -30,7 +29,8 @@
 	return r.inFlight == 1 && len(r.attempts) < rules.maxAttempts
 }
 
-// allowsRepeat reports whether a request that may have run has no further effect at an endpoint.
+// allowsRepeat reports whether a request that may have run can be repeated at an endpoint without a further
+// effect.
 func (rules *attemptRules) allowsRepeat(r *request, ep *endpoint, now time.Duration) bool {
 	switch r.class.Idempotency {
 	case Idempotent:
@@ -43,13 +43,13 @@
 	return false
 }
 
-// isWithinDedupWindow reports whether a repeat that is sent now arrives before endpoints forget the request.
-// Its connection may take all of its timeout to come up.
+// isWithinDedupWindow reports whether a repeat that is sent now arrives before the deduplication window of
+// the request ends. Establishing its connection may take up to the connect timeout.
 func (rules *attemptRules) isWithinDedupWindow(r *request, now time.Duration) bool {
 	return now-r.firstMayHaveRun.sentAt < r.class.DedupWindow-rules.connectTimeout
 }
 
-// isInDedupScope reports whether an endpoint drops a repeat of the attempt that may have run first.
+// isInDedupScope reports whether an endpoint drops a repeat of the first attempt that may have run.
 func (r *request) isInDedupScope(ep *endpoint) bool {
 	first := r.firstMayHaveRun.endpoint
 	switch r.class.DedupScope {
@@ -63,8 +63,8 @@
 	return false
 }
 
-// dedupWindowEnd is when endpoints no longer drop the next attempt of r as a repeat; 0: it repeats nothing,
-// or may be repeated at any time.
+// dedupWindowEnd returns the time after which endpoints no longer drop the next attempt of r as a repeat. It
+// returns 0 if that attempt repeats nothing, or may be repeated at any time.
 func (r *request) dedupWindowEnd() time.Duration {
 	if r.class.Idempotency != IdempotentWithKey || r.mayHaveRunCount == 0 {
 		return 0
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// handleOutcome applies the end of an attempt and decides how its request goes on.
+// handleOutcome handles the end of an attempt and decides how its request continues.
 func (b *Balancer) handleOutcome(event Outcome) {
 	r := b.requests[event.Request]
 	if r == nil || event.Attempt < 0 || event.Attempt >= len(r.attempts) {
@@ -26,13 +26,13 @@
 		return
 	}
 	r.lastFailed = a.endpoint
-	// A second attempt that is backing off or queued goes on by itself.
+	// If another attempt of the request is backing off or queued, that one continues.
 	if r.inFlight == 0 && r.phase == phaseActive {
 		b.scheduleRetry(r, event.Result)
 	}
 }
 
-// handleServed notes that a request got its response, and withdraws its other attempts.
+// handleServed records that a request was served, and cancels its other attempts.
 func (b *Balancer) handleServed(r *request) {
 	b.retryTokens.refill()
 	if r.isOnTime(b.now) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// updateFromOutcome lets each part learn from the end of an attempt.
+// updateFromOutcome updates the statistics and the state of the endpoint from the end of an attempt.
 func (b *Balancer) updateFromOutcome(r *request, a *attempt, outcome *Outcome) {
 	if outcome.Result == TimedOut && a.hasShortTimeout(r) {
 		return
@@ -74,9 +74,9 @@
 	}
 }
 
-// updateConnection learns whether the endpoint of an attempt is connected: a response, also an error, leaves
-// a connection. After any other end, also of an attempt that was cancelled or not sent, the endpoint moves
-// back in the order of weighted rank, so that it leaves the subset.
+// updateConnection records whether the endpoint of an attempt is connected. A response leaves a connection,
+// even if it is an error. After any other result, Cancelled and NotSent included, the endpoint is demoted in
+// the order of weighted rank, so that it leaves the subset.
 func (b *Balancer) updateConnection(a *attempt, result Result) {
 	isAnswered := result == Served || result == ServerError
 	a.endpoint.connection.recordResult(b.now, a, isAnswered)
@@ -86,11 +86,11 @@
 	}
 }
 
-// handleAttemptServed learns from a response.
+// handleAttemptServed handles a response of an attempt.
 func (b *Balancer) handleAttemptServed(r *request, a *attempt, latency time.Duration) {
 	ep := a.endpoint
 	if ep.hasProbablyRestartedBefore(a) {
-		b.handleEndpointStarted(ep, b.now) // its ejection level stays, since the restart is only inferred
+		b.handleEndpointStarted(ep, b.now) // keeps the ejection level, since the restart is only inferred
 	}
 	ep.ejection.recordServed(r.class)
 	ep.responses.recordServed(b.now)
@@ -99,7 +99,7 @@
 		b.slowStart.recordServed(b.now, a.expectedLatencyNs, b.fleet)
 	}
 	if a.hasShortTimeout(r) {
-		return // only fast responses reach such a client, so that their latency is not typical
+		return // only fast responses reach such a client: the latency is not representative
 	}
 	ep.responses.updateLatencyRatio(a.latencyRatio(latency))
 	deviation := r.class.observeLatency(b.now, latency, r.workNs)
@@ -107,8 +107,9 @@
 	b.updateLimit(r.class.objectiveRatio(latency))
 }
 
-// handleAttemptTimedOut learns from an attempt without a response. The endpoint is ejected if it has served
-// nothing since the attempt was sent; otherwise it counts as slow.
+// handleAttemptTimedOut handles an attempt without a response. It ejects the endpoint if it has served
+// nothing since the attempt was sent. Otherwise it updates the limit and the latency ratio, as for a slow
+// response.
 func (b *Balancer) handleAttemptTimedOut(r *request, a *attempt, latency time.Duration) {
 	ep := a.endpoint
 	b.outliers.ejectForClassIfLagging(ep, r.class, b.now)
@@ -117,14 +118,14 @@
 		return
 	}
 	b.updateLimit(max(unservedRatio, r.class.objectiveRatio(latency)))
-	ep.responses.updateLatencyRatio(a.latencyRatio(latency)) // a lower bound of its latency
+	ep.responses.updateLatencyRatio(a.latencyRatio(latency)) // the latency so far is a lower bound
 }
 
-// handleAttemptFailed learns from an error, or from a connection that failed or broke, and ejects the endpoint
-// after too many in a row.
+// handleAttemptFailed handles an error, or a connection that failed or broke. It ejects the endpoint after
+// too many consecutive failures.
 func (b *Balancer) handleAttemptFailed(r *request, a *attempt, outcome *Outcome) {
 	ep, connectFailed := a.endpoint, outcome.Result == ConnectFailed
-	threshold := b.outliers.failureThreshold(outcome.Result) // by the failures before this one
+	threshold := b.outliers.failureThreshold(outcome.Result) // computed before this failure is recorded
 	b.outliers.recordFailure(ep, b.now)
 	if b.outliers.isSingleConnectionFailure(ep, outcome) {
 		threshold = maxConsecutiveFailures
@@ -143,18 +144,20 @@
 	}
 }
 
-// handleLocalFailure keeps an endpoint that cannot be reached from here from attracting the traffic, as one
-// that fails fast is always idle. The cause may be this machine: the failure does not tell that the endpoint
-// was restarted, and the bound on ejected endpoints holds.
+// handleLocalFailure handles a failed connection whose cause may be this machine. It makes the picker skip
+// the endpoint for a short time: an endpoint that fails fast is always idle and would attract all traffic.
+// The failure is no evidence that the endpoint was restarted, and maxEjectedShare applies.
 func (b *Balancer) handleLocalFailure(r *request, a *attempt, outcome *Outcome) {
 	b.outliers.skipBriefly(a.endpoint, r.class, b.now)
 	if len(r.attempts) == 1 {
-		b.traffic.undoSend() // nothing was sent that may have been wasted; nor does a retry count as sent
+		// Nothing was sent. Only the first attempt of a request counts as sent, so that retries are not
+		// undone.
+		b.traffic.undoSend()
 	}
 	b.handleAttemptFailed(r, a, outcome)
 }
 
-// updateLimit lets the concurrency limit learn from a latency over its objective.
+// updateLimit updates the concurrency limit with the objective ratio of an attempt.
 func (b *Balancer) updateLimit(ratio float64) {
 	minDecreaseInterval := time.Duration(b.classes.reference().meanLatencyNs)
 	b.limiter.observe(b.now, minDecreaseInterval, ratio, b.activeInFlight(), b.fleet)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -7,64 +7,73 @@
 )
 
 const (
-	// significanceLevel is the probability of a run of failures below which the run does not count as chance.
+	// significanceLevel is the probability below which consecutive failures do not count as chance.
 	significanceLevel = 1e-3
-	// connectSignificanceLevel is the same for failed connections, which are stronger evidence, and whose requests
-	// never ran.
+	// connectSignificanceLevel is the same for failed connections. It is higher because they are stronger
+	// evidence and their requests never ran.
 	connectSignificanceLevel = 50 * significanceLevel
-	// minConsecutiveFailures and minConnectRun are the shortest runs of failures that eject an endpoint.
+	// minConsecutiveFailures and minConsecutiveConnectFailures are the minimum numbers of consecutive
+	// failures that eject an endpoint.
 	minConsecutiveFailures        = 2.0
 	minConsecutiveConnectFailures = 1.0
-	// maxConsecutiveFailures is the length of a run of failures that ejects an endpoint in any case.
+	// maxConsecutiveFailures is the number of consecutive failures that ejects an endpoint at any failure
+	// rate.
 	maxConsecutiveFailures = 6
-	// minFailureRate and maxFailureRate bound the failure rate in the estimate of that probability.
+	// minFailureRate and maxFailureRate bound the failure rate that failureThreshold uses.
 	minFailureRate = 1e-6
 	maxFailureRate = 0.3
 
-	// maxEjectedShare is the share of the serving endpoints, ejected for whatever cause, up to which one more
-	// may be ejected for errors: the rest must bear the load.
+	// maxEjectedShare bounds ejections for errors: an endpoint is ejected only if at most this share of the
+	// serving endpoints is then ejected, for any cause. The other endpoints must carry the load.
 	maxEjectedShare = 0.2
-	// unansweredDialDivisor divides the connect timeout: a dial that took longer had no answer.
+	// unansweredDialDivisor divides the connect timeout: a dial that failed after more than the resulting
+	// time had no answer.
 	unansweredDialDivisor = 2
-	// minEjectionJitter and ejectionJitter spread the length of an ejection: times 0.75 to 1.25.
+	// minEjectionJitter and ejectionJitterRange define the random factor of the duration of an ejection. It
+	// is uniform between minEjectionJitter and minEjectionJitter + ejectionJitterRange.
 	minEjectionJitter   = 0.75
 	ejectionJitterRange = 0.5
 )
 
-// outlierDetector decides which endpoints are ejected. Without ejection an endpoint that fails fast would be
-// idle all the time, and would attract all traffic.
+// outlierDetector ejects outlier endpoints. Without ejection, an endpoint that fails fast would always be
+// idle and attract all traffic.
 type outlierDetector struct {
 	rng            *rand.Rand
 	connectTimeout time.Duration
 	classes        classList
-	failureRate    float64 // moving share of failures among served attempts and first failures of a run
+	// failureRate is the moving average of failures in the fleet, over served attempts and failures that are
+	// the first in a row at their endpoint.
+	failureRate float64
 }
 
-// recordServed lowers the failure rate.
+// recordServed updates the failure rate with a served attempt.
 func (d *outlierDetector) recordServed() { d.failureRate -= slowSmoothing * d.failureRate }
 
-// recordFailure notes a failed attempt at an endpoint. Only the first failure of a run counts in the failure
-// rate, which is that of the fleet: the further failures of one endpoint say nothing about the others.
+// recordFailure records a failed attempt at an endpoint. Only the first of consecutive failures updates the
+// failure rate, which is that of the fleet: further failures of the same endpoint carry no information about
+// the others.
 func (d *outlierDetector) recordFailure(ep *endpoint, now time.Duration) {
 	if ep.ejection.recordFailure(now) {
 		d.failureRate += slowSmoothing * (1 - d.failureRate)
 	}
 }
 
-// failureThreshold is the number of failures in a row that are not chance at the current failure rate.
+// failureThreshold returns the number of consecutive failures that ejects an endpoint at the current failure
+// rate, after an attempt with the given result.
 func (d *outlierDetector) failureThreshold(result Result) int {
 	minFailures, significance := minConsecutiveFailures, significanceLevel
 	if result == ConnectFailed {
 		minFailures, significance = minConsecutiveConnectFailures, connectSignificanceLevel
 	}
 	rate := min(max(d.failureRate, minFailureRate), maxFailureRate)
-	failures := math.Ceil(math.Log(significance) / math.Log(rate)) // the least n with rate^n <= chance
+	// The smallest n with rate^n <= significance.
+	failures := math.Ceil(math.Log(significance) / math.Log(rate))
 	return int(min(max(minFailures, failures), maxConsecutiveFailures))
 }
 
-// isSingleConnectionFailure reports whether an endpoint's process lives although a connection to it failed: a
-// process that dies takes all its connections along, but older attempts are still in flight. A dial without
-// an answer proves no life.
+// isSingleConnectionFailure reports whether a connection to an endpoint failed or broke although the
+// endpoint's process is still running. A process that ends closes all its connections, so that older attempts
+// still in flight show that it runs. A dial without an answer is no evidence of a running process.
 func (d *outlierDetector) isSingleConnectionFailure(ep *endpoint, outcome *Outcome) bool {
 	if outcome.Result == ServerError {
 		return false
@@ -74,14 +83,14 @@
 	return hasOlderAttempt && !isUnanswered
 }
 
-// mayEjectForErrors reports whether one more endpoint may be ejected.
+// mayEjectForErrors reports whether one more endpoint may be ejected for errors.
 func mayEjectForErrors(endpoints *endpointSet, fleet fleetSummary, now time.Duration) bool {
 	maxEjected := max(1, maxEjectedShare*float64(fleet.serving))
 	return float64(endpoints.ejectedCount(now)+1) <= maxEjected
 }
 
-// eject ejects the endpoint of a failed attempt, for longer with each level. An attempt that was sent before
-// the last ejection adds nothing to it.
+// eject ejects the endpoint of a failed attempt, for longer with each ejection level. An attempt that was
+// sent before the latest ejection does not eject its endpoint again.
 func (d *outlierDetector) eject(a *attempt, class *classStats, now time.Duration) {
 	e := &a.endpoint.ejection
 	if a.sentAt < e.ejectedAt {
@@ -91,8 +100,8 @@
 	e.eject(now, class.Objective, jitter)
 }
 
-// ejectForClassIfLagging ejects an endpoint for one class, if that class is served on time less often than the
-// best one. Otherwise the whole fleet is slow, and not this endpoint.
+// ejectForClassIfLagging ejects an endpoint for one class if the on-time share of the class is significantly
+// lower than that of the best class. Otherwise the fleet as a whole is slow, and not this endpoint.
 func (d *outlierDetector) ejectForClassIfLagging(ep *endpoint, class *classStats, now time.Duration) {
 	if class.onTimeShare() > d.classes.best().onTimeShare()-significantOnTimeGap {
 		return
@@ -100,8 +109,8 @@
 	ep.ejection.byClass[class.index].eject(now, class.Objective)
 }
 
-// skipBriefly keeps an endpoint that shed a request, or to which a connection failed, from new attempts for a
-// random part of the mean latency.
+// skipBriefly makes the picker skip an endpoint that shed a request, or to which a connection failed. The
+// duration is a random part of the mean latency of the class.
 func (d *outlierDetector) skipBriefly(ep *endpoint, class *classStats, now time.Duration) {
 	ep.ejection.skipUntil(now + time.Duration(d.rng.Float64()*class.meanLatencyNs))
 }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -11,46 +11,49 @@
 )
 
 const (
-	// crossZonePriceFactor is by how much the weights of endpoints in other zones are divided, beyond 1, as
-	// a multiple of the price of crossing zones.
+	// crossZonePriceFactor is the factor that turns Settings.CrossZonePrice into a reduction of weights: the
+	// weights of endpoints in other zones are divided by 1 + crossZonePriceFactor*CrossZonePrice.
 	crossZonePriceFactor = 200.0
-	// overloadedSentPerOnTime is the number of requests sent for each one served on time above which zones are
-	// crossed freely.
+	// overloadedSentPerOnTime is the number of requests sent per request served on time above which the fleet
+	// counts as overloaded where the throttle replaces the concurrency limit.
 	overloadedSentPerOnTime = 1.15
-	// maxLoadLimitMultiple is the most that one endpoint may hold, in mean shares of the concurrency limit.
+	// maxLoadLimitMultiple bounds the attempts that one agent has in flight at one endpoint, as a multiple of
+	// the agent's part of the concurrency limit per endpoint.
 	maxLoadLimitMultiple = 3.0
-	// newConnectionLoad is the number of attempts at the least loaded endpoint, from which on a new connection is
-	// opened.
+	// newConnectionLoad is the number of attempts in flight at the least loaded endpoint from which on the
+	// picker opens a connection to a further endpoint.
 	newConnectionLoad = 2
-	// minMaxLoad is the least number of attempts up to which an endpoint gets more.
+	// minMaxLoad is the minimum of pickInfo.maxLoad, in attempts in flight.
 	minMaxLoad = newConnectionLoad
-	// largeFleetSubsetMultiple is the number of subsets that a fleet must exceed to count as large for its agents.
+	// largeFleetSubsetMultiple is the number of serving endpoints, as a multiple of the target subset size,
+	// above which a fleet counts as large.
 	largeFleetSubsetMultiple = 2
-	// inFlightLatencyFactor is how much of the time that an attempt is in flight counts as its endpoint's
-	// latency.
+	// inFlightLatencyFactor is the share of the age of an attempt in flight that counts as a latency of its
+	// endpoint.
 	inFlightLatencyFactor = 0.5
-	// loadJitter is the random share of a load that breaks ties.
+	// loadJitter is the maximum random increase of a load, as a share of the load. It breaks ties.
 	loadJitter = 0.01
-	// minUniform keeps the logarithm of a uniform random number finite.
+	// minUniform is the minimum of a uniform random number whose logarithm is taken, which keeps the
+	// logarithm finite.
 	minUniform = 1e-12
-	// maxFallbackDraws bounds the draws of an outsider: each may meet an endpoint that is small, or that may not get
-	// the request.
+	// maxFallbackDraws bounds the draws of one fallback endpoint. A draw fails if rejection sampling rejects
+	// the endpoint or if the rules do not allow the attempt there.
 	maxFallbackDraws = 50
-	// uniformBits is the number of random bits that a float64 in [0, 1) holds, and hashBits that of a hash.
+	// uniformBits is the number of random bits in a float64 in [0, 1), and hashBits that in a hash.
 	uniformBits = 53
 	hashBits    = 64
 )
 
-// The tiers of idle candidates: one of the first tier that has any is taken.
+// Tiers of idle candidates, in order of preference.
 const (
-	tierSubset      = iota // in the subset, or treated as such
+	tierSubset      = iota // in the subset, or treated as a member of it
 	tierConnected          // outside the subset, with a connection
-	tierUnconnected        // outside the subset, without one: with cache affinity alone
+	tierUnconnected        // outside the subset, without a connection; occurs only with cache affinity
 	tierCount
 )
 
-// picker chooses the endpoint of an attempt: an idle one at random, by weight; otherwise the least loaded
-// one. Only the memory of its candidates is kept between picks.
+// picker selects the endpoint of an attempt: an idle one at random, by weight, or the least loaded one if
+// none is idle. It keeps no state between picks.
 type picker struct {
 	settings   *Settings
 	rng        *rand.Rand
@@ -59,22 +62,23 @@
 	traffic    *trafficStats
 	slowStart  *slowStart
 	endpoints  *endpointSet
-	candidates candidateSet // collected anew by each pick
+	candidates candidateSet // rebuilt by each pick, which reuses its memory
 }
 
-// pickInfo is what one pick goes by, besides the endpoints.
+// pickInfo holds the inputs of one pick that are common to all endpoints.
 type pickInfo struct {
 	request          *request
 	now              time.Duration
 	fleet            fleetSummary
-	targetSubsetSize float64 // wanted size of the subset, in endpoints
-	crossZoneDivisor float64 // divides the weights, and so multiplies the ranks, of endpoints in other zones
-	newEndpointLoad  float64 // load, in attempts, of an endpoint without a response yet
-	maxLoad          float64 // load, in attempts, at which an endpoint gets nothing more
+	targetSubsetSize float64 // number of endpoints in the subset before rounding up
+	crossZoneDivisor float64 // divides the weights of endpoints in other zones; multiplies their ranks
+	newEndpointLoad  float64 // load assumed for an endpoint that has not served anything yet, in attempts
+	maxLoad          float64 // load at which an endpoint gets no further attempt, in attempts
 }
 
-// pick chooses an endpoint for a request: an idle one; otherwise the least loaded one; otherwise, if none is
-// healthy, an unhealthy one of low ejection level and load. It returns nil if none may be used now.
+// pick selects an endpoint for a request: an idle one; otherwise the least loaded one; otherwise, if no
+// endpoint is healthy, the unhealthy one of lowest ejection level and load. It returns nil if no endpoint may
+// get the request now.
 func (p *picker) pick(r *request, now time.Duration, fleet fleetSummary) *endpoint {
 	info := p.newPickInfo(r, now, fleet, minSubsetSize+subsetGrowthPerAttempt*p.traffic.peakInFlight)
 	candidates := &p.candidates
@@ -83,9 +87,10 @@
 	if preferred := cmp.Or(idle[tierSubset], idle[tierConnected]); preferred != nil {
 		return preferred
 	}
-	// By its own attempts, not by the mean load that stands for a new endpoint.
+	// Uses the endpoint's actual load: the candidate of a new endpoint has newEndpointLoad instead.
 	if busy == nil || loadOf(busy, now) >= newConnectionLoad {
-		fallback := p.drawFallback(&info, candidates) // in any case, which keeps the sequence of random draws
+		// Drawn even if idle[tierUnconnected] is used, so that later random draws stay the same.
+		fallback := p.drawFallback(&info, candidates)
 		if unconnected := cmp.Or(idle[tierUnconnected], fallback); unconnected != nil {
 			return unconnected
 		}
@@ -93,7 +98,7 @@
 	return cmp.Or(busy, unhealthy)
 }
 
-// newPickInfo works out what a pick for a request goes by.
+// newPickInfo returns the inputs of a pick for a request.
 func (p *picker) newPickInfo(r *request, now time.Duration, fleet fleetSummary, targetSubsetSize float64) pickInfo {
 	return pickInfo{
 		request:          r,
@@ -106,10 +111,11 @@
 	}
 }
 
-// collectCandidates lists the candidates, and returns the best of the unhealthy endpoints.
+// collectCandidates fills candidates and returns the unhealthy endpoint of lowest ejection level and load, or
+// nil if there is none.
 func (p *picker) collectCandidates(info *pickInfo, candidates *candidateSet) (unhealthy *endpoint) {
 	subsetSize := int(math.Ceil(info.targetSubsetSize))
-	if p.settings.CacheAffinity { // a key draws from all endpoints
+	if p.settings.CacheAffinity { // the endpoint of a key is drawn from all endpoints
 		subsetSize = len(p.endpoints.all)
 	}
 	candidates.reset(subsetSize)
@@ -119,7 +125,8 @@
 	return unhealthy
 }
 
-// collectObserved adds the observed endpoints, and returns the best of those that are unhealthy.
+// collectObserved adds the healthy observed endpoints. It returns the unhealthy observed endpoint of lowest
+// ejection level and load, or nil if there is none.
 func (p *picker) collectObserved(info *pickInfo, candidates *candidateSet) (unhealthy *endpoint) {
 	minScore := math.Inf(1)
 	for _, ep := range p.endpoints.observed {
@@ -128,7 +135,7 @@
 			continue
 		}
 		if !ep.isHealthyFor(info.request.class, info.now) {
-			score := ep.ejection.level + p.rng.Float64() + load // the draw chooses among equals
+			score := ep.ejection.level + p.rng.Float64() + load // selects at random among similar scores
 			if score < minScore {
 				unhealthy, minScore = ep, score
 			}
@@ -146,7 +153,7 @@
 func (p *picker) collectUnobserved(info *pickInfo, candidates *candidateSet) {
 	for ep, weightedRank := range p.endpoints.unobserved.byWeightedRank(info.crossZoneDivisor) {
 		if !candidates.admits(weightedRank) {
-			return // nor does it admit any that follows
+			return // the endpoints that follow have higher weighted ranks
 		}
 		if p.rules.allows(info.request, ep, info.now) {
 			p.addCandidate(info, candidates, p.newCandidate(info, ep, info.newEndpointLoad, 1))
@@ -154,8 +161,9 @@
 	}
 }
 
-// addCandidate adds a candidate to the subset or, if it is observed, to those outside. Unobserved endpoints
-// outside the subset are not listed.
+// addCandidate inserts a candidate into the subset. If one is excluded and observed, it becomes a connected
+// or a fallback candidate. Excluded unobserved endpoints are not kept, since drawFallback draws them from the
+// set of all unobserved endpoints.
 func (p *picker) addCandidate(info *pickInfo, candidates *candidateSet, c candidate) {
 	excluded, isExcluded := candidates.insert(c)
 	if !isExcluded || !excluded.endpoint.isObserved {
@@ -168,14 +176,15 @@
 	candidates.fallbacks = append(candidates.fallbacks, fallback{excluded.endpoint, excluded.weight})
 }
 
-// isWarmingMember reports whether an endpoint belongs to the subset without a connection since it warms
-// up: in a fleet that is large for its agents' subsets most agents would otherwise never send to it.
+// isWarmingMember reports whether an endpoint is treated as a member of the subset, although it may not be
+// connected, because it warms up. In a fleet that is large compared to the subset most agents would otherwise
+// never send to it.
 func (info *pickInfo) isWarmingMember(ep *endpoint) bool {
 	return ep.warmUp.isActive && largeFleetSubsetMultiple*info.targetSubsetSize < float64(info.fleet.serving)
 }
 
-// isEligible reports whether an observed endpoint may get the request, ejections aside. It renews a slow
-// start permit that has lapsed.
+// isEligible reports whether an observed endpoint may get the request, regardless of ejections. It renews an
+// expired slow start permit.
 func (p *picker) isEligible(info *pickInfo, ep *endpoint) bool {
 	r := info.request
 	hasJustFailed := ep == r.lastFailed && info.fleet.serving > 1
@@ -192,8 +201,8 @@
 	return ep.warmUp.allows(r, info.now)
 }
 
-// newCandidate weighs an endpoint: by its size, less while it warms up or is slower than others, and less
-// where crossing zones has a price.
+// newCandidate returns an endpoint as a candidate. Its weight is the size of the endpoint, reduced while the
+// endpoint warms up, by its latency ratio, and by the price of crossing zones.
 func (p *picker) newCandidate(info *pickInfo, ep *endpoint, load, latencyRatio float64) candidate {
 	c := candidate{
 		endpoint:       ep,
@@ -202,7 +211,8 @@
 		warmUpFraction: p.slowStart.updateWarmUp(ep, info.now),
 		isConnected:    ep.isConnected(info.now, p.settings.IdleClose),
 	}
-	// Cubed: an even choice would load slow endpoints as much as others.
+	// The ratio is cubed to move load away from slow endpoints. A uniform choice would load them as much as
+	// the others.
 	penalty := latencyRatio * latencyRatio * latencyRatio
 	c.weight = ep.size() * c.warmUpFraction / penalty
 	if ep.Zone != p.settings.Zone {
@@ -215,7 +225,8 @@
 	return c
 }
 
-// selectIdleAndBusy draws an idle candidate of each tier by weight, and takes the least loaded busy one.
+// selectIdleAndBusy draws an idle candidate of each tier, by weight, and selects the least loaded busy
+// candidate.
 func (p *picker) selectIdleAndBusy(
 	info *pickInfo, candidates []candidate,
 ) (idle [tierCount]*endpoint, busy *endpoint) {
@@ -237,14 +248,15 @@
 	return idle, busy
 }
 
-// jitteredLoad is the load that a busy candidate would have with this attempt, over its speed.
+// jitteredLoad returns the load that a busy candidate would have with one more attempt, relative to its speed
+// and warm-up fraction and with random jitter.
 func (p *picker) jitteredLoad(c *candidate) float64 {
 	load := (c.load + 1) * c.latencyRatio / c.warmUpFraction
 	return load * (1 + loadJitter*p.rng.Float64())
 }
 
-// tier is the tier of an idle candidate at a position in the order of weighted rank. With cache affinity the
-// subset does not matter while requests over new connections are served on time as often as others.
+// tier returns the tier of an idle candidate, given its position in the order of weighted rank. With cache
+// affinity, the subset is ignored while attempts over new connections are served on time as often as others.
 func (p *picker) tier(info *pickInfo, c *candidate, position int) int {
 	isSubsetIgnored := p.settings.CacheAffinity && info.request.class.newConnectionsAreOnTime()
 	isWarmingMember := (c.endpoint.warmUp.isActive && c.isConnected) || info.isWarmingMember(c.endpoint)
@@ -258,18 +270,21 @@
 	}
 }
 
-// drawSamplingKey draws an exponential time at the rate of the candidate's weight: the candidate with the least time
-// is a random choice by weight. With cache affinity all agents draw alike for a key (rendezvous hashing), so
-// that it goes to the endpoint that has cached it.
+// drawSamplingKey draws the key of a candidate for weighted random sampling: an exponential random number
+// with the weight as its rate. The candidate with the minimum key is a random choice by weight. With cache
+// affinity, the random number is a hash of the endpoint and the request's key (rendezvous hashing), so that
+// all agents send a request key to the endpoint that has cached it.
 func (p *picker) drawSamplingKey(r *request, c *candidate) float64 {
-	uniform := p.rng.Float64() // in any case, which keeps the sequence of random draws
+	// Drawn even for a request with a key, so that later random draws stay the same.
+	uniform := p.rng.Float64()
 	if p.settings.CacheAffinity && r.keyHash != 0 {
 		uniform = rendezvousUniform(c.endpoint.hash, r.keyHash)
 	}
 	return -math.Log(max(uniform, minUniform)) / c.weight
 }
 
-// rendezvousUniform is a random number in [0, 1), the same at every agent for an endpoint and a key.
+// rendezvousUniform returns a pseudorandom number in [0, 1) that is the same at every agent for an endpoint
+// and a request key.
 func rendezvousUniform(endpointHash, keyHash uint64) float64 {
 	var pair [16]byte
 	binary.LittleEndian.PutUint64(pair[:8], endpointHash)
@@ -277,9 +292,10 @@
 	return float64(xxhash.Sum64(pair[:])>>(hashBits-uniformBits)) / (1 << uniformBits)
 }
 
-// drawFallback draws an endpoint that is neither in the subset nor connected, by weight; nil if none was
-// found. An unobserved endpoint of the subset may be drawn as well, but it is idle and would have been chosen
-// before. All draws are made even if there is nothing to draw from.
+// drawFallback draws, by weight, an endpoint that is neither in the subset nor connected. It returns nil if
+// no draw succeeds. Unobserved endpoints of the subset are not excluded from the draw: they are idle, and
+// pick selects an idle endpoint of the subset before it uses a fallback. If there is nothing to draw from,
+// all maxFallbackDraws draws are still made.
 func (p *picker) drawFallback(info *pickInfo, candidates *candidateSet) *endpoint {
 	unobserved := &p.endpoints.unobserved
 	observedWeight := candidates.fallbackWeight()
@@ -301,8 +317,9 @@
 	return nil
 }
 
-// drawUnobserved draws an unobserved endpoint by size; nil if it has to be drawn again. It samples by
-// rejection: an endpoint is drawn evenly, and accepted with the probability of its size over the largest one.
+// drawUnobserved draws an unobserved endpoint with a probability proportional to its size, by rejection
+// sampling: it draws one uniformly and accepts it with the probability of its size over maxSize. It returns
+// nil if the endpoint is rejected or the rules do not allow the attempt there.
 func (p *picker) drawUnobserved(info *pickInfo, ranked rankedEndpoints) *endpoint {
 	if len(ranked) == 0 {
 		return nil
@@ -315,8 +332,8 @@
 	return ep
 }
 
-// crossZoneDivisor divides the weights of endpoints in other zones. It is 1 where the fleet is so crowded
-// that crossing zones is worth its price.
+// crossZoneDivisor returns the divisor of the weights of endpoints in other zones. It is 1 while the fleet is
+// overloaded, when crossing zones is worth its price.
 func (p *picker) crossZoneDivisor(now time.Duration, fleet fleetSummary) float64 {
 	if p.isFleetOverloaded(now, fleet) {
 		return 1
@@ -324,8 +341,9 @@
 	return 1 + crossZonePriceFactor*p.settings.CrossZonePrice
 }
 
-// isFleetOverloaded reports whether the fleet is short of capacity: the concurrency limit has fallen within the time
-// of a slow start or, where the throttle stands in for the limit, too few requests are served on time.
+// isFleetOverloaded reports whether the fleet is short of capacity: whether the concurrency limit has
+// decreased within the last Settings.SlowStartDuration or, where the throttle replaces the limit, whether too
+// few requests are served on time.
 func (p *picker) isFleetOverloaded(now time.Duration, fleet fleetSummary) bool {
 	if p.limiter.leastLimitIsBelow(1, fleet) {
 		return p.traffic.excessSent(overloadedSentPerOnTime) > 0
@@ -333,7 +351,8 @@
 	return now-p.limiter.decreasedAt <= p.settings.SlowStartDuration
 }
 
-// meanLoad is the mean load, in attempts, of the endpoints that have served something.
+// meanLoad returns the mean load, in attempts, of the serving endpoints that have served something since they
+// started.
 func (p *picker) meanLoad(now time.Duration) float64 {
 	sum, count := 0.0, 0
 	for _, ep := range p.endpoints.observed {
@@ -345,18 +364,20 @@
 	return sum / float64(max(count, 1))
 }
 
-// loadOf is the number of attempts in flight at an endpoint, as loadAndLatencyRatio counts them.
+// loadOf returns the load of an endpoint as loadAndLatencyRatio defines it.
 func loadOf(ep *endpoint, now time.Duration) float64 {
 	load, _ := loadAndLatencyRatio(ep, now)
 	return load
 }
 
-// loadAndLatencyRatio are the attempts in flight at an endpoint, less those that are overdue although a later
-// one was answered, and its latency over the expected one, by its responses or its oldest attempt in flight.
+// loadAndLatencyRatio returns the load of an endpoint and its latency over the expected latency. The load is
+// the number of attempts in flight without those that count as lost: they are overdue, and a later attempt
+// has been answered. The latency ratio is the mean of the responses or, if higher, that of the oldest attempt
+// sent after the latest answered one.
 func loadAndLatencyRatio(ep *endpoint, now time.Duration) (load, latencyRatio float64) {
 	load, latencyRatio = float64(len(ep.inFlight)), ep.responses.ratio()
 	for _, a := range ep.inFlight {
-		// While the endpoint warms up no attempt counts as lost.
+		// While the endpoint warms up, no attempt counts as lost.
 		if a.sentAt > ep.connection.lastAnsweredSentAt || ep.warmUp.isActive {
 			return load, max(latencyRatio, a.latencyRatio(now-a.sentAt)*inFlightLatencyFactor)
 		}
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -9,23 +9,23 @@
 
 const (
 	// subscribeSpreadPerAgent is the spread of the first subscription for each agent, as a share of
-	// Settings.PollWithin: what one call may take of discovery's capacity.
+	// Settings.PollWithin. It is the time that discovery may spend on one call.
 	subscribeSpreadPerAgent = 1.0 / 128
 	// maxFirstSubscribeSpread bounds the spread of the first subscription, as a share of Settings.PollWithin.
 	maxFirstSubscribeSpread = 0.25
-	// maxSubscribeDoublings bounds the growth of the spread with each failure.
+	// maxSubscribeDoublings bounds the number of times that consecutive failures double the spread.
 	maxSubscribeDoublings = 4
 )
 
-// subscriber decides when to subscribe, where the endpoint list has to be subscribed to. The first time is
-// after the cached list that the agent starts with.
+// subscriber decides when to subscribe to the endpoint list if Settings.Subscribe is set. The first
+// subscription follows the cached list that the agent starts with.
 type subscriber struct {
 	settings            *Settings
 	rng                 *rand.Rand
-	consecutiveFailures int // lists that could not be had, in a row
+	consecutiveFailures int // consecutive failures to get a list
 }
 
-// handleList learns from a list and reports whether, and after which wait, to subscribe.
+// handleList handles a list of the given kind. It reports whether to subscribe, and after which delay.
 func (s *subscriber) handleList(kind ListKind) (delay time.Duration, ok bool) {
 	hasFailed := kind.hasFailed()
 	s.consecutiveFailures++
@@ -38,13 +38,13 @@
 	return s.drawDelay(kind == ListRefused), true
 }
 
-// drawDelay draws a fully jittered wait. Its spread grows with the number of agents, which may all subscribe
-// together, and doubles with each failure.
+// drawDelay draws a delay with full jitter. Its maximum, the spread, grows with the number of agents, which
+// may all subscribe at the same time, and doubles with each consecutive failure.
 func (s *subscriber) drawDelay(isRefused bool) time.Duration {
 	firstSpread := min(subscribeSpreadPerAgent*float64(s.settings.Agents), maxFirstSubscribeSpread)
 	spread := firstSpread * math.Exp2(float64(min(s.consecutiveFailures, maxSubscribeDoublings)))
 	maxDelay := s.settings.SubscribeSpread
-	if isRefused { // a refusal proves that discovery could not be reached until now
+	if isRefused { // a refusal shows that discovery could not be reached until now
 		maxDelay = s.settings.RefusedSubscribeSpread
 	}
 	maxDelay = min(cmp.Or(maxDelay, s.settings.PollWithin), s.settings.PollWithin)
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -6,11 +6,13 @@
 )
 
 const (
-	// minSubsetSize is the size of the subset, in endpoints, of an agent without attempts in flight.
+	// minSubsetSize is the target size of the subset, in endpoints, of an agent without attempts in flight.
 	minSubsetSize = 2.0
-	// subsetGrowthPerAttempt is by how much the subset grows with each attempt of the recent peak in flight.
+	// subsetGrowthPerAttempt is the number of endpoints that each attempt of the recent peak in flight adds
+	// to the target size of the subset.
 	subsetGrowthPerAttempt = 0.5
-	// connectedRankFactor multiplies the weighted rank of a connected endpoint: the least comes first.
+	// connectedRankFactor multiplies the weighted rank of a connected endpoint, which moves it forward in the
+	// order.
 	connectedRankFactor = 0.5
 )
 
@@ -18,14 +20,14 @@
 type candidate struct {
 	endpoint       *endpoint
 	load           float64 // attempts in flight
-	latencyRatio   float64 // its latency over the expected one
-	warmUpFraction float64 // share of its full capacity
+	latencyRatio   float64 // latency over the expected latency
+	warmUpFraction float64 // share of the full capacity
 	isConnected    bool
-	weight         float64 // in a random choice
-	weightedRank   float64 // rank over weight: its place in this agent's own order, the least first
+	weight         float64 // relative probability in a random choice
+	weightedRank   float64 // rank over weight; the agent's order of the endpoints is ascending by it
 }
 
-// isIdle reports whether a new attempt would not wait behind another one.
+// isIdle reports whether a new attempt would not queue behind another one.
 func (c *candidate) isIdle() bool { return c.load < 1 || !c.isConnected }
 
 func compareWeightedRank(x, y candidate) int { return cmp.Compare(x.weightedRank, y.weightedRank) }
@@ -33,17 +35,17 @@
 // fallback is a candidate that is neither in the subset nor connected.
 type fallback struct {
 	endpoint *endpoint
-	weight   float64 // in a random choice
+	weight   float64 // relative probability in a random choice
 }
 
-// candidateSet holds the candidates of one pick. An agent keeps to a subset of the endpoints, the first few
-// in a random order of its own, since connections from every agent to every endpoint would exhaust the
-// connection tables.
+// candidateSet holds the candidates of one pick. An agent sends to a subset of the endpoints: the first ones
+// in a random order that is specific to the agent. Connections from every agent to every endpoint would
+// exhaust the connection tables.
 type candidateSet struct {
-	subsetSize int
-	members    []candidate // the subset; complete adds the connected candidates outside of it
-	connected  []candidate // outside the subset, but connected or warming up
-	fallbacks  []fallback  // observed and outside the subset; one is drawn if the pick comes to that
+	subsetSize int         // maximum number of candidates in the subset
+	members    []candidate // the subset; mergeConnected adds the connected candidates outside the subset
+	connected  []candidate // candidates outside the subset that are connected or warming members
+	fallbacks  []fallback  // observed candidates outside the subset without a connection
 }
 
 // reset empties the set and keeps its memory.
@@ -52,7 +54,7 @@
 	s.members, s.connected, s.fallbacks = s.members[:0], s.connected[:0], s.fallbacks[:0]
 }
 
-// admits reports whether a candidate with a weighted rank would belong to the subset.
+// admits reports whether a candidate with this weighted rank would belong to the subset.
 func (s *candidateSet) admits(weightedRank float64) bool {
 	if len(s.members) < s.subsetSize {
 		return true
@@ -60,8 +62,8 @@
 	return weightedRank < s.members[len(s.members)-1].weightedRank
 }
 
-// insert puts a candidate into the subset, if it belongs there. Once the subset is full, it returns the
-// candidate that is left outside.
+// insert adds a candidate to the subset if it belongs there. If the subset is full, it returns the candidate
+// that is excluded: c, or the one that c displaces.
 func (s *candidateSet) insert(c candidate) (excluded candidate, isExcluded bool) {
 	if len(s.members) < s.subsetSize {
 		s.members = append(s.members, c)
@@ -81,13 +83,13 @@
 	return displaced, true
 }
 
-// mergeConnected adds the connected candidates to the members and sorts all of them.
+// mergeConnected adds the connected candidates to the members and sorts all of them by weighted rank.
 func (s *candidateSet) mergeConnected() {
 	s.members = append(s.members, s.connected...)
 	slices.SortFunc(s.members, compareWeightedRank)
 }
 
-// fallbackWeight is the sum of the weights of the outsiders.
+// fallbackWeight returns the sum of the weights of the fallbacks.
 func (s *candidateSet) fallbackWeight() float64 {
 	sum := 0.0
 	for _, f := range s.fallbacks {
@@ -96,7 +98,7 @@
 	return sum
 }
 
-// fallbackAt is the outsider at which the sum of the weights reaches target. There is at least one.
+// fallbackAt returns the fallback at which the cumulative weight exceeds target. There is at least one.
 func (s *candidateSet) fallbackAt(target float64) *endpoint {
 	for _, f := range s.fallbacks {
 		target -= f.weight
--- a/balancer/unobserved.go
+++ b/balancer/unobserved.go
@@ -7,24 +7,24 @@
 	"slices"
 )
 
-// unobservedEndpoints are the serving endpoints of which nothing is known but their entries in the list. In a
-// large fleet these are nearly all, and the cost of a pick must not grow with their number: they are kept in
-// the order of their weighted rank. Those of the agent's own zone are kept apart from the others, since the
-// price of crossing zones changes.
+// unobservedEndpoints holds the serving endpoints of which the agent has only the list entry. In a large
+// fleet these are nearly all endpoints, and the cost of a pick must not grow with their number. They are
+// therefore kept in the order of weighted rank. The endpoints of the agent's own zone are kept apart from the
+// others because the divisor for other zones changes.
 type unobservedEndpoints struct {
-	zone       int // the agent's own
+	zone       int // the agent's own zone
 	ownZone    rankedEndpoints
 	otherZones rankedEndpoints
-	maxSize    float64 // that any of them has had
+	maxSize    float64 // maximum size among all endpoints added so far
 }
 
-// rankedEndpoints holds endpoints in the order of their weighted rank, the least first.
+// rankedEndpoints holds endpoints in ascending order of weighted rank.
 type rankedEndpoints []*endpoint
 
-// unobservedRank is the weighted rank of an unobserved endpoint, without the price of crossing zones.
+// unobservedRank returns the weighted rank of an unobserved endpoint, without the divisor for other zones.
 func (ep *endpoint) unobservedRank() float64 { return ep.rank / ep.size() }
 
-// compareUnobservedRank orders unobserved endpoints by their rank.
+// compareUnobservedRank orders unobserved endpoints by weighted rank.
 func compareUnobservedRank(x, y *endpoint) int {
 	return cmp.Compare(x.unobservedRank(), y.unobservedRank())
 }
@@ -36,7 +36,7 @@
 
 func (r *rankedEndpoints) remove(ep *endpoint) {
 	position, _ := slices.BinarySearchFunc(*r, ep, compareUnobservedRank)
-	for ; position < len(*r); position++ { // endpoints of equal weighted rank are next to each other
+	for ; position < len(*r); position++ { // endpoints of equal weighted rank are adjacent
 		if (*r)[position] == ep {
 			*r = slices.Delete(*r, position, position+1)
 			return
@@ -44,7 +44,7 @@
 	}
 }
 
-// minWeightedRank is the weighted rank of the first endpoint; infinite if there is none.
+// minWeightedRank returns the weighted rank of the first endpoint, or +Inf if there is none.
 func (r rankedEndpoints) minWeightedRank() float64 {
 	if len(r) == 0 {
 		return math.Inf(1)
@@ -54,7 +54,7 @@
 
 func (u *unobservedEndpoints) len() int { return len(u.ownZone) + len(u.otherZones) }
 
-// rankedListOf is the order that an endpoint belongs to while it is unobserved.
+// rankedListOf returns the list that an endpoint belongs to while it is unobserved.
 func (u *unobservedEndpoints) rankedListOf(ep *endpoint) *rankedEndpoints {
 	if ep.Zone == u.zone {
 		return &u.ownZone
@@ -69,8 +69,8 @@
 
 func (u *unobservedEndpoints) remove(ep *endpoint) { u.rankedListOf(ep).remove(ep) }
 
-// byWeightedRank yields the endpoints with their weighted ranks, the least first. crossZoneDivisor multiplies
-// the weighted ranks of endpoints in other zones.
+// byWeightedRank yields the endpoints and their weighted ranks in ascending order. crossZoneDivisor
+// multiplies the weighted ranks of endpoints in other zones.
 func (u *unobservedEndpoints) byWeightedRank(crossZoneDivisor float64) iter.Seq2[*endpoint, float64] {
 	return func(yield func(*endpoint, float64) bool) {
 		own, other := u.ownZone, u.otherZones
