--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -90,7 +90,7 @@
 	b.actions = nil
 	b.keyQueues.expire(b.now)
 	b.traffic.decay(b.now)
-	b.measureFleet()
+	b.updateFleet()
 	for _, event := range events {
 		b.handleEvent(event)
 	}
@@ -105,12 +105,12 @@
 	case Request:
 		b.handleRequest(event)
 	case Outcome:
-		b.onOutcome(event)
+		b.handleOutcome(event)
 	case TimerFired:
 		b.handleTimerFired(event.Token)
 	case EndpointList:
-		b.onEndpointList(event)
-		b.measureFleet()
+		b.handleEndpointList(event)
+		b.updateFleet()
 	case StreamStarted:
 		b.handleStreamStarted(event)
 	case Abandoned:
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -101,7 +101,7 @@
 	const maxGrowth = 2
 	few, _ := newBalancerWithEndpoints(t, 200)
 	many, _ := newBalancerWithEndpoints(t, 3200)
-	if n, m := few.EndpointsLookedAt(), many.EndpointsLookedAt(); m > maxGrowth*n {
+	if n, m := few.EndpointsVisited(), many.EndpointsVisited(); m > maxGrowth*n {
 		t.Errorf("a step and a pick visit %d of 3,200 endpoints and %d of 200, want at most twice as many", m, n)
 	}
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -77,7 +77,7 @@
 
 // finishAttempt records that an attempt has finished, and whether it may have run.
 func (r *request) finishAttempt(a *attempt, mayHaveRun bool) {
-	a.inFlight = false
+	a.isInFlight = false
 	r.inFlightCount--
 	if mayHaveRun {
 		return
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -7,42 +7,46 @@
 )
 
 const (
-	// maxWarmingLatencies is the heaviest request that an endpoint gets while it warms up, in mean latencies.
-	maxWarmingLatencies = 2.0
-	// lapsesPerWindow divides an overload window into the times for which a permit may be used.
-	lapsesPerWindow = 2
-	// permitsPerWindow is how many windows' permits can be used within one window, since permits lapse late.
-	permitsPerWindow = 1 + 1.0/lapsesPerWindow
-	// firstLimitShare is the share of the least concurrency limit that endpoints get while none is warm.
-	firstLimitShare = 0.5
-	// minPermitRate keeps the mean time between permits finite.
-	minPermitRate = 1e-9
+	// maxWarmUpRequestLatencies is the maximum expected latency of a request for an endpoint that warms up,
+	// in mean latencies of its class.
+	maxWarmUpRequestLatencies = 2.0
+	// permitLifetimesPerWindow is the number of permit lifetimes in an overload window.
+	permitLifetimesPerWindow = 2
+	// permitCarryOverFactor is the number of permits that can be used within an overload window, relative to
+	// the number issued for that time. It exceeds 1 because permits issued up to one lifetime earlier can
+	// still be used.
+	permitCarryOverFactor = 1 + 1.0/permitLifetimesPerWindow
+	// coldFleetLimitShare is the share of minLimitPerEndpoint that all agents together send to an endpoint
+	// while no endpoint is warm.
+	coldFleetLimitShare = 0.5
+	// minUtilization keeps the mean time between permits finite.
+	minUtilization = 1e-9
 )
 
-// warmUp is the state of an endpoint that may have started a short while ago. Only slowStart changes it.
+// warmUp is the warm-up state of an endpoint. Only slowStart changes it.
 type warmUp struct {
-	active       bool          // until advanceWarmUp finds it over
-	startedAt    time.Duration // when its latest start became known
-	nextPermitAt time.Duration // when it may get its next request
+	isActive     bool          // the endpoint warms up; cleared by updateWarmUp after the warm-up
+	startedAt    time.Duration // latest known start of the endpoint's process
+	nextPermitAt time.Duration // time from which on the endpoint may get its next request
 }
 
-// permits reports whether there is a permit now, and the request is light enough for it.
-func (w *warmUp) permits(r *request, now time.Duration) bool {
-	isLight := r.expectedLatencyNs() <= maxWarmingLatencies*r.class.meanLatencyNs
+// allows reports whether a permit is available now and the request is light enough for the endpoint.
+func (w *warmUp) allows(r *request, now time.Duration) bool {
+	isLight := r.expectedLatencyNs() <= maxWarmUpRequestLatencies*r.class.meanLatencyNs
 	return w.nextPermitAt <= now && isLight
 }
 
-// slowStart bounds what the fleet of agents as a whole sends to an endpoint that warms up. Agents share
-// nothing: each sends at random times, at the rate of its own traffic to warm endpoints times the warm-up
-// fraction. An attempt needs a permit, and permits that are not used lapse, so that agents which each send
-// little cannot save them up and use them together.
+// slowStart limits the load that the fleet of agents as a whole sends to an endpoint that warms up. Agents
+// share no state: each agent sends at random times, at the rate of its own traffic to warm endpoints times
+// the warm-up fraction. Each attempt needs a permit. Unused permits expire, so that agents with little
+// traffic cannot accumulate permits and use them at the same time.
 type slowStart struct {
-	rng         *rand.Rand
-	minCapacity float64
-	duration    time.Duration
-	overload    float64       // multiple of its capacity that overloads an endpoint; at least 1
-	window      time.Duration // the span over which it does; 0: endpoints cannot be overloaded
-	agents      float64
+	rng              *rand.Rand
+	minCapacity      float64
+	duration         time.Duration
+	overloadMultiple float64       // multiple of its capacity that overloads an endpoint; at least 1
+	overloadWindow   time.Duration // time over which that load counts; 0: endpoints cannot be overloaded
+	agents           float64
 
 	warmWorkNs float64 // decayed sum of the expected latencies that a warm endpoint served for this agent
 	decayedAt  time.Duration
@@ -50,92 +54,96 @@
 
 func newSlowStart(settings *Settings, rng *rand.Rand) slowStart {
 	return slowStart{
-		rng:         rng,
-		minCapacity: settings.SlowStartMinCapacity,
-		duration:    settings.SlowStartDuration,
-		overload:    max(1, settings.SlowStartOverloadMultiple),
-		window:      settings.SlowStartOverloadWindow,
-		agents:      float64(settings.Agents),
+		rng:              rng,
+		minCapacity:      settings.SlowStartMinCapacity,
+		duration:         settings.SlowStartDuration,
+		overloadMultiple: max(1, settings.SlowStartOverloadMultiple),
+		overloadWindow:   settings.SlowStartOverloadWindow,
+		agents:           float64(settings.Agents),
 	}
 }
 
-// start begins the warm-up of an endpoint that started at the time at.
+// start starts the warm-up of an endpoint whose process started at the time at.
 func (s *slowStart) start(ep *endpoint, at, now time.Duration, meanLatencyNs float64, fleet fleetSummary) {
-	ep.warmUp.startedAt, ep.warmUp.active = at, true
+	ep.warmUp.startedAt, ep.warmUp.isActive = at, true
 	s.scheduleNextPermit(ep, now, meanLatencyNs, fleet)
 }
 
-// advanceWarmUp ends a warm-up that is over. It returns the warm-up fraction: the share of its full capacity
-// that an endpoint certainly has by now.
-func (s *slowStart) advanceWarmUp(ep *endpoint, now time.Duration) (fraction float64) {
+// updateWarmUp ends the warm-up of an endpoint after its duration. It returns the warm-up fraction: the
+// minimum share of its full capacity that the endpoint has now.
+func (s *slowStart) updateWarmUp(ep *endpoint, now time.Duration) (fraction float64) {
 	age := now - ep.warmUp.startedAt
-	if !ep.warmUp.active || age >= s.duration {
-		ep.warmUp.active = false
+	if !ep.warmUp.isActive || age >= s.duration {
+		ep.warmUp.isActive = false
 		return 1
 	}
 	elapsed := float64(age) / float64(s.duration)
 	return s.minCapacity + (1-s.minCapacity)*elapsed
 }
 
-// permitLapse is how long a permit may be used.
-func (s *slowStart) permitLapse() time.Duration { return s.window / lapsesPerWindow }
+// permitLifetime returns the time for which a permit can be used.
+func (s *slowStart) permitLifetime() time.Duration {
+	return s.overloadWindow / permitLifetimesPerWindow
+}
 
 // needsPermit reports whether an endpoint warms up and can be overloaded, so that each attempt needs a
 // permit.
 func (s *slowStart) needsPermit(ep *endpoint, now time.Duration) bool {
-	return s.advanceWarmUp(ep, now) < 1 && s.permitLapse() > 0
+	return s.updateWarmUp(ep, now) < 1 && s.permitLifetime() > 0
 }
 
-// renewLapsedPermit draws a new permit for an endpoint that needs one, if the last one was not used in time.
-// The new one may be usable at once: its time is drawn from the begin of the span in which a permit can still
-// be used.
-func (s *slowStart) renewLapsedPermit(
+// renewExpiredPermit draws a new permit for an endpoint that needs one, if the latest permit has expired. The
+// interval to the new permit starts one permit lifetime ago, so that the new permit may be usable at once.
+func (s *slowStart) renewExpiredPermit(
 	ep *endpoint, now time.Duration, meanLatencyNs float64, fleet fleetSummary,
 ) {
-	if ep.warmUp.nextPermitAt+s.permitLapse() > now {
+	if ep.warmUp.nextPermitAt+s.permitLifetime() > now {
 		return
 	}
 	s.scheduleNextPermit(ep, now, meanLatencyNs, fleet)
-	ep.warmUp.nextPermitAt -= s.permitLapse()
+	ep.warmUp.nextPermitAt -= s.permitLifetime()
 }
 
-// scheduleNextPermit draws when an endpoint that gets some work now may get the next. Permits come at random
-// times, at the rate of a warm endpoint, times the warm-up fraction, times the root of the overload multiple
-// (or the multiple over permitsPerWindow, if that is less).
+// scheduleNextPermit draws the time of the next permit of an endpoint that gets workNs of work now. The
+// intervals between permits are exponentially distributed. The rate is that of a warm endpoint, times the
+// warm-up fraction, times the square root of the overload multiple (or the overload multiple over
+// permitCarryOverFactor, if that is less).
 func (s *slowStart) scheduleNextPermit(ep *endpoint, now time.Duration, workNs float64, fleet fleetSummary) {
-	// Work per time that this agent gives a warm endpoint: its mean number of attempts in flight there.
-	utilization := max(s.decayWarmWork(now, fleet)/s.windowNs(), minPermitRate)
-	if fleet.warm == 0 { // no traffic to go by
-		utilization = max(utilization, minLimitPerEndpoint*firstLimitShare/s.agents)
+	// Work per time that this agent sends to a warm endpoint: its mean number of attempts in flight there.
+	utilization := max(s.decayWarmWork(now, fleet)/s.positiveWindowNs(), minUtilization)
+	if fleet.warm == 0 { // no traffic to warm endpoints determines the rate
+		utilization = max(utilization, minLimitPerEndpoint*coldFleetLimitShare/s.agents)
 	}
-	share := s.advanceWarmUp(ep, now) * min(math.Sqrt(s.overload), s.overload/permitsPerWindow)
-	delayNs := s.rng.ExpFloat64() * workNs / (share * utilization)
-	// By the end of the slow start the endpoint is warm.
+	rateFactor := s.updateWarmUp(ep, now) * min(math.Sqrt(s.overloadMultiple), s.overloadMultiple/permitCarryOverFactor)
+	delayNs := s.rng.ExpFloat64() * workNs / (rateFactor * utilization)
+	// The endpoint is warm at the end of the slow start, so that no permit is later than that.
 	ep.warmUp.nextPermitAt = now + time.Duration(min(delayNs, float64(s.duration)))
 }
 
-// observeServed learns how much work a warm endpoint does for this agent.
-func (s *slowStart) observeServed(now time.Duration, workNs float64, fleet fleetSummary) {
+// recordServed records the work of an attempt that a warm endpoint has served for this agent.
+func (s *slowStart) recordServed(now time.Duration, workNs float64, fleet fleetSummary) {
 	s.warmWorkNs = s.decayWarmWork(now, fleet) + workNs/float64(max(fleet.warm, 1))
 }
 
-// decayWarmWork brings the recent work up to the time now. It stays while no endpoint is warm.
+// decayWarmWork applies the exponential decay to warmWorkNs up to now and returns it. While no endpoint is
+// warm, there is no decay.
 func (s *slowStart) decayWarmWork(now time.Duration, fleet fleetSummary) float64 {
 	if fleet.warm > 0 {
-		s.warmWorkNs *= math.Exp(-float64(now-s.decayedAt) / s.windowNs())
+		s.warmWorkNs *= math.Exp(-float64(now-s.decayedAt) / s.positiveWindowNs())
 	}
 	s.decayedAt = now
 	return s.warmWorkNs
 }
 
-// windowNs is the window as a divisor, which is not 0.
-func (s *slowStart) windowNs() float64 { return float64(s.window + 1) }
+// positiveWindowNs returns the overload window plus 1 ns, which makes it usable as a divisor if the window is
+// 0.
+func (s *slowStart) positiveWindowNs() float64 { return float64(s.overloadWindow + 1) }
 
-// onEndpointStarted applies that an endpoint's process started at the time at: it has no connections and no
-// statistics yet, and its slow start begins.
-func (b *Balancer) onEndpointStarted(ep *endpoint, at time.Duration) {
+// handleEndpointStarted handles the start of an endpoint's process at the time at: the new process has no
+// connections and no statistics, and it starts to warm up.
+func (b *Balancer) handleEndpointStarted(ep *endpoint, at time.Duration) {
 	b.endpoints.markObserved(ep)
 	ep.connection.markDisconnected()
-	ep.responses.observeStart()
+	ep.responses.resetOnRestart()
 	b.slowStart.start(ep, at, b.now, b.classes.reference().meanLatencyNs, b.fleet)
 }
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -9,44 +9,44 @@
 
 const (
 	// subscribeSpreadPerAgent is the spread of the first subscription for each agent, as a share of
-	// Settings.PollWithin: what one call may take of discovery's capacity.
+	// Settings.PollWithin. It is the time that discovery may spend on one call.
 	subscribeSpreadPerAgent = 1.0 / 128
 	// maxFirstSubscribeSpread bounds the spread of the first subscription, as a share of Settings.PollWithin.
 	maxFirstSubscribeSpread = 0.25
-	// maxSubscribeDoublings bounds the growth of the spread with each failure.
+	// maxSubscribeDoublings bounds the number of times that consecutive failures double the spread.
 	maxSubscribeDoublings = 4
 )
 
-// subscriber decides when to subscribe, where the endpoint list has to be subscribed to. The first time is
-// after the cached list that the agent starts with.
+// subscriber decides when to subscribe to the endpoint list if Settings.Subscribe is set. The first
+// subscription follows the cached list that the agent starts with.
 type subscriber struct {
-	settings *Settings
-	rng      *rand.Rand
-	failures int // lists that could not be had, in a row
+	settings            *Settings
+	rng                 *rand.Rand
+	consecutiveFailures int // consecutive failures to get a list
 }
 
-// next learns from a list and reports whether, and after which wait, to subscribe.
-func (s *subscriber) next(kind ListKind) (wait time.Duration, ok bool) {
-	failed := kind.isFailure()
-	s.failures++
-	if !failed {
-		s.failures = 0
+// handleList handles a list of the given kind. It reports whether to subscribe, and after which delay.
+func (s *subscriber) handleList(kind ListKind) (delay time.Duration, ok bool) {
+	hasFailed := kind.isFailure()
+	s.consecutiveFailures++
+	if !hasFailed {
+		s.consecutiveFailures = 0
 	}
-	if !s.settings.Subscribe || !failed && kind != ListCached {
+	if !s.settings.Subscribe || !hasFailed && kind != ListCached {
 		return 0, false
 	}
-	return s.drawWait(kind == ListRefused), true
+	return s.drawDelay(kind == ListRefused), true
 }
 
-// drawWait draws a fully jittered wait. Its spread grows with the number of agents, which may all subscribe
-// together, and doubles with each failure.
-func (s *subscriber) drawWait(refused bool) time.Duration {
+// drawDelay draws a delay with full jitter. Its maximum, the spread, grows with the number of agents, which
+// may all subscribe at the same time, and doubles with each consecutive failure.
+func (s *subscriber) drawDelay(isRefused bool) time.Duration {
 	firstSpread := min(subscribeSpreadPerAgent*float64(s.settings.Agents), maxFirstSubscribeSpread)
-	spread := firstSpread * math.Exp2(float64(min(s.failures, maxSubscribeDoublings)))
-	longest := s.settings.SubscribeSpread
-	if refused { // a refusal proves that discovery could not be reached until now
-		longest = s.settings.RefusedSubscribeSpread
+	spread := firstSpread * math.Exp2(float64(min(s.consecutiveFailures, maxSubscribeDoublings)))
+	maxDelay := s.settings.SubscribeSpread
+	if isRefused { // a refusal shows that discovery could not be reached until now
+		maxDelay = s.settings.RefusedSubscribeSpread
 	}
-	longest = min(cmp.Or(longest, s.settings.PollWithin), s.settings.PollWithin)
-	return time.Duration(s.rng.Float64() * min(spread*float64(s.settings.PollWithin), float64(longest)))
+	maxDelay = min(cmp.Or(maxDelay, s.settings.PollWithin), s.settings.PollWithin)
+	return time.Duration(s.rng.Float64() * min(spread*float64(s.settings.PollWithin), float64(maxDelay)))
 }
--- a/balancer/unobserved.go
+++ b/balancer/unobserved.go
@@ -7,55 +7,55 @@
 	"slices"
 )
 
-// unobservedEndpoints are the serving endpoints of which nothing is known but their entries in the list. In a
-// large fleet these are nearly all, and the cost of a pick must not grow with their number: they are kept in
-// the order of their weighted rank. Those of the agent's own zone are kept apart from the others, since the
-// price of crossing zones changes.
+// unobservedEndpoints holds the serving endpoints of which the agent has only the list entry. In a large
+// fleet these are nearly all endpoints, and the cost of a pick must not grow with their number. They are
+// therefore kept in the order of weighted rank. The endpoints of the agent's own zone are kept apart from the
+// others because the divisor for other zones changes.
 type unobservedEndpoints struct {
-	zone        int // the agent's own
-	ownZone     rankOrder
-	otherZones  rankOrder
-	largestSize float64 // that any of them has had
+	zone       int // the agent's own zone
+	ownZone    rankedEndpoints
+	otherZones rankedEndpoints
+	maxSize    float64 // maximum size among all endpoints added so far
 }
 
-// rankOrder holds endpoints in the order of their weighted rank, the least first.
-type rankOrder []*endpoint
+// rankedEndpoints holds endpoints in ascending order of weighted rank.
+type rankedEndpoints []*endpoint
 
-// unobservedRank is the weighted rank of an unobserved endpoint, without the price of crossing zones.
+// unobservedRank returns the weighted rank of an unobserved endpoint, without the divisor for other zones.
 func (ep *endpoint) unobservedRank() float64 { return ep.rank / ep.size() }
 
-// compareUnobserved orders unobserved endpoints by their rank.
-func compareUnobserved(x, y *endpoint) int {
+// compareUnobservedRank orders unobserved endpoints by weighted rank.
+func compareUnobservedRank(x, y *endpoint) int {
 	return cmp.Compare(x.unobservedRank(), y.unobservedRank())
 }
 
-func (o *rankOrder) add(ep *endpoint) {
-	position, _ := slices.BinarySearchFunc(*o, ep, compareUnobserved)
-	*o = slices.Insert(*o, position, ep)
+func (r *rankedEndpoints) add(ep *endpoint) {
+	position, _ := slices.BinarySearchFunc(*r, ep, compareUnobservedRank)
+	*r = slices.Insert(*r, position, ep)
 }
 
-func (o *rankOrder) remove(ep *endpoint) {
-	position, _ := slices.BinarySearchFunc(*o, ep, compareUnobserved)
-	for ; position < len(*o); position++ { // endpoints of equal weighted rank are next to each other
-		if (*o)[position] == ep {
-			*o = slices.Delete(*o, position, position+1)
+func (r *rankedEndpoints) remove(ep *endpoint) {
+	position, _ := slices.BinarySearchFunc(*r, ep, compareUnobservedRank)
+	for ; position < len(*r); position++ { // endpoints of equal weighted rank are adjacent
+		if (*r)[position] == ep {
+			*r = slices.Delete(*r, position, position+1)
 			return
 		}
 	}
 }
 
-// leastWeightedRank is the weighted rank of the first endpoint; infinite if there is none.
-func (o rankOrder) leastWeightedRank() float64 {
-	if len(o) == 0 {
+// minWeightedRank returns the weighted rank of the first endpoint, or +Inf if there is none.
+func (r rankedEndpoints) minWeightedRank() float64 {
+	if len(r) == 0 {
 		return math.Inf(1)
 	}
-	return o[0].unobservedRank()
+	return r[0].unobservedRank()
 }
 
 func (u *unobservedEndpoints) len() int { return len(u.ownZone) + len(u.otherZones) }
 
-// orderOf is the order that an endpoint belongs to while it is unobserved.
-func (u *unobservedEndpoints) orderOf(ep *endpoint) *rankOrder {
+// rankedListOf returns the list that an endpoint belongs to while it is unobserved.
+func (u *unobservedEndpoints) rankedListOf(ep *endpoint) *rankedEndpoints {
 	if ep.Zone == u.zone {
 		return &u.ownZone
 	}
@@ -63,21 +63,21 @@
 }
 
 func (u *unobservedEndpoints) add(ep *endpoint) {
-	u.largestSize = max(u.largestSize, ep.size())
-	u.orderOf(ep).add(ep)
+	u.maxSize = max(u.maxSize, ep.size())
+	u.rankedListOf(ep).add(ep)
 }
 
-func (u *unobservedEndpoints) remove(ep *endpoint) { u.orderOf(ep).remove(ep) }
+func (u *unobservedEndpoints) remove(ep *endpoint) { u.rankedListOf(ep).remove(ep) }
 
-// byWeightedRank yields the endpoints with their weighted ranks, the least first. crossZoneDivisor multiplies
-// the weighted ranks of endpoints in other zones.
+// byWeightedRank yields the endpoints and their weighted ranks in ascending order. crossZoneDivisor
+// multiplies the weighted ranks of endpoints in other zones.
 func (u *unobservedEndpoints) byWeightedRank(crossZoneDivisor float64) iter.Seq2[*endpoint, float64] {
 	return func(yield func(*endpoint, float64) bool) {
 		own, other := u.ownZone, u.otherZones
 		for len(own)+len(other) > 0 {
-			next, weightedRank := &own, own.leastWeightedRank()
-			if least := other.leastWeightedRank() * crossZoneDivisor; len(own) == 0 || least < weightedRank {
-				next, weightedRank = &other, least
+			next, weightedRank := &own, own.minWeightedRank()
+			if otherRank := other.minWeightedRank() * crossZoneDivisor; len(own) == 0 || otherRank < weightedRank {
+				next, weightedRank = &other, otherRank
 			}
 			ep := (*next)[0]
 			*next = (*next)[1:]
