--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the agent's configuration, including the settings of the decision module.
-// The names on the wire are mapped to the terms of the code here (mapping.go), and errors use the names on the wire.
+// Package config reads and validates the agent's configuration, including the settings of the decision module.
+// It maps the names on the wire to the terms of the code (mapping.go). Its errors contain the names on the wire.
 package config
 
 import (
@@ -14,14 +14,14 @@
 	"ashshunt/internal/endpoint"
 )
 
-// The environment variables that stand in for keys that the configuration file leaves empty.
+// The environment variables whose values replace empty keys of the configuration file.
 const (
 	envName      = "GW_NAME"
 	envListen    = "GW_LISTEN"
 	envDiscovery = "GW_DISCOVERY"
 )
 
-// The keys of the configuration file that errors name.
+// The keys of the configuration file that appear in errors.
 const (
 	keyListen    = "listen"
 	keyDiscovery = "discovery"
@@ -31,45 +31,45 @@
 	keyKnown     = "known"
 )
 
-// seedBase and seedBits are the form of the seed in the configuration file.
+// The base and the size of the seed in the configuration file.
 const (
 	seedBase = 16
 	seedBits = 64
 )
 
-// Config is a checked configuration.
+// Config is a validated configuration.
 type Config struct {
 	Name        string
 	Listen      string // host:port that clients connect to
 	Discovery   string // host:port of the discovery service
 	Seed        uint64 // of all random choices
-	MaxMemoryMB int    // memory that the process may use; 0: no limit
-	// MaxDescriptors is how many file descriptors the process may hold; 0: no limit. Key limits.sockets.
+	MaxMemoryMB int    // memory limit of the process in megabytes; 0: no limit. Key limits.memory_mb.
+	// MaxDescriptors is the maximum number of open file descriptors; 0: no limit. Key limits.sockets.
 	MaxDescriptors int
 	Settings       balancer.Settings
 	Names          Names
-	CachedList     endpoint.List // the endpoints as last known, which may be stale; key known
+	CachedList     endpoint.List // the last known endpoints, which may be out of date; key known
 }
 
-// file is the configuration file as it is written.
+// file is the configuration file in its JSON form.
 type file struct {
 	Name      string
-	Listen    string
-	Discovery string
+	Listen    string // address on which clients connect, as host:port
+	Discovery string // address of the discovery service, as host:port
 	Seed      string // hexadecimal
 	Limits    struct {
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  float64
 	}
-	Known    json.RawMessage // as discovery writes a list
+	Known    json.RawMessage // an endpoint list in the format of discovery
 	Settings json.RawMessage
 }
 
-// Load reads the configuration file at path. A name or address that it leaves empty comes from the environment.
+// Load reads the configuration file at path. A name or address that is empty in the file is taken from the environment.
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err // names the file already
+		return nil, err // err contains the path
 	}
 	c, err := Parse(raw)
 	if err != nil {
@@ -81,9 +81,10 @@
 	return c, nil
 }
 
-// Parse reads the text of a configuration file and checks it. An error is a *KeyError, or a *balancer.SettingError for
-// a setting out of range. For text that is not JSON of the right types it is one of encoding/json, with ErrIncomplete
-// in front where the text ends too early. Descriptors is the configured limit alone; Load applies the system's.
+// Parse parses and validates the text of a configuration file. The error is a *KeyError, or a *balancer.SettingError
+// for a setting out of range. If the text is not JSON of the right types, it is an error of encoding/json, which is
+// wrapped together with ErrIncomplete if the text is truncated. MaxDescriptors is the configured limit; Load also
+// applies the limit of the system.
 func Parse(raw []byte) (*Config, error) {
 	f, err := decode(raw)
 	if err != nil {
@@ -100,7 +101,7 @@
 	return c, nil
 }
 
-// decode reads the text into the form of the file. Its error wraps ErrIncomplete if the text ends too early.
+// decode decodes the text of a configuration file. The error wraps ErrIncomplete if the text is truncated.
 func decode(raw []byte) (*file, error) {
 	var f file
 	err := json.Unmarshal(raw, &f)
@@ -132,18 +133,21 @@
 	return nil
 }
 
-// parseLimits drops fractions; a limit that is larger than any int32 binds nothing.
+// parseLimits discards fractions, and caps limits at math.MaxInt32, which is far above any effective limit.
 func (c *Config) parseLimits(f *file) error {
 	c.MaxMemoryMB = int(min(f.Limits.MemoryMB, math.MaxInt32))
 	c.MaxDescriptors = int(min(f.Limits.Sockets, math.MaxInt32))
 	if c.MaxMemoryMB < 0 || c.MaxDescriptors < 0 {
-		return &KeyError{Key: keyLimits, Err: errNegative}
+		return &KeyError{
+			Key: keyLimits,
+			Err: fmt.Errorf("%w, got memory_mb %d and sockets %d", errNegative, c.MaxMemoryMB, c.MaxDescriptors),
+		}
 	}
 	return nil
 }
 
-// parseSettings returns a *KeyError for an object that is missing or can't be read, and a *balancer.SettingError, with
-// the key on the wire, for a value that the decision module rejects.
+// parseSettings returns a *KeyError if the settings object is missing or can't be decoded. If the decision module
+// rejects a value, it returns a *balancer.SettingError with the key on the wire.
 func (c *Config) parseSettings(f *file) (err error) {
 	if f.Settings == nil {
 		return &KeyError{Key: keySettings, Err: errMissing}
@@ -151,7 +155,7 @@
 	if c.Settings, c.Names, err = ParseSettings(f.Settings); err != nil {
 		return &KeyError{Key: keySettings, Err: err}
 	}
-	// A reload must reject what a start would reject, so the module checks the settings here already.
+	// The settings are validated here, so that a reload rejects the same configurations as a start.
 	if _, err := balancer.New(c.Settings, c.Seed); err != nil {
 		return WithWireKey(err)
 	}
@@ -168,6 +172,7 @@
 	return nil
 }
 
+// valueOrEnv returns value, or the value of the environment variable if value is empty.
 func valueOrEnv(value, variable string) string {
 	if value == "" {
 		return os.Getenv(variable)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -22,20 +22,20 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n0" || c.Listen != "127.0.0.1:0" || c.Discovery != "127.0.0.1:1" || c.Seed != 0x8c1f30d27a5be964 {
-		t.Errorf("identity %+v", c)
+		t.Errorf("got name, addresses or seed of %+v, want those of minimalConfig", c)
 	}
 	if c.MaxMemoryMB != 192 || c.MaxDescriptors != 1024 {
-		t.Errorf("limits %d MB, %d sockets", c.MaxMemoryMB, c.MaxDescriptors)
+		t.Errorf("got limits of %d MB and %d descriptors, want 192 and 1024", c.MaxMemoryMB, c.MaxDescriptors)
 	}
 	if c.Settings.Agents != 2 || c.Settings.AgentIndex != 1 ||
 		c.Settings.Classes[0].Idempotency != balancer.NotIdempotent {
-		t.Errorf("settings %+v", c.Settings)
+		t.Errorf("got settings %+v, want those of minimalConfig", c.Settings)
 	}
 	if len(c.Names.Classes) != 1 || c.Names.Classes[0] != "pay" || c.Names.Tenants[0] != "acme" {
-		t.Errorf("names %+v", c.Names)
+		t.Errorf("got names %+v, want class pay and tenant acme", c.Names)
 	}
 	if c.CachedList.Version != 4 || len(c.CachedList.Entries) != 1 || c.CachedList.Entries[0].ID != "s0" {
-		t.Errorf("known list %+v", c.CachedList)
+		t.Errorf("got cached list %+v, want version 4 with endpoint s0", c.CachedList)
 	}
 }
 
@@ -50,11 +50,11 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n7" || c.Listen != "127.0.0.1:7000" || c.Discovery != "127.0.0.1:7001" {
-		t.Errorf("identity %+v", c)
+		t.Errorf("got name and addresses of %+v, want those of the environment", c)
 	}
 }
 
-// Every error is one line that names the key at fault, as it stands in the file.
+// Each error is a single line that contains the key at fault under its name in the file.
 func TestInvalidConfiguration(t *testing.T) {
 	tests := []struct{ name, old, new, want string }{
 		{"no JSON", `{"name"`, `{name`, "invalid character"},
@@ -62,9 +62,10 @@
 		{"discovery with a bad port", `"127.0.0.1:1"`, `"127.0.0.1:99999"`,
 			`discovery: "127.0.0.1:99999" has no valid port`},
 		{"seed that is no number", `8c1f30d27a5be964`, `seed`, "seed: "},
-		{"negative limit", `"sockets":1024`, `"sockets":-1`, "limits: negative"},
-		{"no settings", `"settings"`, `"other"`, "settings: missing"},
-		{"unknown word", `"once"`, `"maybe"`, `settings: Profiles[0].Semantics: unknown kind "maybe"`},
+		{"negative limit", `"sockets":1024`, `"sockets":-1`,
+			"limits: want values of at least 0, got memory_mb 192 and sockets -1"},
+		{"no settings", `"settings"`, `"other"`, "settings: required key is missing"},
+		{"unknown word", `"once"`, `"maybe"`, `settings: Profiles[0].Semantics: unknown idempotency "maybe"`},
 		{"count out of range", `"Balancers":2`, `"Balancers":0`, "settings: Balancers: 0 makes no sense"},
 		{"number of this agent out of range", `"Me":1`, `"Me":2`, "settings: Me: 2 makes no sense"},
 		{"class without an objective", `"AimMs":100`, `"AimMs":0`, "settings: Profiles[0].AimMs: 0s makes no sense"},
@@ -78,14 +79,14 @@
 		t.Run(tt.name, func(t *testing.T) {
 			text := strings.Replace(minimalConfig, tt.old, tt.new, 1)
 			if text == minimalConfig {
-				t.Fatal("the case changes nothing")
+				t.Fatal("the replacement does not change minimalConfig")
 			}
 			_, err := Parse([]byte(text))
 			if err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Fatalf("error %v, want one with %q", err, tt.want)
+				t.Fatalf("got error %v, want one that contains %q", err, tt.want)
 			}
 			if strings.Contains(err.Error(), "\n") {
-				t.Errorf("error of several lines: %q", err)
+				t.Errorf("got error with several lines: %q, want one line", err)
 			}
 		})
 	}
@@ -94,13 +95,13 @@
 func TestLoadErrorNamesFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), path) {
-		t.Errorf("missing file: error %v", err)
+		t.Errorf("missing file: got error %v, want one that contains the path", err)
 	}
 	if err := os.WriteFile(path, []byte("{}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); err == nil || !strings.HasPrefix(err.Error(), path+": ") {
-		t.Errorf("empty object: error %v", err)
+		t.Errorf("empty object: got error %v, want one that starts with the path", err)
 	}
 }
 
@@ -115,13 +116,14 @@
 	for _, tt := range tests {
 		c := &Config{MaxDescriptors: tt.sockets, Settings: balancer.Settings{MaxOpen: tt.maxOpen}}
 		if got := c.MaxClientConnections(); got != tt.clients {
-			t.Errorf("%d sockets: %d client connections, want %d", tt.sockets, got, tt.clients)
+			t.Errorf("%d descriptors: got %d client connections, want %d", tt.sockets, got, tt.clients)
 		}
 		if got := c.MaxEndpointConnections(); got != tt.endpoints {
-			t.Errorf("%d sockets: %d endpoint connections, want %d", tt.sockets, got, tt.endpoints)
+			t.Errorf("%d descriptors: got %d endpoint connections, want %d", tt.sockets, got, tt.endpoints)
 		}
 		if got := c.MaxOpenRequests(); got != tt.requests {
-			t.Errorf("%d sockets, MaxOpen %d: %d open requests, want %d", tt.sockets, tt.maxOpen, got, tt.requests)
+			t.Errorf("%d descriptors, MaxOpen %d: got %d open requests, want %d",
+				tt.sockets, tt.maxOpen, got, tt.requests)
 		}
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,31 +5,31 @@
 	"fmt"
 )
 
-// ErrIncomplete marks the text of a configuration that ends too early: it may be just being written.
+// ErrIncomplete marks a configuration whose text is truncated. The file may be in the middle of being written.
 var ErrIncomplete = errors.New("incomplete configuration")
 
 var (
-	errMissing  = errors.New("missing")
-	errNegative = errors.New("negative")
+	errMissing  = errors.New("required key is missing")
+	errNegative = errors.New("want values of at least 0")
 )
 
-// KeyError reports a key of the configuration file whose value is not valid.
+// KeyError reports an invalid or missing value of a key in the configuration file.
 type KeyError struct {
-	Key string // as it stands in the file
+	Key string // name of the key in the file
 	Err error
 }
 
 func (e *KeyError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the value.
+// Unwrap returns the error of the value.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// UnknownWordError reports a setting that holds none of the words that the agent knows. An error of the same name in
-// internal/simwire is about the messages there, which have no paths.
+// UnknownWordError reports a setting whose value is not one of the words that it may hold. The error of the same name
+// in internal/simwire is for messages, whose fields have no path.
 type UnknownWordError struct {
-	Key     string // the path within the settings object
-	Setting string // what the word names
-	Word    string
+	Key     string // path within the settings object
+	Setting string // what the word selects, such as "idempotency"
+	Word    string // value in the settings object
 }
 
 func (e *UnknownWordError) Error() string {
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -12,11 +12,12 @@
 	"ashshunt/internal/testutil"
 )
 
-// extremeNumbers are the numbers of a settings object that may be zero or beyond all measure.
+// extremeNumbers matches the numbers of a settings object that the test replaces by extreme values.
 var extremeNumbers = regexp.MustCompile(
 	`"(\w*Ms|Worth|TryLimit|MaxOpen|QuotaPerS|CpuUsPerS|Balancers|Portion|StreamsPerConn)":([0-9.]+)`)
 
-// Settings with numbers beyond all measure are accepted, or rejected as out of range; nothing panics.
+// Extreme numbers in the settings are either accepted or rejected with a *balancer.SettingError, and no accepted number
+// makes the decision module panic. Numbers of at least 1e12 must be accepted unless the key requires a whole number.
 func TestExtremeSettings(t *testing.T) {
 	for _, number := range []string{"0", "1e-9", "1e12", "1e15", "1e18", "1e300"} {
 		for _, match := range extremeNumbers.FindAllStringSubmatchIndex(testutil.Settings, -1) {
@@ -24,13 +25,14 @@
 			text := testutil.Settings[:match[4]] + number + testutil.Settings[match[5]:]
 			settings, _, err := config.ParseSettings([]byte(text))
 			if err != nil {
-				continue // a whole number is wanted
+				continue // the key requires a whole number
 			}
 			module, err := balancer.New(settings, 1)
 			var outOfRange *balancer.SettingError
 			if err != nil {
 				if !errors.As(err, &outOfRange) || number != "0" && number != "1e-9" {
-					t.Errorf("%s: %s: %v", key, number, err)
+					t.Errorf("%s: %s: got error %v, want none, or a *balancer.SettingError for a small number",
+						key, number, err)
 				}
 				continue
 			}
@@ -39,7 +41,7 @@
 	}
 }
 
-// runSteps gives a module some events and carries out nothing.
+// runSteps sends events to a module and reports the outcome of each attempt that it starts.
 func runSteps(module *balancer.Balancer, settings balancer.Settings) {
 	now := 24 * time.Hour
 	list := balancer.EndpointList{Kind: balancer.ListCached}
--- a/internal/config/mapping.go
+++ b/internal/config/mapping.go
@@ -9,11 +9,11 @@
 	"ashshunt/internal/loadreport"
 )
 
-// The functions below map the settings object, group by group: the field of balancer.Settings stands on the left, the
-// key of the object on the right, and the function around a key is its unit. What has no unit is a number, a flag, a
-// share or a multiple, as settings_object.go says. wire_keys.go has the way back, for errors.
+// The functions below map the settings object to balancer.Settings. The conversion function around a key converts its
+// unit; keys without a conversion are counts, flags, fractions or multiples, as documented in settings_object.go. The
+// reverse mapping, for errors, is in wire_keys.go.
 
-// toSettings maps all groups.
+// toSettings maps the whole settings object.
 func (o *settingsObject) toSettings() (balancer.Settings, error) {
 	var s balancer.Settings
 	o.mapAgents(&s)
@@ -33,7 +33,7 @@
 	return s, err
 }
 
-// mapAgents maps who the agents are and what they are a part of.
+// mapAgents maps the identity of the agent and the size of its environment.
 func (o *settingsObject) mapAgents(s *balancer.Settings) {
 	s.Agents = o.Balancers
 	s.AgentIndex = o.Me
@@ -45,7 +45,7 @@
 	s.Tick = milliseconds(o.TickMs)
 }
 
-// mapService maps how requests count, and how clients, endpoints and discovery behave.
+// mapService maps how requests are weighted, and how clients, endpoints and discovery behave.
 func (o *settingsObject) mapService(s *balancer.Settings) {
 	s.PriorityByWork = o.CountedBy == countedByWork
 	s.Subscribe = o.MembershipMode == membershipSubscribe
@@ -64,7 +64,7 @@
 	}
 }
 
-// mapTo maps what an agent may do.
+// mapTo maps what an agent is allowed to do.
 func (l *policyLimits) mapTo(s *balancer.Settings) {
 	s.MaxAttempts = l.TryLimit
 	s.AllowHedging = l.SecondCopies
@@ -81,7 +81,7 @@
 	s.CPUPerRequest = microseconds(l.CPUUsPerRequest)
 }
 
-// mapTo maps what agents and endpoints have agreed on.
+// mapTo maps the times and bounds that agents and endpoints have agreed on.
 func (c *contract) mapTo(s *balancer.Settings) {
 	s.DrainGrace = milliseconds(c.DrainGraceMs)
 	s.ResponseGrace = milliseconds(c.GraceToAnswerMs)
@@ -102,7 +102,7 @@
 	s.GoalWorstTenant = o.Goal.WorstTenant
 }
 
-// mapTo maps what things cost, as a share of the operator's goal.
+// mapTo maps the price of each cost, as a fraction of the operator's goal.
 func (p *prices) mapTo(s *balancer.Settings) {
 	s.CrossZonePrice = p.CrossZone
 	s.WastePrice = p.Waste
@@ -117,19 +117,19 @@
 	s.FleetPrice = p.Fleet
 }
 
-// mapWeights maps what the weights of endpoints mean.
+// mapWeights maps the type of the endpoints' weights.
 func (o *settingsObject) mapWeights(s *balancer.Settings) (err error) {
-	s.Weights, err = lookUp(weightTypes, "Weights", "meaning", o.Weights)
+	s.Weights, err = lookUp(weightTypes, "Weights", "weight type", o.Weights)
 	return err
 }
 
-// mapTo maps what load reports come with, and what they hold.
+// mapTo maps the source and the fields of load reports.
 func (r *report) mapTo(s *balancer.Settings) (err error) {
-	if s.LoadReports, err = lookUp(reportSources, "Report.Source", "source", r.Source); err != nil {
+	if s.LoadReports, err = lookUp(reportSources, "Report.Source", "load report source", r.Source); err != nil {
 		return err
 	}
 	for _, name := range r.Fields {
-		s.LoadReportFields |= reportFields[name] // a field that a later version adds has no bit
+		s.LoadReportFields |= reportFields[name] // unknown fields, which a later version may add, map to 0
 	}
 	return nil
 }
@@ -145,13 +145,13 @@
 	return nil
 }
 
-// toClass maps one toClass of requests; path leads to it within the settings object.
+// toClass maps one class of requests. path is the prefix of its keys within the settings object, for errors.
 func (p *profile) toClass(path string) (balancer.Class, error) {
-	idempotency, err := lookUp(idempotencies, path+"Semantics", "kind", p.Semantics)
+	idempotency, err := lookUp(idempotencies, path+"Semantics", "idempotency", p.Semantics)
 	if err != nil {
 		return balancer.Class{}, err
 	}
-	scope, err := lookUp(dedupScopes, path+"Group", "group", p.Group)
+	scope, err := lookUp(dedupScopes, path+"Group", "deduplication scope", p.Group)
 	if err != nil {
 		return balancer.Class{}, err
 	}
@@ -169,9 +169,9 @@
 	}, nil
 }
 
-// The units of the settings object.
+// Conversions of the units of the settings object.
 
-// maxDuration bounds each time of the settings, so that multiples of it still fit into a time.Duration.
+// maxDuration bounds each duration in the settings, so that multiples of it fit into a time.Duration.
 const maxDuration = 365 * 24 * time.Hour
 
 const microsecondsPerMillisecond = 1000
@@ -182,12 +182,12 @@
 	return milliseconds(value / microsecondsPerMillisecond)
 }
 
-// The words of the settings object. An empty word stands for a key that is absent. internal/simwire has the words of
-// messages, whose errors have another form.
+// The words that settings may hold. An empty word is the value of an absent key. The words of messages are in
+// internal/simwire, whose errors have a different form.
 
 const (
-	countedByWork       = "work"      // of CountedBy: priorities count per unit of work
-	membershipSubscribe = "subscribe" // of MembershipMode: the endpoint list must be subscribed to
+	countedByWork       = "work"      // CountedBy: priorities count per unit of work
+	membershipSubscribe = "subscribe" // MembershipMode: the endpoint list requires a subscription
 )
 
 var weightTypes = map[string]balancer.Weights{
@@ -227,8 +227,8 @@
 	"cell": balancer.DedupInCell,
 }
 
-// lookUp returns the value that a word stands for. key is the path of the setting; what says in the error what the
-// word names.
+// lookUp returns the value that a word stands for. key is the path of the setting, and setting says in the error what
+// the word selects.
 func lookUp[V any](values map[string]V, key, setting, word string) (V, error) {
 	value, ok := values[word]
 	if !ok {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,7 +6,7 @@
 	"ashshunt/balancer"
 )
 
-// Names are the words of the settings object for what the decision module knows by position.
+// Names holds the names, in the settings object, of what the decision module refers to by index.
 type Names struct {
 	Classes []string
 	Tenants []string
@@ -14,9 +14,9 @@
 	Kinds   []string
 }
 
-// ParseSettings converts the settings object, which a configuration file and the simulator's first message hold in
-// the same form. Keys that it does not know are ignored, since later versions of the object may add some. An error is
-// one of encoding/json or an *UnknownWordError; balancer.New checks the values.
+// ParseSettings parses the settings object, which has the same form in the configuration file and in the simulator's
+// OpenInstance message. It ignores unknown keys, which later versions may add. The error is one of encoding/json or an
+// *UnknownWordError. Whether the values are in range is validated by balancer.New.
 func ParseSettings(raw []byte) (balancer.Settings, Names, error) {
 	var object settingsObject
 	if err := json.Unmarshal(raw, &object); err != nil {
--- a/internal/config/settings_object.go
+++ b/internal/config/settings_object.go
@@ -1,24 +1,25 @@
 package config
 
-// settingsObject is the settings object as agents are given it, with the names on the wire. The suffix of a name is
-// its unit: Ms milliseconds, Us microseconds, PerS per second. Errors of encoding/json name the types of this file.
+// settingsObject is the settings object with its names on the wire. The suffix of a name is its unit: Ms milliseconds,
+// Us microseconds, PerS per second. Errors of encoding/json contain the names of the types in this file.
+// mapping.go maps each field to a field of balancer.Settings, which is documented there.
 type settingsObject struct {
 	Balancers      int    // number of agents
 	Me             int    // number of this agent, from 0
 	Zone           int    // number of this agent's zone
-	CountedBy      string // what priorities count by
+	CountedBy      string // "work": priorities count per unit of work; otherwise per request
 	Profiles       []profile
 	Tenants        []tenant
-	OverShareWorth float64  // priority of a request beyond its tenant's share; 1: as one within
+	OverShareWorth float64  // priority of a request beyond its tenant's share; 1: same as within the share
 	Dcs            []string // names of the zones
 	Kinds          []string // names of the machine kinds
 	Tier           int      // number of the tier that this agent sends to
 	Tiers          []string // names of the tiers
-	Weights        string   // what the weights of endpoints mean
+	Weights        string   // type of the endpoints' weights
 	Clients        struct{ MarksRetry bool }
 	FamilyInfo     struct{ WarmKeys, PassesDeadline bool }
 	Report         report
-	MembershipMode string // how the endpoint list comes
+	MembershipMode string // "subscribe": the endpoint list requires a subscription
 	TickMs         float64
 	PolicyLimits   policyLimits
 	Contract       contract
@@ -26,37 +27,37 @@
 	Prices         prices
 }
 
-// profile describes one class of requests.
+// profile is one class of requests.
 type profile struct {
 	Name       string
-	AimMs      float64
+	AimMs      float64 // latency objective
 	DeadlineMs float64
 	Worth      float64 // priority weight
-	LateValue  float64 // share of Worth
+	LateValue  float64 // priority of a response after the objective, as a fraction of Worth
 	Semantics  string  // idempotency
-	Group      string  // scope of deduplication
-	WindowMs   float64 // of deduplication
+	Group      string  // deduplication scope
+	WindowMs   float64 // deduplication window
 	KeepOrder  bool
-	AimStretch float64 // multiple of the request's work
+	AimStretch float64 // the objective grows by this multiple of the request's work
 	Stream     bool
 }
 
 // tenant is one of the parties that share the service.
 type tenant struct {
 	Name      string
-	Portion   float64 // share of the service
+	Portion   float64 // fraction of the service
 	QuotaPerS float64
 }
 
-// report describes the endpoints' load reports.
+// report describes the load reports of the endpoints.
 type report struct {
 	Source string
 	Fields []string
 }
 
-// policyLimits bounds what an agent may do.
+// policyLimits defines what an agent is allowed to do.
 type policyLimits struct {
-	TryLimit         int // attempts
+	TryLimit         int // maximum number of attempts
 	SecondCopies     bool
 	MayProbe         bool
 	Cancel           bool
@@ -65,7 +66,7 @@
 	MaxRetryAfterMs  float64
 	ConnectTimeoutMs float64
 	IdleCloseMs      float64
-	MaxOpen          int // requests
+	MaxOpen          int // maximum number of open requests
 	StreamsPerConn   int
 	CPUUsPerS        float64 `json:"CpuUsPerS"`
 	CPUUsPerRequest  float64 `json:"CpuUsPerRequest"`
@@ -76,7 +77,7 @@
 	DrainGraceMs    float64
 	GraceToAnswerMs float64
 	AskWithinMs     float64
-	ColdFrom        float64 // share of the full capacity
+	ColdFrom        float64 // initial fraction of the full capacity
 	RampTimeMs      float64
 	FallMultiple    float64 // multiple of the current capacity
 	FallMs          float64
@@ -84,7 +85,7 @@
 	KeyRestMs       float64
 }
 
-// prices are what each thing costs, as a share of the operator's goal.
+// prices holds the price of each cost, as a fraction of the operator's goal.
 type prices struct {
 	CrossZone      float64
 	Waste          float64
--- a/internal/config/wire_keys.go
+++ b/internal/config/wire_keys.go
@@ -7,9 +7,10 @@
 	"ashshunt/balancer"
 )
 
-// wireKeys gives the path within the settings object for each field of balancer.Settings, and of its classes and
-// tenants, that an error of balancer.New may name and that has another name in the object. The fields of a class or a
-// tenant stand without their path. SubscribeSpread and RefusedSubscribeSpread are left out: the agent sets them itself.
+// wireKeys maps the names of fields to paths within the settings object, for errors of balancer.New. It contains the
+// fields of balancer.Settings, balancer.Class and balancer.Tenant that have another name in the object. The paths of
+// class and tenant fields are relative. SubscribeSpread and RefusedSubscribeSpread are absent, because the agent itself
+// sets them.
 var wireKeys = map[string]string{
 	"Agents":                    "Balancers",
 	"AgentIndex":                "Me",
@@ -61,8 +62,9 @@
 	"DedupWindow":               "WindowMs",
 }
 
-// WithWireKey returns an error of balancer.New in terms of the settings object: whoever wrote the object can look up
-// its keys, but not the fields of balancer.Settings. Errors other than a *balancer.SettingError stay as they are.
+// WithWireKey returns an error of balancer.New with the path of the setting in the settings object, since the author of
+// a configuration does not know the fields of balancer.Settings. It returns errors other than a *balancer.SettingError
+// unchanged.
 func WithWireKey(err error) error {
 	setting, ok := errors.AsType[*balancer.SettingError](err)
 	if !ok {
@@ -71,7 +73,8 @@
 	return &balancer.SettingError{Field: wirePath(setting.Field), Value: setting.Value}
 }
 
-// wirePath translates a path within balancer.Settings, such as "Classes[0].Objective".
+// wirePath translates a path within balancer.Settings, such as "Classes[0].Objective", into a path within the settings
+// object.
 func wirePath(path string) string {
 	elements := strings.Split(path, ".")
 	for i, element := range elements {
--- a/internal/config/wire_keys_test.go
+++ b/internal/config/wire_keys_test.go
@@ -9,7 +9,7 @@
 	"ashshunt/balancer"
 )
 
-// allNumericSettings holds each setting that is a number.
+// allNumericSettings is a settings object with all numeric settings.
 const allNumericSettings = `{"Balancers":3,"Me":1,"Zone":2,"Tier":1,"OverShareWorth":0.05,"TickMs":5,
  "Profiles":[{"AimMs":400,"DeadlineMs":1500,"Worth":3,"LateValue":0.25,"Semantics":"once",
   "WindowMs":3000,"AimStretch":2}],
@@ -22,7 +22,7 @@
  "Prices":{"CrossZone":0.02,"Waste":0.15,"LateFail":0.08,"Probe":0.01,"Peer":0.03,"Handshake":0.04,"Connection":0.05,
   "MembershipMode":0.06,"Moves":0.07,"Origin":0.09,"Fleet":0.11}}`
 
-// An error about a setting has the name and the path that the setting has on the wire.
+// An error about a setting must contain the path of the setting on the wire, not that within balancer.Settings.
 func TestWithWireKey(t *testing.T) {
 	var object map[string]any
 	if err := json.Unmarshal([]byte(allNumericSettings), &object); err != nil {
@@ -41,12 +41,12 @@
 		_, err = balancer.New(settings, 1)
 		var setting *balancer.SettingError
 		if err = WithWireKey(err); !errors.As(err, &setting) || setting.Field != path {
-			t.Errorf("%s is negative: error %v", path, err)
+			t.Errorf("%s is negative: got error %v, want a *balancer.SettingError for this path", path, err)
 		}
 	})
 }
 
-// forEachNumber visits the numbers within a value of encoding/json, and restores each after its visit.
+// forEachNumber calls visit for each number in a decoded JSON object. It restores the number after the call.
 func forEachNumber(object map[string]any, path string, visit func(path string, set func(number float64))) {
 	for key, value := range object {
 		switch value := value.(type) {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// minReadTimeout is the least time that a request gets, however late it began on a new connection.
+	// minReadTimeout is the minimum time that the first request of a connection gets after its first byte, even if that
+	// byte arrives late.
 	minReadTimeout = 300 * time.Millisecond
-	// lingerTimeout bounds how long a connection with unread bytes is still read before it is closed.
+	// lingerTimeout bounds the time for which a connection with unread bytes is still read before it is closed.
 	lingerTimeout = 500 * time.Millisecond
-	// incompleteWriteTimeout bounds the write of the answer to an incomplete request.
+	// incompleteWriteTimeout bounds the write of the response to an incomplete request.
 	incompleteWriteTimeout = 500 * time.Millisecond
-	// maxLingerBytes bounds how much of a connection that is about to be closed is read and dropped.
+	// maxLingerBytes bounds the number of bytes that are read and discarded before a connection is closed.
 	maxLingerBytes = 256 << 10
 )
 
-// continueStatusPrefix begins an interim response, which net/http writes while a request is still being read.
+// continueStatusPrefix starts an interim response, which net/http writes while it is still reading a request.
 var continueStatusPrefix = []byte("HTTP/1.1 100 ")
 
-// connection is an accepted connection. Its first byte ends its idleness at once, before net/http parses a request
-// from it; from then on the time of the request counts, not the idle time of the connection.
+// connection is an accepted client connection. It leaves phaseIdle when its first byte arrives, before net/http parses
+// a request. From then on the timeouts of the request apply instead of the idle timeout.
 type connection struct {
 	net.Conn
 	table      *connectionTable
@@ -35,22 +36,22 @@
 	state      connectionState // guarded by table.mu
 }
 
-// connectionKey is the key of a request's connection in the request's context.
+// connectionKey is the context key under which a request's connection is stored.
 type connectionKey struct{}
 
 func withConnection(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
-// connectionOf returns the connection on which a request came. It is never nil in a handler of a Server, which serves
-// the connections of a connectionListener alone.
+// connectionOf returns the connection on which a request arrived. It is never nil in a handler of a Server, which
+// serves only connections that were accepted by a connectionListener.
 func connectionOf(r *http.Request) *connection {
 	c, _ := r.Context().Value(connectionKey{}).(*connection)
 	return c
 }
 
-// Read takes an idle connection off the idle list before it reads any of its bytes. Otherwise a connection whose
-// request has been read, so that no unread bytes show it any more, could be closed as idle.
+// Read implements net.Conn. It removes an idle connection from the idle list before it reads any bytes. Otherwise a
+// connection whose request has just been read, and which has no unread bytes any more, could be closed as idle.
 func (c *connection) Read(p []byte) (int, error) {
 	if err := c.waitForFirstByte(); err != nil {
 		return 0, err
@@ -62,7 +63,7 @@
 	return n, err
 }
 
-// waitForFirstByte waits until an idle connection has something to be read.
+// waitForFirstByte blocks until an idle connection has bytes to read, and moves it to phaseReading.
 func (c *connection) waitForFirstByte() error {
 	if c.isIdle() {
 		if err := socket.WaitForReadable(c.Conn); err != nil {
@@ -72,7 +73,8 @@
 	return c.handleReadable()
 }
 
-// Write writes a response. One that net/http writes itself, to a malformed request, ends the reading of that request.
+// Write implements net.Conn. The first write of a final response ends the reading of the request. This includes a
+// response that net/http itself sends to a malformed request.
 func (c *connection) Write(p []byte) (int, error) {
 	if !c.mayWrite(p) {
 		return 0, net.ErrClosed
@@ -80,6 +82,7 @@
 	return c.Conn.Write(p)
 }
 
+// mayWrite reports whether p may be written. If p belongs to a final response, it moves the connection to phaseServing.
 func (c *connection) mayWrite(p []byte) bool {
 	if bytes.HasPrefix(p, continueStatusPrefix) {
 		return c.maySendContinue()
@@ -87,9 +90,11 @@
 	return c.startResponse()
 }
 
-// SetReadDeadline sets the deadline of reads, unless a request is being read, which has a timer of its own.
+// SetReadDeadline implements net.Conn. It does nothing while a request is being read, since the request's own timer
+// applies.
 func (c *connection) SetReadDeadline(t time.Time) error {
-	// Held over the call, so that a deadline for the idle connection can't be set after enterReading has cleared it.
+	// The mutex is held during the call, so that a deadline for the idle connection can't be set after enterReading has
+	// cleared it.
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	if c.state.phase == phaseReading {
@@ -98,8 +103,9 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// writeRejection answers a request that was rejected before it was complete, and ends the sending. A read by net/http
-// that waits for more of the request ends. Errors mean that the client has gone.
+// writeRejection responds to a request that was rejected before it was complete, and closes the sending side. The read
+// deadline ends a read in which net/http waits for the rest of the request. Errors are ignored: they mean that the
+// client has disconnected.
 func (c *connection) writeRejection(status int) {
 	_ = c.SetWriteDeadline(time.Now().Add(incompleteWriteTimeout))
 	_, _ = fmt.Fprintf(c.Conn, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
@@ -108,22 +114,23 @@
 	_ = c.Conn.SetReadDeadline(time.Now())
 }
 
-// Close closes the connection and gives back its slot. A close over unread bytes resets the connection, and a response
-// that is still on its way is lost with it: then the sending ends first, and what comes is dropped for a while.
+// Close closes the connection and releases its slot. Closing a socket with unread bytes resets the connection, and a
+// response that is still in transit is lost. In that case the connection is closed in the background, after the sending
+// side has been closed and incoming bytes have been discarded.
 func (c *connection) Close() error {
 	previous := c.startClose()
 	if previous == phaseClosing {
 		return c.Conn.Close()
 	}
 	if previous == phaseRejected || socket.HasUnread(c.Conn) {
-		go c.lingerAndClose() // ends after closeLinger at the latest
+		go c.lingerAndClose() // returns after lingerTimeout at the latest
 		return nil
 	}
 	return c.finishClose()
 }
 
-// lingerAndClose ends the sending, drops what still comes, and closes the connection. Errors are ignored: the
-// connection ends in any case.
+// lingerAndClose closes the sending side, discards incoming bytes, and closes the connection. Errors are ignored, since
+// the connection is closed regardless.
 func (c *connection) lingerAndClose() {
 	socket.CloseWrite(c.Conn)
 	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
@@ -131,7 +138,8 @@
 	_ = c.finishClose()
 }
 
-// finishClose closes a connection in phaseClosing. Its slot is free only now, since until then it holds a descriptor.
+// finishClose closes a connection in phaseClosing. It releases the slot after the close, since the connection holds a
+// descriptor until then.
 func (c *connection) finishClose() error {
 	defer c.table.release()
 	return c.Conn.Close()
--- a/internal/frontend/connectionstate.go
+++ b/internal/frontend/connectionstate.go
@@ -9,70 +9,72 @@
 	"ashshunt/internal/socket"
 )
 
-// phase is what a connection is in the middle of. Its transitions:
+// phase is the state of a connection within its cycle of requests. The transitions are:
 //
-//	idle    -> reading   the first byte of a request has come
-//	idle    -> serving   net/http answers a malformed request that it has read along with the one before
-//	reading -> serving   the request is complete, or is answered with an error
-//	reading -> rejected  the request came too slowly, or the time of a shutdown is over
-//	serving -> idle      the response is out
-//	serving -> reading   the response is out, and the next request has begun already
-//	any     -> closing   Close; from idle also by the table, to reclaim the slot or to shut down
+//	idle    -> reading   the first byte of a request arrives
+//	idle    -> serving   net/http responds to a malformed request that it read together with the previous one
+//	reading -> serving   the request is complete, or gets an error response
+//	reading -> rejected  the request timed out, or a shutdown rejects it
+//	serving -> idle      the response is written
+//	serving -> reading   the response is written and the next request has already started
+//	any     -> closing   Close is called; the table also closes idle connections, to reclaim a slot or to shut down
 //
-// Only the enter methods below change the phase, and their caller holds the table's mutex.
+// Only the enter... methods below change the phase. Their callers hold the table's mutex.
 type phase uint8
 
 const (
-	// phaseIdle: no byte of a request has been read. The connection is on the table's idle list, unless bytes were
-	// found unread on it, and may be closed at any time while it is on the list.
+	// phaseIdle: no byte of a request has been read. The connection is on the table's idle list, and may be closed at
+	// any time while it is on the list. It leaves the list early if unread bytes are found on it.
 	phaseIdle phase = iota
-	// phaseReading: a request has begun and is not complete. The connection is in the table's set of incomplete
-	// requests, and the request's timer runs in place of the read deadlines that net/http sets.
+	// phaseReading: a request has started and is incomplete. The connection is in the table's set of incomplete
+	// requests. The request's timer replaces the read deadlines that net/http sets.
 	phaseReading
-	// phaseServing: a request is complete, or is being answered with an error. One that came from phaseIdle has stayed
-	// on the idle list.
+	// phaseServing: a request is complete, or is getting an error response. A connection that came directly from
+	// phaseIdle is still on the idle list.
 	phaseServing
-	// phaseRejected: an incomplete request has been answered. Reads and writes fail, and Close drops what still comes.
+	// phaseRejected: an incomplete request was rejected. Reads and writes fail, and Close discards incoming bytes.
 	phaseRejected
-	// phaseClosing: the connection is closed, or about to be by the caller that moved it here. Reads and writes fail.
+	// phaseClosing: the connection is closed, or the caller that set this phase is about to close it. Reads and writes
+	// fail.
 	phaseClosing
 )
 
-// connectionState is the state of a connection. The mutex of the connection's table guards it.
+// connectionState is the state of a connection. It is guarded by the mutex of the connection's table.
 type connectionState struct {
 	phase              phase
-	hadRequest         bool            // a request has begun on the connection
-	nextRequestStarted bool            // some of the next request has been read while one was served
-	request            requestProgress // of the request that is being read
+	hadRequest         bool            // a request has started on the connection
+	nextRequestStarted bool            // bytes of the next request were read while a request was being served
+	request            requestProgress // progress of the request that is being read
 
-	// Only idleList writes these.
-	idleElement *list.Element // in the table's idle list; nil if not in it
-	idleAt      time.Time
+	// Only idleList writes the following fields.
+	idleElement *list.Element // element of the table's idle list; nil if not in the list
+	idleAt      time.Time     // time at which the connection was added to the idle list
 }
 
-// isFinished reports whether no request can be served any more.
+// isFinished reports whether the connection can't serve any more requests.
 func (s *connectionState) isFinished() bool {
 	return s.phase == phaseRejected || s.phase == phaseClosing
 }
 
-// isReading reports whether the request of a number is being read.
+// isReading reports whether the request with the given number is being read.
 func (s *connectionState) isReading(number int) bool {
 	return s.phase == phaseReading && s.request.number == number
 }
 
-// requestProgress says how far the request that is being read has come.
+// requestProgress records how much of the current request has been read.
 type requestProgress struct {
-	// number counts the requests that have begun on the connection. A timer, or a shutdown, names the request that it
-	// rejects by it, so that it does nothing to a later one.
+	// number counts the requests that have started on the connection. A timer or a shutdown rejects a request by its
+	// number, so that it can't reject a later one.
 	number     int
-	startedAt  time.Time
-	readCount  int // that returned bytes of the request
-	lastReadAt time.Time
-	timer      *time.Timer // rejects the request; nil before the first one
+	startedAt  time.Time   // time of the request's first byte
+	readCount  int         // reads that returned bytes of the request
+	lastReadAt time.Time   // time of the last such read
+	timer      *time.Timer // rejects the request; nil before the first request
 }
 
-// remaining is the time until the request is rejected. One that comes in several reads is only slow: its time runs
-// from the last of them, up to a limit for the request as a whole.
+// remaining returns the time until the request must be rejected; zero or less if it must be rejected now. It is called
+// when the request's timer has fired. A request with a single read has stalled by then. For a request with several
+// reads, Timeouts.ReadStall counts from the last read, and Timeouts.ReadTotal bounds the request as a whole.
 func (p *requestProgress) remaining(timeouts *Timeouts) time.Duration {
 	if p.hasSingleRead() {
 		return 0
@@ -84,16 +86,16 @@
 	return time.Until(deadline)
 }
 
-// hasSingleRead reports whether nothing has come since the first bytes of the request.
+// hasSingleRead reports whether nothing has arrived since the first read of the request.
 func (p *requestProgress) hasSingleRead() bool { return p.readCount <= 1 }
 
 func (p *requestProgress) stopTimer() {
 	if p.timer != nil {
-		p.timer.Stop() // one that has fired finds another phase
+		p.timer.Stop() // a timer that has already fired finds that the phase has changed
 	}
 }
 
-// The events of a connection follow. Each takes the table's mutex.
+// The methods below handle the events of a connection. Each locks the table's mutex.
 
 func (c *connection) isIdle() bool {
 	c.table.mu.Lock()
@@ -101,8 +103,8 @@
 	return c.state.phase == phaseIdle
 }
 
-// handleReadable notes that there is something to be read, which begins a request on an idle connection. It fails if
-// the connection must not be read.
+// handleReadable handles the arrival of bytes, which starts a request on an idle connection. It returns net.ErrClosed
+// if the connection must not be read.
 func (c *connection) handleReadable() error {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -115,7 +117,8 @@
 	return nil
 }
 
-// recordRead notes that n bytes have been read. It fails if they belong to a request that was rejected meanwhile.
+// recordRead records that n bytes have been read. It returns net.ErrClosed if they belong to a request that has been
+// rejected in the meantime.
 func (c *connection) recordRead(n int) error {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -126,7 +129,7 @@
 			c.state.request.lastReadAt = time.Now()
 		}
 	case phaseServing:
-		if n > 0 { // net/http has read it to look for a disconnect
+		if n > 0 { // net/http reads ahead to detect a disconnect
 			c.state.nextRequestStarted = true
 		}
 	case phaseRejected:
@@ -136,8 +139,9 @@
 	return nil
 }
 
-// startResponse notes that a request is complete, or is to be answered with an error. A response is not allowed if the
-// request was rejected or the connection closed meanwhile.
+// startResponse moves the connection to phaseServing. It is called when a request is complete or is about to get an
+// error response. It reports false if the request was rejected, or the connection closed, in the meantime; then no
+// response may be written.
 func (c *connection) startResponse() (allowed bool) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -148,15 +152,15 @@
 	return true
 }
 
-// maySendContinue reports whether a client may be told to go on sending its request.
+// maySendContinue reports whether an interim response may tell the client to send the rest of its request.
 func (c *connection) maySendContinue() bool {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	return c.state.phase == phaseReading || c.state.phase == phaseServing
 }
 
-// rejectIncomplete moves the connection to phaseRejected if the request of a number is still incomplete, and reports
-// whether it has done so. The caller sends the answer.
+// rejectIncomplete moves the connection to phaseRejected if the request with the given number is still incomplete, and
+// reports whether it did so. The caller then writes the response.
 func (c *connection) rejectIncomplete(number int) bool {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -167,8 +171,8 @@
 	return true
 }
 
-// rejectIfTimedOut is rejectIncomplete for a request whose timer has fired. If bytes are still arriving, it extends the
-// timer instead.
+// rejectIfTimedOut handles the expiry of a request's timer: it restarts the timer if the request has time left, and
+// otherwise acts as rejectIncomplete does.
 func (c *connection) rejectIfTimedOut(number int) bool {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -183,8 +187,8 @@
 	return true
 }
 
-// startClose moves the connection to phaseClosing and returns the phase before. Unless that was phaseClosing already,
-// the caller calls finishClose next.
+// startClose moves the connection to phaseClosing and returns the previous phase. The caller must then call
+// finishClose, unless the previous phase was phaseClosing.
 func (c *connection) startClose() (previous phase) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -193,9 +197,9 @@
 	return previous
 }
 
-// handleConnState follows the state that net/http reports. It reports whether the connection is in phaseClosing now
-// for the caller to close, since a shutdown has begun: its request may have been answered just before that, when the
-// response did not yet close the connection.
+// handleConnState handles a state change that net/http reports. It reports whether it has moved the connection to
+// phaseClosing, which the caller must then close. This happens in a shutdown if a response was written just before the
+// shutdown started, and therefore without a Connection: close header.
 func (c *connection) handleConnState(state http.ConnState) (closing bool) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -203,19 +207,19 @@
 	case http.StateNew:
 		c.enterIdleOrReading()
 	case http.StateActive:
-		if c.state.phase == phaseIdle { // the bytes of the request came with those of the one before
+		if c.state.phase == phaseIdle { // the request was read together with the previous one
 			c.enterReading()
 		}
 	case http.StateIdle:
 		c.enterIdleOrReading()
 		return c.startCloseIfShuttingDown()
-	case http.StateHijacked, http.StateClosed: // no handler hijacks; Close has noted the end
+	case http.StateHijacked, http.StateClosed: // no handler hijacks connections; Close has already set phaseClosing
 	}
 	return false
 }
 
-// startCloseIfShuttingDown moves an idle connection to phaseClosing if none is to stay idle, and reports whether it has
-// done so. The caller holds the table's mutex.
+// startCloseIfShuttingDown moves an idle connection to phaseClosing if a shutdown closes idle connections, and reports
+// whether it did so. A connection with unread bytes stays open. The caller holds the table's mutex.
 func (c *connection) startCloseIfShuttingDown() (closing bool) {
 	if !c.table.closeWhenIdle || c.state.phase != phaseIdle || socket.HasUnread(c.Conn) {
 		return false
@@ -224,11 +228,11 @@
 	return true
 }
 
-// The transitions follow. Their caller holds the table's mutex.
+// The methods below are the transitions. Their callers hold the table's mutex.
 
-// enterIdleOrReading moves a connection without an open request to phaseIdle, or to phaseReading if its next request
-// has begun. A connection on the idle list stays as it is: net/http reports none as idle twice in a row, but the list
-// must not hold one twice whatever the order of the reports.
+// enterIdleOrReading moves a connection without an open request to phaseReading if its next request has started, and
+// otherwise to phaseIdle. It leaves a connection that is on the idle list unchanged: net/http never reports a
+// connection as idle twice in a row, but the list must not hold one twice whatever the order of the reports.
 func (c *connection) enterIdleOrReading() {
 	switch {
 	case c.state.isFinished() || c.state.idleElement != nil:
@@ -239,15 +243,15 @@
 	}
 }
 
-// enterIdle puts the connection into the idle list.
+// enterIdle adds the connection to the idle list.
 func (c *connection) enterIdle() {
 	c.exitReading()
 	c.state.phase = phaseIdle
 	c.table.idle.add(c)
 }
 
-// enterReading notes the first byte of a request and starts its timer. The time of the first request on a connection
-// includes that from the connect to this byte.
+// enterReading handles the first byte of a request and starts the request's timer. For the first request of a
+// connection, the timeout includes the time since the connection was accepted.
 func (c *connection) enterReading() {
 	timeout := c.table.timeouts.ReadStall
 	if !c.state.hadRequest {
@@ -260,11 +264,11 @@
 	c.state.nextRequestStarted = false
 	c.state.request = requestProgress{number: c.state.request.number + 1, startedAt: time.Now()}
 	c.startRequestTimer(timeout)
-	_ = c.Conn.SetReadDeadline(time.Time{}) // ends the idle timeout; fails on a connection that has ended
+	_ = c.Conn.SetReadDeadline(time.Time{}) // clears the idle timeout; fails only if the connection is closed
 }
 
-// enterServing ends the request's timer. It may come from phaseIdle, and leaves the connection on the idle list
-// then: net/http reports no StateActive for a malformed request that it has read along with the one before.
+// enterServing stops the request's timer. The connection may come from phaseIdle and then stays on the idle list:
+// net/http reports no StateActive for a malformed request that it has read together with the previous one.
 func (c *connection) enterServing() {
 	c.exitReading()
 	c.state.phase = phaseServing
@@ -281,13 +285,14 @@
 	c.state.phase = phaseClosing
 }
 
-// exitReading undoes what enterReading has set up, if the connection is in phaseReading.
+// exitReading stops the request's timer and removes the connection from the set of incomplete requests. It does nothing
+// in phases other than phaseReading.
 func (c *connection) exitReading() {
 	delete(c.table.incomplete, c)
 	c.state.request.stopTimer()
 }
 
-// startRequestTimer has the request that is being read rejected after a while, unless it still comes by then.
+// startRequestTimer rejects the current request after the given time, unless it is complete or has time left by then.
 func (c *connection) startRequestTimer(after time.Duration) {
 	number := c.state.request.number
 	c.state.request.timer = time.AfterFunc(after, func() {
--- a/internal/frontend/connectionstate_test.go
+++ b/internal/frontend/connectionstate_test.go
@@ -10,7 +10,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// pipeConnection returns a connection of a table that has no socket.
+// pipeConnection returns an open connection of the table that is not a socket.
 func pipeConnection(t *testing.T, table *connectionTable) *connection {
 	t.Helper()
 	server, client := net.Pipe()
@@ -21,16 +21,17 @@
 	return table.add(server)
 }
 
-// phaseStep is an event of a connection, and the phase that the connection is in after it.
+// phaseStep is an event of a connection, and the phase that it must lead to.
 type phaseStep struct {
 	name  string
 	event func(*connection)
 	want  phase
-	// isListed: the connection is on the idle list though it is not in phaseIdle.
+	// isListed means that the connection is on the idle list in a phase other than phaseIdle.
 	isListed bool
 }
 
-// Each event of a connection leads from phase to phase, and the table's idle list and incomplete requests follow.
+// TestConnectionPhases guards the transitions of the state machine, and that the table's idle list and its set of
+// incomplete requests match the phase after each event.
 func TestConnectionPhases(t *testing.T) {
 	reportState := func(state http.ConnState) func(*connection) {
 		return func(c *connection) { c.handleConnState(state) }
@@ -46,12 +47,12 @@
 			{name: "read", event: read, want: phaseReading},
 			{name: "reported active", event: reportState(http.StateActive), want: phaseReading},
 			{name: "complete", event: startResponse, want: phaseServing},
-			{name: "response out", event: reportState(http.StateIdle), want: phaseIdle},
-			{name: "next request with the one before", event: reportState(http.StateActive), want: phaseReading},
+			{name: "response written", event: reportState(http.StateIdle), want: phaseIdle},
+			{name: "next request read with the previous one", event: reportState(http.StateActive), want: phaseReading},
 			{name: "complete", event: startResponse, want: phaseServing},
-			{name: "read behind a request", event: read, want: phaseServing},
-			{name: "response out, next begun", event: reportState(http.StateIdle), want: phaseReading},
-			{name: "an earlier request rejected", event: reject(2), want: phaseReading},
+			{name: "bytes of the next request read", event: read, want: phaseServing},
+			{name: "response written, next request started", event: reportState(http.StateIdle), want: phaseReading},
+			{name: "rejection of an earlier request", event: reject(2), want: phaseReading},
 			{name: "rejected", event: reject(3), want: phaseRejected},
 			{name: "complete too late", event: startResponse, want: phaseRejected},
 			{name: "reported idle", event: reportState(http.StateIdle), want: phaseRejected},
@@ -59,16 +60,16 @@
 			{name: "closed again", event: startClose, want: phaseClosing},
 		})
 	})
-	t.Run("malformed request with the one before", func(t *testing.T) {
+	t.Run("malformed request read with the previous one", func(t *testing.T) {
 		runPhaseSteps(t, []phaseStep{
 			{name: "accepted", event: reportState(http.StateNew), want: phaseIdle},
-			{name: "answered", event: startResponse, want: phaseServing, isListed: true},
+			{name: "error response started", event: startResponse, want: phaseServing, isListed: true},
 			{name: "closed", event: startClose, want: phaseClosing},
 		})
 	})
 }
 
-// runPhaseSteps takes a new connection through steps.
+// runPhaseSteps applies the steps to a new connection and verifies its state after each step.
 func runPhaseSteps(t *testing.T, steps []phaseStep) {
 	t.Helper()
 	timeouts := &Timeouts{ReadStall: testutil.Timeout, ReadTotal: testutil.Timeout}
@@ -77,19 +78,21 @@
 	for _, step := range steps {
 		step.event(c)
 		if c.state.phase != step.want {
-			t.Fatalf("%s: phase %d, want %d", step.name, c.state.phase, step.want)
+			t.Fatalf("%s: got phase %d, want %d", step.name, c.state.phase, step.want)
 		}
 		wantListed := step.want == phaseIdle || step.isListed
 		if idle := c.state.idleElement != nil; idle != wantListed || idle != (table.idle.len() == 1) {
-			t.Errorf("%s: on the idle list: %v, %d in it", step.name, idle, table.idle.len())
+			t.Errorf("%s: got idleElement set: %v, and %d in the idle list, want what the phase requires",
+				step.name, idle, table.idle.len())
 		}
 		if _, incomplete := table.incomplete[c]; incomplete != (step.want == phaseReading) {
-			t.Errorf("%s: incomplete: %v", step.name, incomplete)
+			t.Errorf("%s: got in the set of incomplete requests %v, want the opposite", step.name, incomplete)
 		}
 	}
 }
 
-// A request that comes in one read gets no more time; one that goes on coming does, up to the limit for all of it.
+// A request with a single read gets no additional time. A request whose bytes continue to arrive does, until ReadTotal
+// has passed.
 func TestRequestProgress(t *testing.T) {
 	timeouts := &Timeouts{ReadStall: time.Hour, ReadTotal: 3 * time.Hour}
 	ago := func(hours int) time.Time { return time.Now().Add(-time.Duration(hours) * time.Hour) }
@@ -99,17 +102,17 @@
 		wantTime bool
 	}{
 		{"one read", requestProgress{readCount: 1, startedAt: ago(0), lastReadAt: ago(0)}, false},
-		{"still coming", requestProgress{readCount: 2, startedAt: ago(2), lastReadAt: ago(0)}, true},
+		{"bytes arriving", requestProgress{readCount: 2, startedAt: ago(2), lastReadAt: ago(0)}, true},
 		{"stopped", requestProgress{readCount: 2, startedAt: ago(2), lastReadAt: ago(1)}, false},
 		{"too slow", requestProgress{readCount: 9, startedAt: ago(3), lastReadAt: ago(0)}, false},
 	} {
 		if more := test.progress.remaining(timeouts) > 0; more != test.wantTime {
-			t.Errorf("%s: more time: %v", test.name, more)
+			t.Errorf("%s: got time left %v, want the opposite", test.name, more)
 		}
 	}
 }
 
-// The idle list keeps its order, and a connection may be removed as it is visited, or twice.
+// The idle list preserves its order. A connection may be removed during the iteration, and may be removed twice.
 func TestIdleList(t *testing.T) {
 	var idle idleList
 	first, second, third := &connection{}, &connection{}, &connection{}
@@ -123,6 +126,6 @@
 		}
 	}
 	if left := slices.Collect(idle.all()); !slices.Equal(left, []*connection{first, third}) || idle.len() != 2 {
-		t.Errorf("%d left", idle.len())
+		t.Errorf("got %d connections, want the first and the third in this order", idle.len())
 	}
 }
--- a/internal/frontend/connectiontable.go
+++ b/internal/frontend/connectiontable.go
@@ -10,21 +10,21 @@
 	"ashshunt/internal/socket"
 )
 
-// minSlotRetryInterval keeps a wait for a free slot from spinning.
+// minSlotRetryInterval is the minimum wait between two attempts to free a slot. It prevents a busy loop.
 const minSlotRetryInterval = time.Millisecond
 
-// connectionTable holds the open connections of a listener, and bounds their number: each holds a descriptor, and
-// clients that stay silent, or send one request and stay, would take them all. Its mutex also guards the states of the
-// connections. It is never held over I/O that may block.
+// connectionTable holds the open connections of a listener and limits their number. Each connection holds a descriptor,
+// and clients that stay silent, or keep their connection after one request, could otherwise use up all descriptors. The
+// mutex also guards the states of the connections. It is never held during I/O that may block.
 type connectionTable struct {
-	maxOpen  int           // of open connections; 0: none
-	timeouts *Timeouts     // those of the Server
-	released chan struct{} // holds a value once a connection has ended; a value wakes one waiter alone
+	maxOpen  int           // maximum number of open connections; 0: no limit
+	timeouts *Timeouts     // the timeouts of the Server
+	released chan struct{} // receives a value when a connection is closed; each value wakes one waiter only
 
 	mu            sync.Mutex
-	open          int                      // connections that hold a descriptor
-	closeWhenIdle bool                     // shutting down: a connection is closed as soon as its response is out
-	idle          idleList                 // connections in phaseIdle; idleList names the exceptions
+	open          int                      // number of connections that hold a descriptor
+	closeWhenIdle bool                     // set during a shutdown: close each connection once its response is written
+	idle          idleList                 // connections in phaseIdle; idleList documents the exceptions
 	incomplete    map[*connection]struct{} // connections in phaseReading
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-// add returns an accepted connection as one of the open ones.
+// add counts an accepted connection as open, and wraps it.
 func (t *connectionTable) add(accepted net.Conn) *connection {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,7 +45,7 @@
 	return &connection{Conn: socket.NewConn(accepted), table: t, acceptedAt: time.Now()}
 }
 
-// release gives back the slot of a connection that has been closed.
+// release frees the slot of a connection that has been closed.
 func (t *connectionTable) release() {
 	t.decrementOpen()
 	select {
@@ -60,33 +60,34 @@
 	t.open--
 }
 
-// counts returns how many connections are open, and how many of these are without an open request.
+// counts returns the number of open connections, and how many of these are on the idle list.
 func (t *connectionTable) counts() (open, idle int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.open, t.idle.len()
 }
 
-// isNearLimit reports whether connections begin to run short. Then each is closed with its response: clients that send
-// one request and stay would otherwise take all that there are, until each has been idle for long enough to be
-// reclaimed. The price is that clients which would have sent another request connect anew.
+// isNearLimit reports whether more than half of the allowed connections are open. Each connection is then closed after
+// its response: clients that keep their connection after one request could otherwise hold all slots until their
+// connections may be reclaimed. The cost is that clients with further requests have to reconnect.
 func (t *connectionTable) isNearLimit() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.maxOpen > 0 && t.open > t.maxOpen/2
 }
 
-// ensureSlot makes sure that the limit allows one more connection, if need be by closing an idle one. Otherwise it
-// returns how long to wait before it is called again. It reserves nothing: one goroutine alone accepts connections.
+// ensureSlot ensures that one more connection may be opened, and closes an idle connection if that is necessary. If
+// there is none to close, it returns the time to wait before the next call. It does not reserve the slot, which is safe
+// because a single goroutine accepts connections.
 func (t *connectionTable) ensureSlot(now time.Time) (wait time.Duration, ok bool) {
 	reclaimed, wait, ok := t.tryReclaimSlot(now)
 	if reclaimed != nil {
-		_ = reclaimed.finishClose() // the descriptor is free in any case
+		_ = reclaimed.finishClose() // the descriptor is released even if this returns an error
 	}
 	return wait, ok
 }
 
-// tryReclaimSlot is ensureSlot, except that its caller closes the connection that was reclaimed, if any.
+// tryReclaimSlot implements ensureSlot, except that the caller must close the reclaimed connection, if there is one.
 func (t *connectionTable) tryReclaimSlot(now time.Time) (reclaimed *connection, wait time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,9 +101,9 @@
 	return reclaimed, 0, true
 }
 
-// reclaimIdle moves a connection to phaseClosing and returns it: of those that have been idle for long enough and have
-// nothing unread, the one idle for longest. If there is none, wait is the time until the next one may qualify. One with
-// unread bytes leaves the idle list. The caller holds the mutex.
+// reclaimIdle selects the connection that has been idle longest, among those that may be reclaimed and have no unread
+// bytes, moves it to phaseClosing and returns it. If there is none, wait is the time until the next connection may be
+// reclaimed. Connections that are found with unread bytes are removed from the idle list. The caller holds the mutex.
 func (t *connectionTable) reclaimIdle(now time.Time) (reclaimed *connection, wait time.Duration) {
 	wait = t.timeouts.ReclaimIdle
 	for c := range t.idle.all() {
@@ -111,7 +112,7 @@
 			wait = min(wait, minIdle-idle)
 			continue
 		}
-		if socket.HasUnread(c.Conn) { // a request has come that is not read yet
+		if socket.HasUnread(c.Conn) { // a request has arrived and is not read yet
 			t.idle.remove(c)
 			continue
 		}
@@ -121,7 +122,7 @@
 	return nil, wait
 }
 
-// minIdleDuration is how long a connection must have been idle before it may be reclaimed.
+// minIdleDuration returns how long a connection must have been idle before it may be reclaimed.
 func (t *connectionTable) minIdleDuration(c *connection) time.Duration {
 	if c.state.hadRequest {
 		return t.timeouts.ReclaimIdle
@@ -129,25 +130,25 @@
 	return t.timeouts.ReclaimUnused
 }
 
-// closeUsedIdle is Server.CloseUsedIdle.
+// closeUsedIdle implements Server.CloseUsedIdle.
 func (t *connectionTable) closeUsedIdle() {
 	t.closeIdle(func(c *connection) bool { return c.state.hadRequest })
 }
 
-// closeAllIdle is Server.CloseAllIdle.
+// closeAllIdle implements Server.CloseAllIdle.
 func (t *connectionTable) closeAllIdle() {
 	t.closeIdle(func(*connection) bool { return true })
 }
 
-// closeIdle closes the idle connections that match, and sets closeWhenIdle for good.
+// closeIdle closes the matching idle connections and sets closeWhenIdle permanently.
 func (t *connectionTable) closeIdle(match func(*connection) bool) {
 	for _, c := range t.startCloseIdle(match) {
-		_ = c.finishClose() // nothing was under way on it
+		_ = c.finishClose() // an idle connection has no data in transit
 	}
 }
 
-// startCloseIdle sets closeWhenIdle, moves the idle connections that match to phaseClosing, and returns them. One whose
-// next request has come, though it is not read yet, is not idle.
+// startCloseIdle sets closeWhenIdle, moves the matching idle connections to phaseClosing, and returns them. A
+// connection with unread bytes is not idle: its next request has arrived and is not read yet.
 func (t *connectionTable) startCloseIdle(match func(*connection) bool) (closing []*connection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,7 +162,7 @@
 	return closing
 }
 
-// rejectIncomplete is Server.RejectIncomplete, with the status of the answer.
+// rejectIncomplete implements Server.RejectIncomplete, with the given status in the responses.
 func (t *connectionTable) rejectIncomplete(status int) {
 	for c, number := range t.incompleteRequests() {
 		if c.rejectIncomplete(number) {
@@ -170,7 +171,7 @@
 	}
 }
 
-// incompleteRequests returns the numbers of the incomplete requests, by connection.
+// incompleteRequests returns the numbers of the incomplete requests by connection.
 func (t *connectionTable) incompleteRequests() map[*connection]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,7 +182,7 @@
 	return numbers
 }
 
-// waitForAllClosed waits until no connection is open, or ctx ends.
+// waitForAllClosed blocks until no connection is open or ctx is done.
 func (t *connectionTable) waitForAllClosed(ctx context.Context) {
 	for {
 		if open, _ := t.counts(); open == 0 {
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -13,32 +13,32 @@
 	"ashshunt/internal/socket"
 )
 
-// disconnectPollInterval is the time between two checks of an open request's connection, for disconnects that
-// net/http does not see.
+// disconnectPollInterval is the interval at which the connection of an open request is examined for a disconnect that
+// net/http does not detect.
 const disconnectPollInterval = 100 * time.Millisecond
 
-// The causes, besides a malformed request, for which a request gets no response from the event loop.
+// The reasons, besides a malformed request, why a request gets no response from the event loop.
 var (
 	// errDisconnected: the client has closed its connection.
 	errDisconnected = errors.New("client disconnected")
-	// errRejectedIncomplete: the request took too long to come, and has been answered.
+	// errRejectedIncomplete: the request timed out before it was complete, and the client already has a response.
 	errRejectedIncomplete = errors.New("request rejected before it was complete")
-	// errLoopStopped: the event loop has ended, and no response comes any more.
-	errLoopStopped = errors.New("event loop has ended")
-	// errTooMuchUnread: so much has come behind the request that a disconnect would not be seen.
+	// errLoopStopped: the event loop has stopped, so no response will arrive.
+	errLoopStopped = errors.New("event loop stopped")
+	// errTooMuchUnread: the client has sent so many bytes after its request that a disconnect would not be detected.
 	errTooMuchUnread = &RequestError{Status: http.StatusBadRequest, Reason: "too much behind a request"}
 )
 
-// handler answers the application's requests.
+// handler handles the application's requests.
 type handler struct {
 	loop         EventLoop
 	clock        clock.Clock
-	classes      map[string]int // index in settings.Classes, by name
-	tenants      []string       // by index
+	classes      map[string]int // index in settings.Classes by class name
+	tenants      []string       // tenant names by index
 	settings     balancer.Settings
 	timeouts     *Timeouts
-	isNearLimit  func() bool // reports whether connections begin to run short
-	createdAt    time.Time   // the wait for an endpoint list counts from here
+	isNearLimit  func() bool // see connectionTable.isNearLimit
+	createdAt    time.Time   // start of the wait for an endpoint list
 	shuttingDown atomic.Bool
 }
 
@@ -71,13 +71,13 @@
 		h.handleError(w, r, err)
 		return
 	}
-	if h.shuttingDown.Load() || h.isNearLimit() { // in a shutdown, the client's next request belongs to a new process
+	if h.shuttingDown.Load() || h.isNearLimit() { // in a shutdown, further requests belong to a new process
 		w.Header().Set("Connection", "close")
 	}
 	writeResponse(w, response)
 }
 
-// handleRequest reads a request and returns the event loop's response to it.
+// handleRequest reads a request, submits it to the event loop and returns the loop's response.
 func (h *handler) handleRequest(r *http.Request) (Response, error) {
 	request, err := h.readRequest(r)
 	if err != nil {
@@ -87,8 +87,9 @@
 	return h.waitForResponse(r, request)
 }
 
-// handleError ends a request that gets no response from the event loop. A *RequestError is answered, also one that
-// comes after the request was submitted (errTooMuchUnread), and so is the end of the event loop; nothing else is.
+// handleError handles a request that gets no response from the event loop. It writes a response if err is a
+// *RequestError or if the event loop has stopped, and aborts the connection otherwise. A *RequestError may also occur
+// after the request was submitted (errTooMuchUnread).
 func (h *handler) handleError(w http.ResponseWriter, r *http.Request, err error) {
 	if requestErr, ok := errors.AsType[*RequestError](err); ok {
 		if allowed := connectionOf(r).startResponse(); allowed {
@@ -103,7 +104,7 @@
 	panic(http.ErrAbortHandler) // a return would send an empty response with status 200
 }
 
-// readRequest reads a request to its last byte, from which its time counts.
+// readRequest reads a complete request. The client's timeout counts from the last byte of the request.
 func (h *handler) readRequest(r *http.Request) (*Request, error) {
 	arrived := time.Now()
 	if err := validateFraming(r); err != nil {
@@ -123,7 +124,7 @@
 	if !conn.startResponse() {
 		return nil, errRejectedIncomplete
 	}
-	// The client may have gone while its request waited to be read.
+	// The client may have disconnected before its request was read.
 	if err := detectDisconnect(conn); err != nil {
 		return nil, err
 	}
@@ -134,8 +135,8 @@
 }
 
 // waitForResponse waits for the response to a submitted request, and abandons the request if its client disconnects
-// first. net/http looks for a disconnect until it has read a byte behind the request; from then on, the connection is
-// checked at intervals.
+// first. net/http detects a disconnect only until it has read a byte after the request, so the connection is examined
+// periodically as well.
 func (h *handler) waitForResponse(r *http.Request, request *Request) (Response, error) {
 	conn := connectionOf(r)
 	ticker := time.NewTicker(disconnectPollInterval)
@@ -157,8 +158,8 @@
 	return Response{}, err
 }
 
-// detectDisconnect fails if a client has disconnected, or if so much waits behind its request that a disconnect would
-// not be seen.
+// detectDisconnect returns errDisconnected if the client has disconnected, or errTooMuchUnread if it has sent so many
+// bytes after its request that a disconnect would not be detected.
 func detectDisconnect(conn *connection) error {
 	switch peer := socket.Peer(conn.Conn); {
 	case peer.Closed:
--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -11,10 +11,10 @@
 	"ashshunt/internal/testutil"
 )
 
-// neverRespond leaves a request without an answer.
+// neverRespond leaves a request without a response.
 func neverRespond(*Request) {}
 
-// What the event loop gets is the request as the client sent it.
+// The event loop receives the request exactly as the client sent it.
 func TestSubmittedRequest(t *testing.T) {
 	t.Parallel()
 	submitted := make(chan *Request, 1)
@@ -26,45 +26,46 @@
 		"X-Budget-Ms", "700", "Idempotency-Key", "k1", "X-Again", "1", "X-Call-Cost", "250.5", "X-Route-Hash", "h")
 	retryAfter := response.Header.Get("Retry-After")
 	if response.StatusCode != http.StatusServiceUnavailable || retryAfter != "1.5" {
-		t.Errorf("status %d, Retry-After %q", response.StatusCode, retryAfter)
+		t.Errorf("got status %d and Retry-After %q, want 503 and \"1.5\"", response.StatusCode, retryAfter)
 	}
 	request := testutil.Receive(t, submitted)
 	if request.Method != http.MethodPost || request.Target.Opaque != "/hold/a%2Fb" ||
 		request.Target.RawQuery != "x=%20y" || string(request.Body) != "work" || request.IdempotencyKey != "k1" {
-		t.Errorf("request %+v", request)
+		t.Errorf("got request %+v, want what the client sent", request)
 	}
 	event := request.Event
 	if event.ID != id || event.Class != 1 || event.Key != "h" || !event.ClientRetry ||
 		event.Timeout != 700*time.Millisecond || event.Work != 250500*time.Nanosecond {
-		t.Errorf("event %+v", event)
+		t.Errorf("got event %+v, want what the client sent", event)
 	}
 	if request.Deadline-request.ArrivedAt != event.Timeout {
-		t.Errorf("deadline %v after the arrival", request.Deadline-request.ArrivedAt)
+		t.Errorf("got deadline %v after the arrival, want the timeout", request.Deadline-request.ArrivedAt)
 	}
 }
 
-// A client that closes its connection is noticed, and its request abandoned, also behind bytes that follow the request.
+// A request is abandoned if its client closes the connection, even if the client has sent bytes after the request.
+// net/http stops looking for a disconnect in that case.
 func TestAbandonedRequest(t *testing.T) {
-	for name, behind := range map[string]string{"nothing behind": "", "a byte behind": "G"} {
+	for name, extra := range map[string]string{"nothing after the request": "", "a byte after the request": "G"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), neverRespond, nil)
-			client := testutil.Dial(t, server.Addr(), testutil.Get(id)+behind)
+			client := testutil.Dial(t, server.Addr(), testutil.Get(id)+extra)
 			request := testutil.Receive(t, loop.received)
 			if request.IsClientGone() {
-				t.Error("gone while its client waits")
+				t.Error("got IsClientGone true while the client waits, want false")
 			}
 			if err := client.Close(); err != nil {
 				t.Fatal(err)
 			}
 			if abandoned := testutil.Receive(t, loop.abandoned); abandoned != request || !request.IsClientGone() {
-				t.Errorf("abandoned: %+v", abandoned)
+				t.Errorf("got abandoned request %+v, want the submitted one with IsClientGone true", abandoned)
 			}
 		})
 	}
 }
 
-// The request of a client that floods its connection is abandoned, since a disconnect would not be seen.
+// A request is abandoned if its client sends many bytes after it, since a disconnect would not be detected then.
 func TestFloodedConnection(t *testing.T) {
 	t.Parallel()
 	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), neverRespond, nil)
@@ -72,14 +73,14 @@
 	request := testutil.Receive(t, loop.received)
 	go func() { _, _ = io.WriteString(client, strings.Repeat("x", 1<<16)) }() // ends with the connection
 	if abandoned := testutil.Receive(t, loop.abandoned); abandoned != request {
-		t.Errorf("abandoned: %+v", abandoned)
+		t.Errorf("got abandoned request %+v, want the submitted one", abandoned)
 	}
-	if text, _ := io.ReadAll(client); strings.Contains(string(text), " 200 ") { // a reset may take the answer along
-		t.Errorf("the client got %q", text)
+	if text, _ := io.ReadAll(client); strings.Contains(string(text), " 200 ") { // a reset may discard the response
+		t.Errorf("got response %q, want none with status 200", text)
 	}
 }
 
-// The end of the event loop fails what waits for a response.
+// Requests that wait for a response fail with 502 when the event loop stops.
 func TestEventLoopStopped(t *testing.T) {
 	t.Parallel()
 	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), neverRespond, nil)
@@ -87,7 +88,7 @@
 	testutil.Receive(t, loop.received)
 	close(loop.done)
 	if status := testutil.ReadStatus(t, client); status != http.StatusBadGateway {
-		t.Errorf("status %d", status)
+		t.Errorf("got status %d, want 502", status)
 	}
 }
 
@@ -96,9 +97,9 @@
 	var err error = &RequestError{Status: http.StatusBadRequest, Reason: "bad body", Err: cause}
 	var requestErr *RequestError
 	if !errors.As(err, &requestErr) || !errors.Is(err, cause) || err.Error() != "bad body: cause" {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want a *RequestError with its cause", err)
 	}
 	if text := badRequest("reason").Error(); text != "reason" {
-		t.Errorf("error %q", text)
+		t.Errorf("got error %q, want \"reason\"", text)
 	}
 }
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// serveHealth answers whether the agent is ready. It closes the connection, which a caller that asks only once would
-// otherwise keep open.
+// serveHealth responds to a health check with the agent's readiness. It closes the connection, which a caller that
+// checks only once would otherwise keep open.
 func (h *handler) serveHealth(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if !h.isReady() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = io.WriteString(w, "ok\n") // an error here means that the client has gone
+	_, _ = io.WriteString(w, "ok\n") // an error here means that the client has disconnected
 }
 
-// isReady reports whether the agent can serve: it has taken its first step, is not shutting down, and knows an
-// endpoint or has waited long enough for discovery.
+// isReady reports whether the agent is ready to serve: its event loop has taken its first step, it is not shutting
+// down, and it either has a serving endpoint or has waited for discovery for Timeouts.ReadyWithoutEndpoints.
 func (h *handler) isReady() bool {
 	select {
 	case <-h.loop.Ready():
--- a/internal/frontend/idlelist.go
+++ b/internal/frontend/idlelist.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// idleList holds the connections in phaseIdle, the longest idle first, except for those found with unread bytes. One
-// that is answered for a malformed request without having been read again is in phaseServing and still listed. Only
-// idleList writes the idleElement and the idleSince of their states. The mutex of the connections' table guards it.
+// idleList holds the connections in phaseIdle in the order in which they became idle, with two exceptions. A connection
+// that is found with unread bytes is removed early. A connection that gets a response to a malformed request without
+// having been read again is in phaseServing and still in the list. Only idleList writes idleElement and idleAt in the
+// states of connections. The list is guarded by the mutex of the connections' table.
 type idleList struct{ elements list.List }
 
 func (l *idleList) len() int { return l.elements.Len() }
 
-// add appends a connection that becomes idle now.
+// add appends a connection that has just become idle.
 func (l *idleList) add(c *connection) {
 	c.state.idleAt = time.Now()
 	c.state.idleElement = l.elements.PushBack(c)
 }
 
-// remove removes a connection, if it is in the list.
+// remove removes a connection. It does nothing if the connection is not in the list.
 func (l *idleList) remove(c *connection) {
 	if c.state.idleElement != nil {
 		l.elements.Remove(c.state.idleElement)
@@ -27,7 +28,7 @@
 	}
 }
 
-// all iterates over the connections, each of which may be removed as it is visited.
+// all iterates over the connections. The loop body may remove the current connection.
 func (l *idleList) all() iter.Seq[*connection] {
 	return func(yield func(*connection) bool) {
 		var next *list.Element
--- a/internal/frontend/incomplete_test.go
+++ b/internal/frontend/incomplete_test.go
@@ -9,7 +9,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// incompleteRequests are the beginnings of requests.
+// incompleteRequests are truncated requests by name.
 var incompleteRequests = map[string]string{
 	"a byte":      "G",
 	"three bytes": "GET",
@@ -17,7 +17,8 @@
 	"half a body": testutil.Post(id, "Content-Length: 10\r\n") + "half",
 }
 
-// A client that begins a request and stops gets an error, on a new connection and on one that it has kept.
+// A client that stops in the middle of a request gets an error response, on a new connection as well as on one that has
+// already had a request.
 func TestIncompleteRequestsAreAnswered(t *testing.T) {
 	for name, text := range incompleteRequests {
 		for kept, before := range map[string]string{"new connection": "", "kept connection": testutil.Get(otherID)} {
@@ -29,8 +30,8 @@
 	}
 }
 
-// expectRequestTimeout sends a request, if there is one, and then the beginning of another one, which has to be
-// answered and its connection closed.
+// expectRequestTimeout sends a complete request, unless before is empty, and then an incomplete one. The incomplete
+// request must get status 408, and its connection must be closed.
 func expectRequestTimeout(t *testing.T, before, incomplete string) {
 	t.Helper()
 	server, _ := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, nil)
@@ -42,14 +43,15 @@
 	testutil.Write(t, client, incomplete)
 	response := testutil.ReadResponse(t, in)
 	if response.StatusCode != http.StatusRequestTimeout || !response.Close {
-		t.Errorf("status %d, close %v", response.StatusCode, response.Close)
+		t.Errorf("got status %d and close %v, want 408 and true", response.StatusCode, response.Close)
 	}
 	if n, err := in.Discard(1); n != 0 || isTimeout(err) {
-		t.Error("the connection was kept")
+		t.Error("got an open connection after the response, want it closed")
 	}
 }
 
-// A request that has begun is not closed as idle, even if its connection's idle timeout ends in the middle of it.
+// A connection must not be closed as idle while a request is being read, even if the idle timeout would expire before
+// the request is complete.
 func TestIdleTimeoutDuringRequest(t *testing.T) {
 	for name, text := range incompleteRequests {
 		t.Run(name, func(t *testing.T) {
@@ -65,16 +67,16 @@
 				whole = testutil.Post(id, "Content-Length: 10\r\n") + "half whole"
 			}
 			testutil.Write(t, client, whole[:len(text)])
-			time.Sleep(1200 * time.Millisecond) // past the idle time
+			time.Sleep(1200 * time.Millisecond) // longer than the idle timeout
 			testutil.Write(t, client, whole[len(text):])
 			if response := testutil.ReadResponse(t, in); response.StatusCode != http.StatusOK {
-				t.Errorf("status %d", response.StatusCode)
+				t.Errorf("got status %d, want 200", response.StatusCode)
 			}
 		})
 	}
 }
 
-// A client that writes slowly, but goes on, is served.
+// A client that sends its request slowly, but without long pauses, is served.
 func TestSlowRequest(t *testing.T) {
 	t.Parallel()
 	server, _ := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, func(s *Server) {
@@ -89,6 +91,6 @@
 	time.Sleep(500 * time.Millisecond)
 	testutil.Write(t, client, text[len(text)-3:])
 	if status := testutil.ReadStatus(t, client); status != http.StatusOK {
-		t.Errorf("status %d", status)
+		t.Errorf("got status %d, want 200", status)
 	}
 }
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// initialAcceptBackoff is the wait after the first failed call of accept.
+	// initialAcceptBackoff is the wait after the first failed accept call.
 	initialAcceptBackoff = time.Millisecond
-	// maxAcceptBackoff bounds that wait, which grows with each failure in a row.
+	// maxAcceptBackoff bounds the wait after consecutive failures.
 	maxAcceptBackoff = 50 * time.Millisecond
-	// acceptBackoffFactor is the growth of that wait.
+	// acceptBackoffFactor is the growth of the wait with each consecutive failure.
 	acceptBackoffFactor = 2
 )
 
-// connectionListener is a listener whose connections are kept in a table, which bounds their number.
+// connectionListener is a listener that adds its connections to a table, which limits their number.
 type connectionListener struct {
 	net.Listener
 	table *connectionTable
@@ -33,8 +33,8 @@
 	return &connectionListener{Listener: l, table: table, log: log, closed: make(chan struct{})}
 }
 
-// Accept returns the next connection once the limit allows it. Those that come meanwhile wait in the system's queue,
-// where they cost nothing.
+// Accept implements net.Listener. It blocks while the limit allows no further connection. Clients that connect in the
+// meantime wait in the kernel's accept queue, where they hold no descriptor of this process.
 func (l *connectionListener) Accept() (net.Conn, error) {
 	if err := l.waitForSlot(); err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	return l.table.add(accepted), nil
 }
 
-// waitForSlot waits until the limit allows one more connection.
+// waitForSlot blocks until the limit allows one more connection. It returns net.ErrClosed if the listener is closed.
 func (l *connectionListener) waitForSlot() error {
 	for {
 		wait, ok := l.table.ensureSlot(time.Now())
@@ -59,8 +59,8 @@
 	}
 }
 
-// acceptWithRetry accepts the next connection. Accept fails for many causes that are over in a moment, and an end of the
-// agent mends none of the others: it is called again until the listener is closed.
+// acceptWithRetry accepts the next connection, and retries until the listener is closed. Many causes of a failed accept
+// call are transient, and a restart of the agent would fix none of the others.
 func (l *connectionListener) acceptWithRetry() (net.Conn, error) {
 	for backoff := initialAcceptBackoff; ; backoff = min(acceptBackoffFactor*backoff, maxAcceptBackoff) {
 		accepted, err := l.Listener.Accept()
@@ -74,7 +74,8 @@
 	}
 }
 
-// sleep waits, until something comes out of wake at the latest, and reports whether the listener is still open.
+// sleep blocks for the given time, or until a value arrives on wake or the listener is closed. It reports whether the
+// listener is still open.
 func (l *connectionListener) sleep(wait time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -95,7 +96,8 @@
 	}
 }
 
-// Close closes the listener and ends a wait for a slot. net/http closes it as well, once that wait is over.
+// Close closes the listener and ends a wait for a slot. It may be called more than once, since net/http also closes the
+// listener after Accept has failed.
 func (l *connectionListener) Close() (err error) {
 	l.closeOnce.Do(func() {
 		close(l.closed)
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -12,14 +12,14 @@
 	"ashshunt/internal/testutil"
 )
 
-// reclaimImmediately has a server reclaim connections as soon as their response is out, but not those whose first request
-// has yet to come: on a slow machine that takes a while.
+// reclaimImmediately makes a server reclaim connections as soon as their response is written. Connections that wait for
+// their first request are not reclaimed, since that request may take long to arrive on a slow machine.
 func reclaimImmediately(s *Server) {
 	s.Timeouts.ReclaimIdle, s.Timeouts.ReclaimUnused = time.Millisecond, testutil.Timeout
 }
 
-// Idle clients must not take all descriptors, be it that they keep a connection for good after one request, or that
-// they connect by hundreds and stay silent.
+// Idle clients must not use up all descriptors, neither by keeping their connections after one request nor by opening
+// many connections without sending anything.
 func TestIdleConnectionsAreReclaimed(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -44,12 +44,12 @@
 				}
 				client := testutil.Dial(t, server.Addr(), testutil.Post(testutil.ID(i), ""))
 				if status := testutil.ReadStatus(t, client); status != http.StatusOK {
-					t.Fatalf("request %d: status %d", i, status)
+					t.Fatalf("request %d: got status %d, want 200", i, status)
 				}
 			}
 			response, _ := testutil.Do(t, server.Addr(), "POST", "/settle", "", "X-Call-Id", id, "X-Budget-Ms", "7000")
 			if response.StatusCode != http.StatusOK {
-				t.Errorf("status %d behind idle connections", response.StatusCode)
+				t.Errorf("with idle connections: got status %d, want 200", response.StatusCode)
 			}
 		})
 	}
@@ -69,19 +69,19 @@
 	testutil.Receive(t, submitted)
 	second := testutil.Dial(t, server.Addr(), testutil.Post(otherID, "")) // waits in the system's queue
 	if wait, ok := server.connections.ensureSlot(time.Now().Add(time.Hour)); ok {
-		t.Errorf("a slot was freed under an open request (wait %v)", wait)
+		t.Errorf("got a slot of an open request (wait %v), want none", wait)
 	}
 	close(gate)
 	if status := testutil.ReadStatus(t, first); status != http.StatusOK {
-		t.Errorf("first request: status %d", status)
+		t.Errorf("first request: got status %d, want 200", status)
 	}
 	if status := testutil.ReadStatus(t, second); status != http.StatusOK {
-		t.Errorf("second request: status %d", status)
+		t.Errorf("second request: got status %d, want 200", status)
 	}
 }
 
-// Clients that keep a connection after one request, for as long as it may not be reclaimed, must not keep others out:
-// near the limit, each connection is closed with its response.
+// Clients that keep their connection after one request must not keep other clients out while their connections may not
+// be reclaimed yet. Near the limit, each connection is closed after its response.
 func TestResponsesCloseConnectionsNearLimit(t *testing.T) {
 	t.Parallel()
 	config := testutil.Config(t, "127.0.0.1:1")
@@ -93,7 +93,7 @@
 	for i := range 6 {
 		client := testutil.Dial(t, server.Addr(), testutil.Post(testutil.ID(i), ""))
 		if status := testutil.ReadStatus(t, client); status != http.StatusOK {
-			t.Fatalf("request %d: status %d", i, status)
+			t.Fatalf("request %d: got status %d, want 200", i, status)
 		}
 	}
 }
@@ -108,13 +108,13 @@
 	}
 	accepted, ok := conn.(*connection)
 	if !ok {
-		t.Fatalf("accepted a %T", conn)
+		t.Fatalf("got accepted connection of type %T, want *connection", conn)
 	}
 	listener.table.handleConnState(accepted, http.StateNew)
 	return client, accepted
 }
 
-// newTestListener returns a listener with one slot, which reclaims idle connections at once.
+// newTestListener returns a listener with a single slot, which reclaims idle connections immediately.
 func newTestListener(t *testing.T) *connectionListener {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -127,40 +127,40 @@
 	return listener
 }
 
-// A shutdown, or a lack of slots, must not close a connection under a request which has come but is not read yet, or
-// is being read: whichever of the two is first has the connection.
+// A shutdown or a lack of slots must not close a connection whose request has arrived but is not read yet, or is being
+// read. Between the close and the read, the one that changes the phase first wins.
 func TestPendingRequestIsNotClosed(t *testing.T) {
 	listener := newTestListener(t)
 	buffer := make([]byte, 10)
 
 	client, conn := dialAndAccept(t, listener)
 	testutil.Write(t, client, "request")
-	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(conn.Conn) })
+	testutil.Eventually(t, "bytes of the request", func() bool { return socket.HasUnread(conn.Conn) })
 	listener.table.closeAllIdle()
 	if n, err := conn.Read(buffer); n != len("request") || err != nil {
-		t.Fatalf("a request that waits to be read: %d bytes, %v", n, err)
+		t.Fatalf("request that is not read yet: got %d bytes and error %v, want 7 bytes", n, err)
 	}
-	listener.table.closeAllIdle() // read, but net/http has not made a request of it yet
+	listener.table.closeAllIdle() // the bytes are read, but net/http has not parsed a request yet
 	if _, ok := listener.table.ensureSlot(time.Now()); ok {
-		t.Error("a slot was freed under a request that is being read")
+		t.Error("got a slot of a request that is being read, want none")
 	}
 	testutil.Write(t, client, "more")
 	if n, err := conn.Read(buffer); n != len("more") || err != nil {
-		t.Errorf("the rest of a request: %d bytes, %v", n, err)
+		t.Errorf("rest of the request: got %d bytes and error %v, want 4 bytes", n, err)
 	}
 	if err := conn.Close(); err != nil {
 		t.Error(err)
 	}
 
 	client, conn = dialAndAccept(t, listener)
-	previous := conn.startClose() // it was about to be closed as the request came
+	previous := conn.startClose() // the close starts before the request arrives
 	testutil.Write(t, client, "request")
-	testutil.Eventually(t, "its bytes", func() bool { return socket.HasUnread(conn.Conn) })
+	testutil.Eventually(t, "bytes of the request", func() bool { return socket.HasUnread(conn.Conn) })
 	if n, err := conn.Read(buffer); n != 0 || err == nil {
-		t.Errorf("read %d bytes of a closing connection, %v", n, err)
+		t.Errorf("read of a closing connection: got %d bytes and error %v, want an error", n, err)
 	}
 	if previous == phaseClosing || conn.startClose() != phaseClosing {
-		t.Error("a connection must begin to close once")
+		t.Error("got a wrong previous phase, want phaseClosing from the second startClose only")
 	}
 	if err := conn.finishClose(); err != nil {
 		t.Error(err)
@@ -168,16 +168,17 @@
 
 	_, conn = dialAndAccept(t, listener)
 	listener.table.handleConnState(conn, http.StateActive)
-	listener.table.handleConnState(conn, http.StateIdle) // its response was on its way out as the shutdown began
+	listener.table.handleConnState(conn, http.StateIdle) // its response was being written when the shutdown started
 	if open, _ := listener.table.counts(); conn.state.phase != phaseClosing || open != 0 {
-		t.Errorf("idle in a shutdown: phase %d, %d open", conn.state.phase, open)
+		t.Errorf("idle in a shutdown: got phase %d and %d open connections, want phaseClosing and none",
+			conn.state.phase, open)
 	}
 }
 
-// failingListener is a listener whose next calls of accept fail.
+// failingListener is a listener whose next accept calls fail.
 type failingListener struct {
 	net.Listener
-	failures chan error // one for each of the next calls
+	failures chan error // causes of the next failures, one for each call
 }
 
 // Accept implements net.Listener.
@@ -190,7 +191,7 @@
 	}
 }
 
-// Calls of accept that fail for a moment must not end the agent, nor keep a client out for long.
+// Transient failures of accept must neither stop the agent nor delay clients for long.
 func TestAcceptFailures(t *testing.T) {
 	for _, cause := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
 		syscall.ENOMEM, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EPROTO, syscall.EPERM,
@@ -207,7 +208,7 @@
 			})
 			client := testutil.Dial(t, server.Addr(), testutil.Post(id, ""))
 			if status := testutil.ReadStatus(t, client); status != http.StatusOK {
-				t.Errorf("status %d after accept failed", status)
+				t.Errorf("after accept failures: got status %d, want 200", status)
 			}
 		})
 	}
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// maxTimeout bounds the timeout that a client may set.
+	// maxTimeout bounds the timeout that a client may request.
 	maxTimeout = time.Hour
-	// maxIdempotencyKeyBytes bounds an Idempotency-Key.
+	// maxIdempotencyKeyBytes bounds the length of an Idempotency-Key.
 	maxIdempotencyKeyBytes = 255
-	// maxWorkMicros bounds a client's estimate of the work, in microseconds; one beyond it is ignored.
+	// maxWorkMicros bounds a client's estimate of the work, in microseconds. Larger estimates are ignored.
 	maxWorkMicros = 1e12
 	// requestIDLength is the number of hexadecimal digits of an X-Call-Id.
 	requestIDLength = 16
 )
 
-// singleValueHeaders are the headers that a request may carry only once, since nothing says which of two values counts.
+// singleValueHeaders are the headers that a request may contain only once, since neither of two values would take
+// precedence.
 var singleValueHeaders = []string{
 	protocol.HeaderRequestID,
 	protocol.HeaderTimeout,
@@ -34,11 +35,11 @@
 	protocol.HeaderKey,
 }
 
-// RequestError says what is wrong with a request, and how its client is answered.
+// RequestError reports an invalid request. It determines the response to the client.
 type RequestError struct {
-	Status int    // of the answer
-	Reason string // the body of the answer
-	Err    error  // the cause; nil if Reason says all
+	Status int    // HTTP status of the response
+	Reason string // body of the response
+	Err    error  // underlying error; nil if there is none
 }
 
 // Error implements error.
@@ -49,16 +50,17 @@
 	return e.Reason
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *RequestError) Unwrap() error { return e.Err }
 
 func badRequest(reason string) error {
 	return &RequestError{Status: http.StatusBadRequest, Reason: reason}
 }
 
-// validateFraming checks what determines the end of a request, before any of its body is read. net/http drops the length
-// of a request that is also chunked, and the encoding of one in HTTP/1.0, and goes on: a server that reads it the other
-// way finds a second request in the body. So neither is accepted.
+// validateFraming validates the message framing before any of the body is read. It requires HTTP/1.1 with a
+// Content-Length and no Transfer-Encoding, to prevent request smuggling: net/http ignores the Content-Length of a
+// chunked request, and the Transfer-Encoding of an HTTP/1.0 request, whereas a server that does the opposite would find
+// a second request in the body.
 func validateFraming(r *http.Request) error {
 	switch {
 	case r.ProtoMajor != 1 || r.ProtoMinor != 1:
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// parseHead checks a request's head and returns the request, still without its body.
+// parseHead parses and validates the head of a request. It returns the request without its body.
 func (h *handler) parseHead(r *http.Request) (*Request, error) {
 	class, err := h.parseClass(r)
 	if err != nil {
@@ -103,7 +105,7 @@
 	return request, nil
 }
 
-// validateHead checks a head as a whole, apart from the values of its headers.
+// validateHead validates the structure of a head; the values of its headers are validated when they are parsed.
 func validateHead(r *http.Request, idempotency balancer.Idempotency) error {
 	for _, name := range singleValueHeaders {
 		if len(r.Header[name]) > 1 {
@@ -116,7 +118,7 @@
 	return nil
 }
 
-// parseEvent returns what the decision module gets of a request.
+// parseEvent returns the event by which the decision module receives the request.
 func (h *handler) parseEvent(r *http.Request, class int) (balancer.Request, error) {
 	id, err := parseRequestID(r)
 	if err != nil {
@@ -137,7 +139,8 @@
 	}, nil
 }
 
-// parseClass returns the index of the class that the path names, if the method is that of the class.
+// parseClass returns the index of the class that the path names. It returns an error if the class requires another
+// method.
 func (h *handler) parseClass(r *http.Request) (int, error) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class, ok := h.classes[name]
@@ -150,7 +153,7 @@
 	return class, nil
 }
 
-// methodFor is the method of a class's requests.
+// methodFor returns the method that requests of a class must have.
 func methodFor(idempotency balancer.Idempotency) string {
 	if idempotency == balancer.Idempotent {
 		return http.MethodGet
@@ -195,8 +198,8 @@
 	return timeout, nil
 }
 
-// parseIdempotencyKey returns the key of a request whose class requires one; no other class may have one. Endpoints
-// recognize a retry by its key alone: without one, a second attempt might run again.
+// parseIdempotencyKey returns the idempotency key. Requests of a class with keys must have one, and all others must
+// not. Endpoints recognize a retry only by its key: without a key, a second attempt might run the request again.
 func parseIdempotencyKey(r *http.Request, idempotency balancer.Idempotency) (string, error) {
 	key := r.Header.Get(protocol.HeaderIdempotencyKey)
 	wanted := idempotency == balancer.IdempotentWithKey
@@ -206,12 +209,12 @@
 	return key, nil
 }
 
-// parseTenant returns the index of the tenant; an unknown tenant counts as the first.
+// parseTenant returns the index of the tenant. An unknown tenant is treated as the first one.
 func (h *handler) parseTenant(r *http.Request) int {
 	return max(0, slices.Index(h.tenants, r.Header.Get(protocol.HeaderTenant)))
 }
 
-// parseWork returns the client's estimate of the work; 0 if there is none that can be used.
+// parseWork returns the client's estimate of the work; 0 if it is absent or invalid.
 func parseWork(r *http.Request) time.Duration {
 	micros, err := strconv.ParseFloat(r.Header.Get(protocol.HeaderWork), 64)
 	if err == nil && micros > 0 && micros < maxWorkMicros {
@@ -220,7 +223,7 @@
 	return 0
 }
 
-// parseTarget is the path and query as the client sent them, unchanged.
+// parseTarget returns the path and query exactly as the client sent them.
 func parseTarget(r *http.Request) (*url.URL, error) {
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return r.URL, nil
@@ -232,8 +235,8 @@
 	return &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.RequestURI, "?")}, nil
 }
 
-// readBody reads a body whose length has been checked. No read deadline bounds it, since one that passes just as the
-// body is complete would look like a disconnect. The connection rejects a request that takes too long.
+// readBody reads a body whose length has been validated. It sets no read deadline: net/http can't tell one that expires
+// just as the body completes from a disconnect. The connection rejects a request that takes too long.
 func readBody(r *http.Request) ([]byte, error) {
 	body := make([]byte, r.ContentLength)
 	_, err := io.ReadFull(r.Body, body)
--- a/internal/frontend/parse_test.go
+++ b/internal/frontend/parse_test.go
@@ -14,11 +14,11 @@
 	"ashshunt/internal/testutil"
 )
 
-// Malformed requests are answered, and none reaches the event loop.
+// Malformed requests get an error response and do not reach the event loop.
 func TestMalformedRequests(t *testing.T) {
 	t.Parallel()
 	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, func(s *Server) {
-		s.Timeouts.MalformedLinger = testutil.Timeout // the body of a rejected request may be slow here
+		s.Timeouts.MalformedLinger = testutil.Timeout // the body of a rejected request may arrive slowly
 	})
 	valid := []string{"X-Call-Id", id, "X-Budget-Ms", "700"}
 	withTimeout := func(timeout string) []string { return []string{"X-Call-Id", id, "X-Budget-Ms", timeout} }
@@ -31,33 +31,33 @@
 	}{
 		{"unknown class", "GET", "/nothing", "", valid, 404},
 		{"no class", "GET", "/", "", valid, 404},
-		{"a class behind an empty part", "GET", "//look", "", valid, 404},
-		{"no id", "GET", "/look", "", []string{"X-Budget-Ms", "700"}, 400},
-		{"a malformed id", "GET", "/look", "", withID("00000000000000g1"), 400},
-		{"a long id", "GET", "/look", "", withID(id + "0"), 400},
+		{"a class after an empty path segment", "GET", "//look", "", valid, 404},
+		{"no ID", "GET", "/look", "", []string{"X-Budget-Ms", "700"}, 400},
+		{"a malformed ID", "GET", "/look", "", withID("00000000000000g1"), 400},
+		{"a long ID", "GET", "/look", "", withID(id + "0"), 400},
 		{"no timeout", "GET", "/look", "", []string{"X-Call-Id", id}, 400},
 		{"a timeout with a unit", "GET", "/look", "", withTimeout("700ms"), 400},
 		{"a negative timeout", "GET", "/look", "", withTimeout("-1"), 400},
 		{"a timeout of zero", "GET", "/look", "", withTimeout("0"), 400},
 		{"a huge timeout", "GET", "/look", "", withTimeout("18446744073709551616"), 400},
-		{"keyed without a key", "POST", "/hold", "x", valid, 400},
+		{"a class with keys, without a key", "POST", "/hold", "x", valid, 400},
 		{"a wrong method", "GET", "/settle", "", valid, 405},
-		{"a body where there is none", "GET", "/look", "x", valid, 400},
+		{"a body in a GET request", "GET", "/look", "x", valid, 400},
 		{"a large body", "POST", "/settle", largeBody, valid, 413},
 	}
 	for _, test := range tests {
 		response, _ := testutil.Do(t, server.Addr(), test.method, test.path, test.body, test.headers...)
 		if response.StatusCode != test.want {
-			t.Errorf("%s: status %d, want %d", test.name, response.StatusCode, test.want)
+			t.Errorf("%s: got status %d, want %d", test.name, response.StatusCode, test.want)
 		}
 	}
 	if n := loop.submittedCount.Load(); n != 0 {
-		t.Errorf("the event loop got %d requests", n)
+		t.Errorf("got %d requests in the event loop, want none", n)
 	}
 }
 
-// A request must not hide in the body of another, and bodies that are not owed are not waited for: each of these is
-// answered from its head alone, and its connection closed.
+// Guards against request smuggling, and against waiting for bodies that never arrive: each of these requests is
+// rejected because of its head alone, and its connection is closed.
 func TestFraming(t *testing.T) {
 	t.Parallel()
 	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, nil)
@@ -81,33 +81,33 @@
 		{"a negative length", testutil.Post(id, "Content-Length: -1\r\n") + hidden, 400},
 		{"a signed length", testutil.Post(id, "Content-Length: +4\r\n") + hidden, 400},
 		{"a huge length", testutil.Post(id, "Content-Length: 3000000000\r\n") + hidden, 413},
-		{"a length beyond numbers", testutil.Post(id, "Content-Length: 99999999999999999999\r\n") + hidden, 400},
-		{"an endless head", testutil.Post(id, strings.Repeat("A: b\r\n", 1<<13)), 431},
-		{"two ids", testutil.Post(id, "X-Call-Id: "+otherID+"\r\nContent-Length: 0\r\n") + hidden, 400},
+		{"a length out of range", testutil.Post(id, "Content-Length: 99999999999999999999\r\n") + hidden, 400},
+		{"a head over the limit", testutil.Post(id, strings.Repeat("A: b\r\n", 1<<13)), 431},
+		{"two IDs", testutil.Post(id, "X-Call-Id: "+otherID+"\r\nContent-Length: 0\r\n") + hidden, 400},
 		{"two timeouts", testutil.Post(id, "X-Budget-Ms: 1\r\n") + hidden, 400},
 		{"a class without keys, with a key", testutil.Post(id, "Idempotency-Key: k\r\n") + hidden, 400},
-		{"an unknown class with a body that never comes", unknownClass, 404},
+		{"an unknown class with a body that never arrives", unknownClass, 404},
 	} {
 		in := bufio.NewReader(testutil.Dial(t, server.Addr(), test.text))
 		response, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Errorf("%s: %v", test.name, err)
+			t.Errorf("%s: got error %v, want a response", test.name, err)
 			continue
 		}
-		_, _ = io.Copy(io.Discard, response.Body) // what follows shows whether the connection has ended
+		_, _ = io.Copy(io.Discard, response.Body) // the next read then shows whether the connection is closed
 		if response.StatusCode != test.want {
-			t.Errorf("%s: status %d, want %d", test.name, response.StatusCode, test.want)
+			t.Errorf("%s: got status %d, want %d", test.name, response.StatusCode, test.want)
 		}
 		if n, err := in.Discard(1); n != 0 || isTimeout(err) {
-			t.Errorf("%s: the connection was kept", test.name)
+			t.Errorf("%s: got an open connection after the response, want it closed", test.name)
 		}
 	}
 	if n := loop.submittedCount.Load(); n != 0 {
-		t.Errorf("the event loop got %d requests", n)
+		t.Errorf("got %d requests in the event loop, want none", n)
 	}
 }
 
-// Connections whose clients begin a request and never end it are closed.
+// Connections are closed if their clients send nothing or never complete a request.
 func TestIncompleteRequests(t *testing.T) {
 	t.Parallel()
 	server, _ := startServer(t, testutil.Config(t, "127.0.0.1:1"), echo, nil)
@@ -117,8 +117,8 @@
 		clients = append(clients, testutil.Dial(t, server.Addr(), text))
 	}
 	for i, client := range clients {
-		if _, err := io.Copy(io.Discard, client); isTimeout(err) { // ends once the server has closed it
-			t.Errorf("%q was kept", texts[i])
+		if _, err := io.Copy(io.Discard, client); isTimeout(err) { // returns once the server has closed the connection
+			t.Errorf("after %q: got an open connection, want it closed", texts[i])
 		}
 	}
 }
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -7,31 +7,31 @@
 	"ashshunt/balancer"
 )
 
-// Request is a client's request, complete and well-formed.
+// Request is a complete, valid request of a client.
 type Request struct {
-	Event          balancer.Request // what the decision module gets of it
-	IdempotencyKey string           // empty for a class without keys
+	Event          balancer.Request // the event for the decision module
+	IdempotencyKey string           // empty if the class uses no keys
 	Method         string
 	Host           string
-	Target         *url.URL // path and query, as the client sent them
+	Target         *url.URL // path and query exactly as the client sent them
 	Body           []byte
-	ArrivedAt      time.Duration // when its last byte had come, on the agent's clock
-	Deadline       time.Duration // when the client's timeout ends, on the agent's clock
-	// IsClientGone reports whether the client has closed its connection, or has sent so much behind the request that a
-	// close would not be seen. The event loop may not know it yet.
+	ArrivedAt      time.Duration // time of the last byte, on the agent's clock
+	Deadline       time.Duration // end of the client's timeout, on the agent's clock
+	// IsClientGone reports whether the client has closed its connection, or has sent so many bytes after the request
+	// that a close would not be detected. It may report this before the event loop is told by EventLoop.Abandon.
 	IsClientGone func() bool
 
 	response chan Response
 }
 
-// NewRequest returns an empty request that can be responded to.
+// NewRequest returns an empty request that can receive a response.
 func NewRequest() *Request { return &Request{response: make(chan Response, 1)} }
 
-// Respond hands over the only response. It must be called once at most: the channel holds one response, so that the
-// first call never blocks.
+// Respond passes the response to the client's handler. It must be called at most once; it never blocks, since the
+// channel buffers one response.
 func (r *Request) Respond(response Response) { r.response <- response }
 
-// Response returns the channel on which the only response arrives. It is for tests of the event loop alone.
+// Response returns the channel on which the response arrives. It is used only in tests of the event loop.
 func (r *Request) Response() <-chan Response { return r.response }
 
 // Response is the final answer to a client.
@@ -41,16 +41,16 @@
 	RetryAfter time.Duration // 0: no Retry-After header
 }
 
-// EventLoop is what the frontend needs of the agent's event loop.
+// EventLoop is the part of the agent's event loop that the frontend uses.
 type EventLoop interface {
-	// Submit hands over a request, which gets one response.
+	// Submit passes a request to the loop, which responds to it exactly once.
 	Submit(*Request)
-	// Abandon reports that a request's client has gone: nobody waits for the response.
+	// Abandon reports that the client has disconnected and no longer waits for the response.
 	Abandon(*Request)
-	// Ready is closed once the loop has taken its first step.
+	// Ready returns a channel that is closed after the loop's first step.
 	Ready() <-chan struct{}
-	// Done is closed when the loop has ended: no response comes any more.
+	// Done returns a channel that is closed when the loop has stopped. No response arrives after that.
 	Done() <-chan struct{}
-	// HasServingEndpoint reports whether some endpoint may get requests.
+	// HasServingEndpoint reports whether at least one endpoint may receive requests.
 	HasServingEndpoint() bool
 }
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// writeResponse writes the final response to a request. Header keys are set in their canonical form, which saves the
-// conversion. Retry-After is in seconds and may have a fraction, where RFC 9110 has whole seconds alone.
+// writeResponse writes the final response to a request. It sets header keys in their canonical form, which saves the
+// conversion by Header.Set. Retry-After is in seconds and may have a fraction, whereas RFC 9110 allows only whole
+// seconds.
 func writeResponse(w http.ResponseWriter, response Response) {
 	header := w.Header()
 	header["Content-Type"] = []string{"application/octet-stream"}
@@ -17,12 +18,12 @@
 		header["Retry-After"] = []string{strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', -1, 64)}
 	}
 	w.WriteHeader(response.Status)
-	_, _ = w.Write(response.Body) // an error here means that the client has gone
+	_, _ = w.Write(response.Body) // an error here means that the client has disconnected
 }
 
-// rejectMalformed answers a malformed request and closes its connection, since what follows on it can't be trusted.
-// Some of the body is read all the same: a close over unread bytes resets the connection, and the answer may be lost
-// with it. Errors are ignored, since the connection ends in any case.
+// rejectMalformed responds to a malformed request and closes its connection, since the bytes that follow the request
+// can't be trusted. After the response it reads and discards part of the body: closing a socket with unread bytes
+// resets the connection, and the response may be lost. Errors are ignored, since the connection is closed regardless.
 func (h *handler) rejectMalformed(w http.ResponseWriter, r *http.Request, requestErr *RequestError) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(h.timeouts.MalformedLinger))
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,5 +1,5 @@
-// Package frontend is the application's side of the agent: it accepts connections, reads and checks requests, hands
-// them to the event loop and writes the responses.
+// Package frontend serves the application: it accepts connections, reads and validates requests, submits them to the
+// event loop, and writes the responses.
 package frontend
 
 import (
@@ -13,48 +13,49 @@
 	"ashshunt/internal/config"
 )
 
-// maxHeaderBytes bounds the head of a request; net/http allows a little more.
+// maxHeaderBytes bounds the head of a request; net/http allows slightly more.
 const maxHeaderBytes = 8 << 10
 
-// The timeouts in service, one for each field of Timeouts.
+// The default values of the fields of Timeouts.
 const (
-	// A first byte that comes just in time leaves minReadTime until ReadRequest, which counts from the connect, ends.
+	// ReadStall counts from the accept, so a first byte that arrives just in time leaves minReadTimeout for the rest.
 	defaultFirstByteTimeout     = defaultReadStallTimeout - minReadTimeout
 	defaultReadStallTimeout     = 2800 * time.Millisecond
 	defaultReadTotalTimeout     = 4500 * time.Millisecond
 	defaultReclaimIdleTimeout   = 2 * time.Second
 	defaultReclaimUnusedTimeout = 250 * time.Millisecond
-	// The connection stays a little longer than until it may be reclaimed; the reason of the size is not recorded.
+	// A connection may be reclaimed slightly before it times out as idle.
 	defaultIdleTimeout                  = defaultReclaimIdleTimeout + 100*time.Millisecond
 	defaultMalformedLingerTimeout       = 100 * time.Millisecond
 	defaultReadyWithoutEndpointsTimeout = 5 * time.Second
 )
 
-// Timeouts bound how long clients may take, and how long their connections are kept.
+// Timeouts bounds how long clients may take, and how long their connections are kept open.
 type Timeouts struct {
-	// FirstByte is how long a new connection may be silent.
+	// FirstByte is how long a new connection may stay open without sending a byte.
 	FirstByte time.Duration
-	// ReadStall is how long a client may pause within a request. Until the request's second read it counts from the
-	// first byte, or from the connect for the first request of a connection.
+	// ReadStall is how long a client may pause within a request. Until the second read of a request it counts from the
+	// first byte, or from the accept for the first request of a connection.
 	ReadStall time.Duration
-	// ReadTotal is how long a request may take in all if its client goes on sending.
+	// ReadTotal is how long a request may take as a whole while its client continues to send.
 	ReadTotal time.Duration
-	// Idle ends a connection that has had no request for so long. Clients hold half of the descriptors at most: those
-	// that stay after one request would keep the others out.
+	// Idle is how long a connection may stay open without a request. Clients may hold only half of the descriptors, so
+	// connections that stay open after one request would keep other clients out.
 	Idle time.Duration
-	// ReclaimIdle is how long a connection must have been without an open request before it may be closed to free
-	// its descriptor for another one.
+	// ReclaimIdle is how long a connection must have been without an open request before it may be closed to free its
+	// descriptor for another connection.
 	ReclaimIdle time.Duration
-	// ReclaimUnused is the same for a connection that has never had a request: clients connect to send one.
+	// ReclaimUnused replaces ReclaimIdle for a connection that has not had any request. It is shorter, since clients
+	// connect in order to send a request.
 	ReclaimUnused time.Duration
 	// MalformedLinger is how long the rest of a malformed request is read before its connection is closed.
 	MalformedLinger time.Duration
-	// ReadyWithoutEndpoints is how long an agent that knows no endpoint waits for discovery before it reports that it
-	// is ready all the same: while discovery is down, rejections are a better answer to the application than silence.
+	// ReadyWithoutEndpoints is how long an agent without endpoints waits for discovery before it reports readiness
+	// anyway. While discovery is down, the application is better served by rejections than by no response.
 	ReadyWithoutEndpoints time.Duration
 }
 
-// DefaultTimeouts returns the timeouts used in service.
+// DefaultTimeouts returns the timeouts for production use.
 func DefaultTimeouts() Timeouts {
 	return Timeouts{
 		FirstByte:             defaultFirstByteTimeout,
@@ -68,9 +69,9 @@
 	}
 }
 
-// Server accepts the application's connections and answers its requests.
+// Server accepts the application's connections and responds to its requests.
 type Server struct {
-	// Timeouts may be changed until Serve is called: no connection is accepted before.
+	// Timeouts may be changed until Serve is called.
 	Timeouts Timeouts
 
 	connections *connectionTable
@@ -79,7 +80,7 @@
 	http        *http.Server
 }
 
-// NewServer returns a server for the connections of a listener. It answers once Serve is called.
+// NewServer returns a server for the connections of a listener. It accepts connections once Serve is called.
 func NewServer(listener net.Listener, c *config.Config, agentClock clock.Clock, loop EventLoop,
 	log *slog.Logger) *Server {
 	s := &Server{Timeouts: DefaultTimeouts()}
@@ -96,39 +97,40 @@
 	return s
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve answers requests until StopAccepting or Close is called.
+// Serve serves requests until StopAccepting or Close is called.
 func (s *Server) Serve() error {
 	s.http.ReadHeaderTimeout = s.Timeouts.FirstByte
 	s.http.IdleTimeout = s.Timeouts.Idle
 	return s.http.Serve(s.listener)
 }
 
-// StartShutdown has each response close its connection from now on, and the health endpoint answer that the agent
-// is not ready.
+// StartShutdown makes each further response close its connection, and makes health checks report that the agent is not
+// ready.
 func (s *Server) StartShutdown() { s.handler.shuttingDown.Store(true) }
 
-// CloseUsedIdle closes the connections that have had a request and are without an open one, and from now on each as
-// its response is out. Those that have not had one yet stay: who connects now is about to send one.
+// CloseUsedIdle closes the idle connections that have had a request. From now on it also closes each connection once
+// its response is written. Connections without a request so far stay open, since their clients are likely to send one.
 func (s *Server) CloseUsedIdle() { s.connections.closeUsedIdle() }
 
-// CloseAllIdle closes all connections that are without an open request, and from now on each as its response is out.
+// CloseAllIdle closes all idle connections, and from now on each connection once its response is written.
 func (s *Server) CloseAllIdle() { s.connections.closeAllIdle() }
 
-// RejectIncomplete answers the requests that have begun and are not complete with 503, and closes their connections.
+// RejectIncomplete responds with 503 to the requests that are incomplete, and closes their connections.
 func (s *Server) RejectIncomplete() { s.connections.rejectIncomplete(http.StatusServiceUnavailable) }
 
-// StopAccepting closes the listener; open connections stay. An error is ignored: the system takes the descriptor back
-// in any case.
+// StopAccepting closes the listener; open connections stay open. An error is ignored, since the descriptor is released
+// regardless.
 func (s *Server) StopAccepting() { _ = s.listener.Close() }
 
-// WaitForAllClosed waits until no connection is open, or ctx ends.
+// WaitForAllClosed blocks until no connection is open or ctx is done.
 func (s *Server) WaitForAllClosed(ctx context.Context) { s.connections.waitForAllClosed(ctx) }
 
 // Close closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
 
-// ConnectionCounts returns how many connections are open, and how many of these are on the idle list. It is for tests alone.
+// ConnectionCounts returns the number of open connections, and how many of these are on the idle list. It is used only
+// in tests.
 func (s *Server) ConnectionCounts() (open, idle int) { return s.connections.counts() }
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -12,13 +12,13 @@
 	"ashshunt/internal/testutil"
 )
 
-// Two well-formed request ids.
+// Two valid request IDs.
 const (
 	id      = testutil.RequestID
 	otherID = "00000000000000a2"
 )
 
-// fakeEventLoop is an event loop whose answers come from the test.
+// fakeEventLoop is an event loop whose responses are determined by the test.
 type fakeEventLoop struct {
 	respond        func(*Request)
 	submittedCount atomic.Int32
@@ -50,13 +50,13 @@
 func (l *fakeEventLoop) Done() <-chan struct{}    { return l.done }
 func (l *fakeEventLoop) HasServingEndpoint() bool { return !l.noEndpoint.Load() }
 
-// echo answers with the body of the request.
+// echo responds with the body of the request after the prefix "did ".
 func echo(r *Request) {
 	r.Respond(Response{Status: http.StatusOK, Body: append([]byte("did "), r.Body...)})
 }
 
-// startServer runs a server with an event loop that has taken its first step until the test ends. prepare, if there is
-// one, may change it first.
+// startServer runs a server until the end of the test, with an event loop that has taken its first step. configure is
+// called before the server starts, unless it is nil.
 func startServer(t *testing.T, c *config.Config, respond func(*Request),
 	configure func(*Server)) (*Server, *fakeEventLoop) {
 	t.Helper()
@@ -65,7 +65,7 @@
 	return startServerWithLoop(t, c, loop, configure), loop
 }
 
-// startServerWithLoop is startServer with a given event loop.
+// startServerWithLoop is like startServer, but uses the given event loop.
 func startServerWithLoop(t *testing.T, c *config.Config, loop *fakeEventLoop, configure func(*Server)) *Server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -9,16 +9,16 @@
 	"ashshunt/internal/loadreport"
 )
 
-// decoder turns messages into events. It keeps the endpoint lists that were defined, since later messages refer to
-// them by number.
+// decoder decodes messages into events. It stores the endpoint lists that DefineList messages define, since later
+// messages refer to them by number.
 type decoder struct {
-	lists map[int][]balancer.Endpoint // by Sheet
+	lists map[int][]balancer.Endpoint // endpoint lists by Sheet
 }
 
 func newDecoder() decoder { return decoder{lists: map[int][]balancer.Endpoint{}} }
 
-// eventDecoders has a decoder for each kind of message that holds an event. Each checks that the fields of its kind are
-// there; the number of the instance is left to decoder.event.
+// eventDecoders maps each kind of message that holds an event to its decoder. A decoder validates the required fields
+// of its kind, except for Agent, which decodeEvent validates.
 var eventDecoders = map[string]func(*decoder, *message) (InstanceEvent, error){
 	KindOpenInstance: (*decoder).decodeOpenInstance,
 	kindRetire:       (*decoder).decodeRetire,
@@ -32,7 +32,7 @@
 	kindPeer:         (*decoder).decodeGossipMessage,
 }
 
-// decodeEvent returns the decodeEvent that m holds.
+// decodeEvent returns the event that m holds.
 func (d *decoder) decodeEvent(m *message) (InstanceEvent, error) {
 	decode, ok := eventDecoders[m.Kind]
 	if !ok {
@@ -49,7 +49,7 @@
 	return event, nil
 }
 
-// defineList keeps the endpoint list that m holds.
+// defineList stores the endpoint list that m defines.
 func (d *decoder) defineList(m *message) error {
 	if m.Sheet == nil || m.Items == nil {
 		return newMissingFieldError("Sheet", "Items")
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -12,12 +12,12 @@
 
 const ms = time.Millisecond
 
-// batchOf returns a batch of messages.
+// batchOf returns the text of a batch with the given messages.
 func batchOf(lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":1500.25}\n" + strings.Join(lines, "\n") + "\n{\"msg\":\"End\"}\n"
 }
 
-// Each kind of message becomes its event, and fields that the package does not know are ignored.
+// Each kind of message is decoded into its event, and unknown fields are ignored.
 func TestDecodeEvents(t *testing.T) {
 	const list = `{"msg":"DefineList","Sheet":3,"Items":[` +
 		`{"Backend":"10.0.0.1:80","Availability":"on","Rating":1.5,"Block":2,"LaunchedMs":900,"Sku":1,"Dc":1},` +
@@ -61,11 +61,11 @@
 	for _, tt := range tests {
 		b, err := NewReader(strings.NewReader(batchOf(tt.line))).Next()
 		if err != nil {
-			t.Errorf("%s: %v", tt.line, err)
+			t.Errorf("%s: got error %v", tt.line, err)
 			continue
 		}
 		if b.Now != 1500250*time.Microsecond || len(b.Events) != 1 || b.Events[0].Agent != 3 {
-			t.Errorf("%s: batch %+v", tt.line, b)
+			t.Errorf("%s: got batch %+v, want one event at 1500.25 ms for instance 3", tt.line, b)
 			continue
 		}
 		if got := b.Events[0].Event; !reflect.DeepEqual(got, tt.want) {
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -5,25 +5,25 @@
 	"strings"
 )
 
-// sentinelError is an error that has no details.
+// sentinelError is an error without details.
 type sentinelError string
 
 func (e sentinelError) Error() string { return string(e) }
 
-// Errors of a stream that can't be read further. They come wrapped in a *LineError.
+// The errors of a malformed stream. They are wrapped in a *LineError.
 const (
 	// ErrUnfinishedBatch reports that the input ends before the end of a batch.
-	ErrUnfinishedBatch = sentinelError("the input ends within a batch")
-	// ErrNestedBatch reports that a batch starts before the one before it has ended.
-	ErrNestedBatch = sentinelError(kindFrame + " within a batch")
-	// ErrUnknownMessage reports a message of a kind that this package does not know.
-	ErrUnknownMessage = sentinelError("unknown message")
+	ErrUnfinishedBatch = sentinelError("input ended inside a batch")
+	// ErrNestedBatch reports that a batch starts before the previous one has ended.
+	ErrNestedBatch = sentinelError(kindFrame + " inside a batch, want End first")
+	// ErrUnknownMessage reports a message of an unknown kind.
+	ErrUnknownMessage = sentinelError("unknown message kind")
 )
 
-// LineError says where in the stream an error was found.
+// LineError reports the position of an error in the stream.
 type LineError struct {
-	Line    int    // from 1
-	Message string // the kind of the message, such as "Submit"; "" where the error is not about its content
+	Line    int    // line number, from 1
+	Message string // kind of the message, such as "Submit"; empty if the error is not about its content
 	Err     error
 }
 
@@ -34,26 +34,29 @@
 	return fmt.Sprintf("line %d: %s: %v", e.Line, e.Message, e.Err)
 }
 
-// Unwrap returns the error that was found.
+// Unwrap returns the error without its position.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// OutsideBatchError reports a message that came before the start of a batch.
+// OutsideBatchError reports a message before the start of a batch.
 type OutsideBatchError struct{ Message string }
 
-func (e *OutsideBatchError) Error() string { return fmt.Sprintf("%q outside a batch", e.Message) }
+func (e *OutsideBatchError) Error() string {
+	return fmt.Sprintf("got message %q outside a batch, want Frame", e.Message)
+}
 
-// MissingFieldError reports that a message lacks at least one of the fields that it must carry.
+// MissingFieldError reports a message in which at least one of the required fields is absent.
 type MissingFieldError struct{ Fields []string }
 
 func (e *MissingFieldError) Error() string {
 	last := len(e.Fields) - 1
 	if last < 1 {
-		return "missing " + strings.Join(e.Fields, "")
+		return "missing field " + strings.Join(e.Fields, "")
 	}
-	return "missing " + strings.Join(e.Fields[:last], ", ") + " or " + e.Fields[last]
+	return "missing field " + strings.Join(e.Fields[:last], ", ") + " or " + e.Fields[last]
 }
 
-// newMissingFieldError returns a *MissingFieldError for the fields of which at least one is absent.
+// newMissingFieldError returns a *MissingFieldError for the required fields of a message, of which at least one is
+// absent.
 func newMissingFieldError(fields ...string) error { return &MissingFieldError{Fields: fields} }
 
 // FieldError reports a field whose value can't be decoded.
@@ -64,18 +67,20 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the underlying error.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// UnknownWordError reports a field of a message whose value is none of the words that it may hold. For words of the
-// settings object see the error of the same name in internal/config.
+// UnknownWordError reports a field of a message whose value is not one of the words that it may hold. The error of the
+// same name in internal/config is for the settings object.
 type UnknownWordError struct{ Field, Word string }
 
-func (e *UnknownWordError) Error() string { return fmt.Sprintf("unknown %s %q", e.Field, e.Word) }
+func (e *UnknownWordError) Error() string {
+	return fmt.Sprintf("%s: unknown value %q", e.Field, e.Word)
+}
 
 // UndefinedListError reports a reference to an endpoint list that no message has defined.
 type UndefinedListError struct{ Sheet int }
 
 func (e *UndefinedListError) Error() string {
-	return fmt.Sprintf("Sheet %d was never defined", e.Sheet)
+	return fmt.Sprintf("Sheet: endpoint list %d is not defined", e.Sheet)
 }
--- a/internal/simwire/line.go
+++ b/internal/simwire/line.go
@@ -14,10 +14,10 @@
 	float64Bits = 64
 )
 
-// lineEncoder puts one JSON object together. Its buffer is used again, since replies have many lines.
+// lineEncoder encodes one JSON object at a time. It reuses its buffer, since replies have many lines.
 type lineEncoder struct{ buffer []byte }
 
-// encode replaces what the encoder holds by the message for an action.
+// encode starts a new line with the message for an action. The caller ends it with finish.
 func (e *lineEncoder) encode(agent int, action balancer.Action) error {
 	switch a := action.(type) {
 	case balancer.Send:
@@ -52,13 +52,13 @@
 	return nil
 }
 
-// startMessage starts a message of an instance. The methods below add fields to it.
+// startMessage starts a message of an instance. The methods below append fields to it.
 func (e *lineEncoder) startMessage(kind string, agent int) *lineEncoder {
 	e.startObject(kind)
 	return e.integer("Agent", int64(agent))
 }
 
-// startReplyEnd starts the message that ends a reply, which has no further field.
+// startReplyEnd starts the message that ends a reply. It has no further fields.
 func (e *lineEncoder) startReplyEnd() { e.startObject(kindEndOfReply) }
 
 func (e *lineEncoder) startObject(kind string) {
@@ -67,7 +67,7 @@
 	e.buffer = append(e.buffer, '"')
 }
 
-// finish returns the whole line, which is valid until the next begin.
+// finish returns the complete line, which is valid until the next message is started.
 func (e *lineEncoder) finish() []byte {
 	e.buffer = append(e.buffer, "}\n"...)
 	return e.buffer
@@ -92,21 +92,21 @@
 	return e
 }
 
-// optionalMilliseconds adds a time, which is left out where there is none.
+// optionalMilliseconds appends a duration, or nothing if it is not positive.
 func (e *lineEncoder) optionalMilliseconds(name string, value time.Duration) {
 	if value > 0 {
 		e.milliseconds(name, value)
 	}
 }
 
-// literal adds a value that is JSON already.
+// literal appends a value that is already JSON.
 func (e *lineEncoder) literal(name, value string) *lineEncoder {
 	e.fieldName(name)
 	e.buffer = append(e.buffer, value...)
 	return e
 }
 
-// recipient adds the number of the instance that a gossip message is for, or null for all of them.
+// recipient appends the number of the instance that receives a gossip message, or null if all instances do.
 func (e *lineEncoder) recipient(name string, gossip balancer.Gossip) *lineEncoder {
 	if !gossip.One {
 		return e.literal(name, "null")
@@ -116,7 +116,7 @@
 
 func (e *lineEncoder) text(name, value string) *lineEncoder {
 	if !needsNoEscaping(value) {
-		quoted, _ := json.Marshal(value) // a string always marshals
+		quoted, _ := json.Marshal(value) // encoding a string never fails
 		return e.literal(name, string(quoted))
 	}
 	e.fieldName(name)
@@ -126,7 +126,7 @@
 	return e
 }
 
-// needsNoEscaping reports whether a string needs nothing but quotes around it.
+// needsNoEscaping reports whether a string is valid JSON once it is quoted.
 func needsNoEscaping(value string) bool {
 	for i := range len(value) {
 		if c := value[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -6,12 +6,12 @@
 	"ashshunt/balancer"
 )
 
-// The kinds of message that the simulator sends. Those from OpenInstance on hold one event each. KindOpenInstance is
-// exported for the errors of whoever opens instances.
+// The kinds of messages that the simulator sends. Those from OpenInstance on hold one event each. KindOpenInstance is
+// exported for errors about the start of an instance.
 const (
 	kindFrame        = "Frame"        // starts a batch
 	kindEnd          = "End"          // ends a batch
-	kindDefineList   = "DefineList"   // defines an endpoint list, to which later messages refer
+	kindDefineList   = "DefineList"   // defines an endpoint list for use by later messages
 	KindOpenInstance = "OpenInstance" // starts an instance
 	kindRetire       = "Retire"       // kills an instance
 	kindView         = "View"         // balancer.EndpointList
@@ -24,7 +24,7 @@
 	kindPeer         = "Peer"         // balancer.GossipMessage
 )
 
-// The kinds of message in a reply.
+// The kinds of messages in a reply.
 const (
 	kindTry          = "Try"          // balancer.Send
 	kindCancel       = "Cancel"       // balancer.Cancel
@@ -37,12 +37,12 @@
 	kindListAll      = "ListAll"      // balancer.PollEndpoints
 	kindCloseIdle    = "CloseIdle"    // balancer.CloseIdle
 	kindTrace        = "Trace"        // balancer.LogMessage
-	kindBroken       = "Broken"       // the decision code of an instance has failed
+	kindBroken       = "Broken"       // an instance has failed with an internal error
 	kindEndOfReply   = "Eor"          // ends a reply
 )
 
-// message holds the fields of every message from the simulator, named as on the wire. Pointers mark those that some
-// message must carry. Errors of encoding/json name the type.
+// message holds the fields of all kinds of messages from the simulator, with their names on the wire. A field is a
+// pointer if some kind of message requires it. Errors of encoding/json contain the name of this type.
 type message struct {
 	Kind       string `json:"msg"`
 	ClockMs    *float64
@@ -51,45 +51,45 @@
 	Facts      json.RawMessage // the settings object
 	Sheet      *int            // number of an endpoint list
 	Items      *[]listItem
-	How        *string  // kind of an endpoint list
-	Job        *string  // ID of a request
-	TierClass  *int     // class of a request
-	Project    int      // tenant of a request
-	Item       string   // key of a request
-	GraceMs    *float64 // until the client stops waiting
-	WorkHintMs float64  // expected service time
-	StateBits  int
-	Outcome    *string
+	How        *string            // kind of the endpoint list
+	Job        *string            // request ID
+	TierClass  *int               // class of the request
+	Project    int                // tenant of the request
+	Item       string             // key of the request
+	GraceMs    *float64           // timeout of the client
+	WorkHintMs float64            // expected service time
+	StateBits  int                // flags of the request; see bitWorkHint and the following
+	Outcome    *string            // result of an attempt or a health check
 	WaitTimeMs *float64           // latency
-	Backend    *string            // ID of an endpoint
-	SendNo     *int               // number of an attempt
+	Backend    *string            // endpoint ID
+	SendNo     *int               // index of the attempt
 	Ended      bool               // the request has its final answer
 	Usage      map[string]float64 // load report
-	Cookie     *int64             // token of a timer
-	From       *int               // number of the instance that sent a gossip message
+	Cookie     *int64             // timer token
+	From       *int               // number of the instance that sent the gossip message
 	Text       *string            `json:"Msg"` // gossip message, in hexadecimal
 }
 
-// listItem is one endpoint of a list, named as on the wire.
+// listItem is one endpoint of a list, with its names on the wire.
 type listItem struct {
 	Backend      string  // ID
 	Availability string  // state
 	Rating       float64 // weight
 	Block        int     // cell
-	LaunchedMs   float64 // start of its process
+	LaunchedMs   float64 // start time of its process
 	Sku          int     // machine kind
 	Dc           int     // zone
 }
 
-// The bits of StateBits.
+// The bits of message.StateBits.
 const (
-	bitWorkHint    = 1 // WorkHintMs holds a value
-	bitClientRetry = 2
-	bitWrite       = 4
+	bitWorkHint    = 1 // WorkHintMs is set
+	bitClientRetry = 2 // the request is a client's retry
+	bitWrite       = 4 // the request is a write
 )
 
-// enumField gives the meanings of the words that one field of a message may hold. internal/config looks up those of
-// the settings object, whose errors say more.
+// enumField maps the words that a field of a message may hold to their values. internal/config does this for the
+// settings object, with errors that contain the path of a setting.
 type enumField[T any] struct {
 	name   string
 	values map[string]T
@@ -119,7 +119,7 @@
 	"off":    balancer.Removed,
 }}
 
-// parse returns an *UnknownWordError for a word that the field may not hold.
+// parse returns the value that a word stands for, or an *UnknownWordError.
 func (v *enumField[T]) parse(word string) (T, error) {
 	value, ok := v.values[word]
 	if !ok {
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -10,23 +10,23 @@
 	"ashshunt/internal/clock"
 )
 
-// bufferSize is the size of the buffers for input and output; lines may be longer.
+// bufferSize is the size of the input and output buffers; lines may be longer.
 const bufferSize = 1 << 16
 
-// Reader reads batches.
+// Reader reads batches of events.
 type Reader struct {
 	in         *bufio.Reader
-	lineNumber int // of the line that was read last
+	lineNumber int // number of the last line that was read
 	decoder    decoder
 }
 
-// NewReader returns a Reader on r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, bufferSize), decoder: newDecoder()}
 }
 
-// Next reads one batch. It returns io.EOF where the input ends between batches, and a *LineError where the input is
-// malformed.
+// Next reads the next batch. It returns io.EOF if the input ends between batches, and a *LineError if the input is
+// malformed or can't be read.
 func (r *Reader) Next() (*Batch, error) {
 	batch, err := r.readBatchStart()
 	if err != nil {
@@ -64,7 +64,7 @@
 	return &Batch{Now: clock.Milliseconds(*m.ClockMs)}, nil
 }
 
-// addMessage appends the event that m holds, or keeps the endpoint list that it defines.
+// addMessage appends the event that m holds to the batch, or stores the endpoint list that m defines.
 func (r *Reader) addMessage(batch *Batch, m *message) error {
 	switch m.Kind {
 	case kindFrame:
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// readMessage reads the next line that is not blank. It returns io.EOF at the end of the input.
+// readMessage reads and decodes the next line that is not blank. It returns io.EOF at the end of the input.
 func (r *Reader) readMessage() (*message, error) {
 	for {
 		text, err := r.in.ReadBytes('\n')
@@ -106,7 +106,7 @@
 	}
 }
 
-// lineError returns an error in the line that was read last; message is the kind of its message, or "".
+// lineError returns an error for the last line that was read. message is the kind of its message, or empty.
 func (r *Reader) lineError(message string, err error) error {
 	return &LineError{Line: r.lineNumber, Message: message, Err: err}
 }
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -9,45 +9,47 @@
 	"testing"
 )
 
-// openInstance returns the message that starts instance 1 with a settings object, which may have several lines.
+// openInstance returns the message that starts instance 1. It joins the lines of the settings object.
 func openInstance(seed int, settings string) string {
 	return fmt.Sprintf(`{"msg":"OpenInstance","Agent":1,"RandomSeed":%d,"Facts":%s}`, seed,
 		strings.ReplaceAll(settings, "\n", ""))
 }
 
-// An error says in its text where it was found and what is wrong.
+// The text of an error contains the line number, the kind of the message, and the cause.
 func TestErrorTexts(t *testing.T) {
 	tests := []struct{ name, in, want string }{
 		{"not JSON", batchOf("{oops"), "line 2: "},
-		{"unknown message", batchOf(`{"msg":"Nope","Agent":1}`), "line 2: Nope: unknown message"},
-		{"missing field", batchOf(`{"msg":"Submit","Agent":1,"Job":"x"}`), "line 2: Submit: missing"},
-		{"missing instance", batchOf(`{"msg":"Expired","Job":"x"}`), "line 2: Expired: missing Agent"},
+		{"unknown message", batchOf(`{"msg":"Nope","Agent":1}`), "line 2: Nope: unknown message kind"},
+		{"missing field", batchOf(`{"msg":"Submit","Agent":1,"Job":"x"}`),
+			"line 2: Submit: missing field Job, TierClass or GraceMs"},
+		{"missing instance", batchOf(`{"msg":"Expired","Job":"x"}`), "line 2: Expired: missing field Agent"},
 		{"ill-typed field", batchOf(`{"msg":"Expired","Agent":"one","Job":"x"}`), "line 2: "},
 		{"list never defined", batchOf(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`),
-			"line 2: View: Sheet 5 was never defined"},
+			"line 2: View: Sheet: endpoint list 5 is not defined"},
 		{"unknown outcome", batchOf(`{"msg":"Ended","Agent":1,"Job":"x","Outcome":"huh","WaitTimeMs":1,` +
-			`"Backend":"b","SendNo":0}`), `unknown Outcome "huh"`},
-		{"unknown kind of class", batchOf(openInstance(1, `{"Profiles":[{"Semantics":"maybe"}]}`)),
-			`Profiles[0].Semantics: unknown kind "maybe"`},
-		{"unknown weights", batchOf(openInstance(1, `{"Weights":"x"}`)), `Weights: unknown meaning "x"`},
+			`"Backend":"b","SendNo":0}`), `line 2: Ended: Outcome: unknown value "huh"`},
+		{"unknown idempotency", batchOf(openInstance(1, `{"Profiles":[{"Semantics":"maybe"}]}`)),
+			`Profiles[0].Semantics: unknown idempotency "maybe"`},
+		{"unknown weights", batchOf(openInstance(1, `{"Weights":"x"}`)), `Weights: unknown weight type "x"`},
 		{"unknown report source", batchOf(openInstance(1, `{"Report":{"Source":"x"}}`)),
-			`Report.Source: unknown source "x"`},
+			`Report.Source: unknown load report source "x"`},
 		{"ill-typed setting", batchOf(openInstance(1, `{"Goal":{"Whole":"much"}}`)), "Goal.Whole"},
-		{"ends within a batch", "{\"msg\":\"Frame\",\"ClockMs\":1}\n", "line 1: the input ends within a batch"},
-		{"frame without clock", "{\"msg\":\"Frame\"}\n", "line 1: Frame: missing ClockMs"},
-		{"event outside a batch", "{\"msg\":\"Expired\",\"Agent\":1,\"Job\":\"x\"}\n", "outside a batch"},
+		{"ends within a batch", "{\"msg\":\"Frame\",\"ClockMs\":1}\n", "line 1: input ended inside a batch"},
+		{"frame without clock", "{\"msg\":\"Frame\"}\n", "line 1: Frame: missing field ClockMs"},
+		{"event outside a batch", "{\"msg\":\"Expired\",\"Agent\":1,\"Job\":\"x\"}\n",
+			`line 1: got message "Expired" outside a batch, want Frame`},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := NewReader(strings.NewReader(tt.in)).Next()
 			if err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v, want one with %q", err, tt.want)
+				t.Errorf("got error %v, want one that contains %q", err, tt.want)
 			}
 		})
 	}
 }
 
-// A caller can tell what is wrong, and where, without reading the text.
+// A caller can determine the cause and the position of an error from its type and fields, without parsing the text.
 func TestErrorTypes(t *testing.T) {
 	tests := []struct {
 		name, in string
@@ -71,7 +73,8 @@
 			_, err := NewReader(strings.NewReader(tt.in)).Next()
 			var at *LineError
 			if !errors.As(err, &at) || at.Line != tt.line || at.Message != tt.message || !tt.is(err) {
-				t.Errorf("error %#v (%v), want line %d, message %q", err, err, tt.line, tt.message)
+				t.Errorf("got error %#v (%v), want another type, or line %d and message %q",
+					err, err, tt.line, tt.message)
 			}
 		})
 	}
@@ -91,9 +94,9 @@
 		fields []string
 		want   string
 	}{
-		{[]string{"Agent"}, "missing Agent"},
-		{[]string{"From", "Msg"}, "missing From or Msg"},
-		{[]string{"Job", "TierClass", "GraceMs"}, "missing Job, TierClass or GraceMs"},
+		{[]string{"Agent"}, "missing field Agent"},
+		{[]string{"From", "Msg"}, "missing field From or Msg"},
+		{[]string{"Job", "TierClass", "GraceMs"}, "missing field Job, TierClass or GraceMs"},
 	} {
 		if got := newMissingFieldError(tt.fields...).Error(); got != tt.want {
 			t.Errorf("got %q, want %q", got, tt.want)
@@ -101,7 +104,7 @@
 	}
 }
 
-// Lines and batches of several megabytes are read whole.
+// Lines and batches of several megabytes, far beyond the size of the buffer, are read completely.
 func TestLongBatch(t *testing.T) {
 	var in strings.Builder
 	for i := range 50000 {
@@ -110,11 +113,11 @@
 	pad := `{"msg":"Expired","Agent":1,"Job":"x","Later":"` + strings.Repeat("y", 3<<20) + `"}`
 	b, err := NewReader(strings.NewReader(batchOf(in.String() + pad))).Next()
 	if err != nil || len(b.Events) != 50001 {
-		t.Fatalf("%v: read %d events", err, len(b.Events))
+		t.Fatalf("got error %v and %d events, want 50001 events", err, len(b.Events))
 	}
 }
 
-// Whatever comes in, a batch or a plain error comes out.
+// Any input results in a batch or an error, and never in a panic.
 func FuzzNext(f *testing.F) {
 	f.Add(batchOf(`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":240.5,"Project":-1,"Item":""}`))
 	f.Add(batchOf(`{"msg":"DefineList","Sheet":3,"Items":[{"Backend":"a","Availability":"on"}]}`,
@@ -131,7 +134,7 @@
 				return
 			}
 			if b == nil {
-				t.Fatal("neither a batch nor an error")
+				t.Fatal("got neither a batch nor an error")
 			}
 		}
 	})
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -8,20 +8,20 @@
 	"ashshunt/balancer"
 )
 
-// Writer writes replies. Each consists of the messages of Actions and Broken, and is closed by End.
+// Writer writes replies. A reply is written by calls of WriteActions and WriteBroken, and ended by FinishReply.
 type Writer struct {
 	out     *bufio.Writer
-	encoder lineEncoder // of the message that is being written
+	encoder lineEncoder // encodes the current message
 }
 
-// NewWriter returns a Writer on w.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, bufferSize)} }
 
-// UnknownActionError reports an action that has no form on the wire.
+// UnknownActionError reports an action of a type that has no encoding.
 type UnknownActionError struct{ Action balancer.Action }
 
 func (e *UnknownActionError) Error() string {
-	return fmt.Sprintf("no wire form for action %T", e.Action)
+	return fmt.Sprintf("encode action: unknown type %T", e.Action)
 }
 
 // WriteActions writes the actions of one instance.
@@ -37,13 +37,13 @@
 	return nil
 }
 
-// WriteBroken reports that the decision code of an instance has failed.
+// WriteBroken reports that an instance has failed with an internal error.
 func (w *Writer) WriteBroken(agent int, text string) error {
 	w.encoder.startMessage(kindBroken, agent).text("Msg", text)
 	return w.writeLine()
 }
 
-// FinishReply closes a reply and flushes it.
+// FinishReply ends a reply and flushes it.
 func (w *Writer) FinishReply() error {
 	w.encoder.startReplyEnd()
 	if err := w.writeLine(); err != nil {
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// initialRetryDelay is the wait before a read or a write is repeated; it doubles with each repeat.
+	// initialRetryDelay is the delay before the first retry of a read or a write. It doubles with each further retry.
 	initialRetryDelay = time.Millisecond
-	// maxRetries is how many calls in a row a read or an examination makes at most, and how often a write without
-	// progress is repeated after its first call. The waits take about a quarter of a second in all.
+	// maxRetries bounds the consecutive calls of a read or of a system call that examines a socket, and the retries of
+	// a write that makes no progress. The delays of 1 ms to 128 ms add up to about a quarter of a second.
 	maxRetries = 8
 )
 
-// Conn is a TCP connection whose reads and writes are repeated if they fail transiently (see isTransient): the
-// connection itself is healthy then, and to close it would lose the request on it.
+// Conn is a TCP connection that retries reads and writes after transient failures (see isTransient). The connection is
+// still healthy after such a failure, and closing it would lose the request on it.
 type Conn struct{ net.Conn }
 
-// NewConn wraps a connection.
+// NewConn wraps conn.
 func NewConn(conn net.Conn) Conn { return Conn{conn} }
 
 // Read implements net.Conn.
@@ -35,7 +35,7 @@
 	return n, err
 }
 
-// Write implements net.Conn. It continues after a write that was cut short, unless that has failed for good.
+// Write implements net.Conn. It continues after a partial write, unless that write failed permanently.
 func (c Conn) Write(p []byte) (int, error) {
 	written := 0
 	for written < len(p) {
@@ -44,7 +44,7 @@
 		switch {
 		case written == len(p):
 			return written, nil
-		case n > 0 && (err == nil || isTransient(err)): // the rest follows
+		case n > 0 && (err == nil || isTransient(err)): // write the rest
 		case err == nil:
 			return written, io.ErrShortWrite
 		default:
@@ -54,7 +54,7 @@
 	return written, nil
 }
 
-// writeSome writes until at least one byte is written, and repeats writes that fail transiently without that.
+// writeSome writes at least one byte. It retries writes that fail transiently without progress.
 func (c Conn) writeSome(p []byte) (n int, err error) {
 	delay := initialRetryDelay
 	for retries := 0; ; retries++ {
@@ -70,8 +70,8 @@
 // SyscallConn implements syscall.Conn.
 func (c Conn) SyscallConn() (syscall.RawConn, error) { return rawConn(c.Conn) }
 
-// CloseWrite closes the sending side of a connection; the other side sees the end after all that was written. A
-// connection that can't do so, or has ended, stays as it is.
+// CloseWrite closes the sending side of a connection; the peer reads EOF after all bytes written before. It has no
+// effect on a connection that does not support this or is already closed.
 func CloseWrite(conn net.Conn) {
 	if wrapper, ok := conn.(Conn); ok {
 		conn = wrapper.Conn
--- a/internal/socket/dialer.go
+++ b/internal/socket/dialer.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// ErrLocalFailure marks a dial that failed by a cause that may lie with this machine, which proves nothing about the
-// other side.
-var ErrLocalFailure = errors.New("local failure")
+// ErrLocalFailure marks a failed dial whose cause may lie with this machine. Such a failure says nothing about the
+// peer.
+var ErrLocalFailure = errors.New("dial failed, possibly due to a local cause")
 
 const (
-	// initialRedialDelay is the wait before the first repeat of a dial. Each wait is redialFactor times the last, up to
-	// maxRedialDelay.
+	// initialRedialDelay is the delay before the first retry of a dial. Each further delay is redialBackoffFactor times
+	// the previous one, up to maxRedialDelay.
 	initialRedialDelay  = time.Millisecond
 	redialBackoffFactor = 2
 	maxRedialDelay      = 16 * time.Millisecond
-	// redialTimeoutFraction is the share of a dial's timeout within which it is repeated. The rest is left to its caller, who
-	// may have another address.
+	// redialTimeoutFraction is the fraction of a dial's timeout during which it is retried. The rest is left to the
+	// caller, who may have another address.
 	redialTimeoutFraction = 0.5
 )
 
-// Dialer opens TCP connections. A dial that fails by a cause that may lie with this machine, such as a lack of buffers
-// or ports, is repeated for a share of its timeout, since such causes often pass at once.
+// Dialer opens TCP connections. It retries a dial whose failure may lie with this machine, such as a lack of buffers or
+// ports, for a fraction of the dial's timeout, since such failures are often transient.
 type Dialer struct {
 	net.Dialer
 }
 
-// DialContext connects to an address within the dialer's timeout and deadline. Its error is ErrLocalFailure if the
-// cause persisted and may lie with this machine.
+// DialContext connects to an address within the dialer's timeout and deadline. The error wraps ErrLocalFailure if the
+// cause may lie with this machine and retries did not help.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := d.Dialer
 	start := time.Now()
@@ -38,7 +38,7 @@
 	if d.Timeout > 0 {
 		redialUntil = start.Add(time.Duration(redialTimeoutFraction * float64(d.Timeout)))
 		if end := start.Add(d.Timeout); dialer.Deadline.IsZero() || end.Before(dialer.Deadline) {
-			dialer.Deadline = end // of all dials together
+			dialer.Deadline = end // for all dials together
 		}
 		dialer.Timeout = 0
 	}
@@ -56,7 +56,7 @@
 	}
 }
 
-// sleep waits and reports whether ctx has not ended meanwhile.
+// sleep blocks for the given time and reports whether it did so before ctx was done.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/socket/errors.go
+++ b/internal/socket/errors.go
@@ -7,15 +7,15 @@
 	"syscall"
 )
 
-// IsTimeout reports whether an error says that a deadline of this process has passed. net.Error's Timeout is true of
-// ETIMEDOUT as well, by which the system reports a broken connection.
+// IsTimeout reports whether err means that a deadline of this process has expired. Unlike the Timeout method of
+// net.Error it is false for ETIMEDOUT, by which the system reports a broken connection.
 func IsTimeout(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// isLocalFailure reports whether an error of a dial may have its cause on this machine or its network. Of the system's
-// errors only a refusal and a reset certainly come from the other side; ETIMEDOUT does not. A dial that ran into a
-// deadline of this process carries no error of the system: it shows that the other side is silent.
+// isLocalFailure reports whether the cause of a failed dial may lie with this machine or its network. Among the errors
+// of the system, only ECONNREFUSED and ECONNRESET certainly come from the peer; ETIMEDOUT does not. A dial that exceeds
+// a deadline of this process has no system error; it means that the peer did not respond, and is no local failure.
 func isLocalFailure(err error) bool {
 	var cause syscall.Errno
 	if !errors.As(err, &cause) {
@@ -24,8 +24,8 @@
 	return cause != syscall.ECONNREFUSED && cause != syscall.ECONNRESET
 }
 
-// isTransient reports whether a call on a connection failed by an interruption, or by a lack of resources that may pass
-// by itself. The connection is as good as before.
+// isTransient reports whether a system call on a connection was interrupted, or failed for a lack of resources that may
+// be temporary. The connection itself is unaffected.
 func isTransient(err error) bool {
 	return errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
--- a/internal/socket/export_test.go
+++ b/internal/socket/export_test.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// FailSyscalls has each system call that examines a socket fail count times by a cause. The end of the test undoes it.
+// FailSyscalls makes the next count calls of each system call that examines a socket fail with cause. The system calls
+// are restored at the end of the test.
 func FailSyscalls(t *testing.T, count int, cause error) {
 	t.Helper()
 	recvfromLeft, pollLeft, ioctlLeft := count, count, count
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket has what the agent needs of TCP sockets beyond net: dials and connections that withstand transient
-// failures, and ways to examine the receive side of a socket without reading from it.
+// Package socket extends net for the TCP sockets of the agent: dials and connections that retry transient failures, and
+// functions that examine the receive side of a socket without reading from it.
 package socket
 
 import (
@@ -18,21 +18,22 @@
 	ioctlGetInt = unix.IoctlGetInt
 )
 
-// maxUnreadBytes is how many bytes a peer may send behind an open request before it counts as flooding.
+// maxUnreadBytes is the number of bytes that a peer may send after an open request before it is considered to be
+// flooding.
 const maxUnreadBytes = 16 << 10
 
-// ReceiveState is what the receive side of a socket holds.
+// ReceiveState is the state of a socket's receive side.
 type ReceiveState uint8
 
-// The states of a receive side.
+// The states of the receive side.
 const (
-	Closed   ReceiveState = iota // nothing will come: either side has closed it, or it failed, or it is no socket
-	Empty                        // open, with nothing to read
-	Readable                     // bytes wait to be read; the other side may have closed it behind them
-	Unknown                      // the system call fails transiently, however often it is repeated
+	Closed   ReceiveState = iota // no more bytes will arrive: closed by either side, failed, or not a socket
+	Empty                        // open, with no bytes to read
+	Readable                     // has bytes to read; the peer may have closed its sending side after them
+	Unknown                      // the system call failed transiently on each retry
 )
 
-// Peek examines a socket without waiting.
+// Peek returns the state of a socket's receive side, without blocking and without reading bytes.
 func Peek(conn net.Conn) ReceiveState {
 	raw, err := rawConn(conn)
 	if err != nil {
@@ -45,13 +46,14 @@
 	return state
 }
 
-// HasUnread reports whether bytes wait to be read, or may wait: a request must not be overlooked.
+// HasUnread reports whether a connection has bytes to read. It also reports true if that is unknown, so that no request
+// is overlooked.
 func HasUnread(conn net.Conn) bool {
 	state := Peek(conn)
 	return state == Readable || state == Unknown
 }
 
-// WaitForReadable waits until a socket may have bytes to be read, or has ended.
+// WaitForReadable blocks until a socket has bytes to read, or is closed, or can't be examined.
 func WaitForReadable(conn net.Conn) error {
 	raw, err := rawConn(conn)
 	if err != nil {
@@ -60,16 +62,16 @@
 	return raw.Read(func(fd uintptr) bool { return peek(fd) != Empty })
 }
 
-// PeerState is what a socket shows of the other side while that waits for a response.
+// PeerState describes a peer that waits for a response.
 type PeerState struct {
-	Closed  bool // it has closed the connection or at least its sending side, or the connection has failed
-	Flooded bool // it has sent more than maxUnread behind its request
+	Closed  bool // the peer has closed its sending side or the whole connection, or the connection has failed
+	Flooded bool // the peer has sent more than maxUnreadBytes after its request
 }
 
-// IsGone reports whether the other side gets no answer any more.
+// IsGone reports whether no response can be delivered to the peer, or none will be because it floods the connection.
 func (s PeerState) IsGone() bool { return s.Closed || s.Flooded }
 
-// Peer examines the other side of a socket. It sees a close behind unread bytes too.
+// Peer returns the state of the peer. It also detects a close that follows unread bytes.
 func Peer(conn net.Conn) PeerState {
 	raw, err := rawConn(conn)
 	if err != nil {
@@ -79,22 +81,22 @@
 	err = raw.Control(func(fd uintptr) {
 		state = PeerState{Closed: isHungUp(fd), Flooded: unreadBytes(fd) > maxUnreadBytes}
 	})
-	if err != nil { // closed by this side: no answer can be sent on it
+	if err != nil { // closed by this side: no response can be sent
 		state.Closed = true
 	}
 	return state
 }
 
-// rawConn returns the raw connection of a socket, or ErrUnsupported if conn is none.
+// rawConn returns the raw connection of a socket. The error wraps errors.ErrUnsupported if conn is not a socket.
 func rawConn(conn net.Conn) (syscall.RawConn, error) {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, fmt.Errorf("raw connection of a %T: %w", conn, errors.ErrUnsupported)
+		return nil, fmt.Errorf("get raw connection of %T: %w", conn, errors.ErrUnsupported)
 	}
 	return syscallConn.SyscallConn()
 }
 
-// peek examines the receive side of a socket.
+// peek implements Peek for a file descriptor.
 func peek(fd uintptr) ReceiveState {
 	var buffer [1]byte
 	n, err := retryTransient(func() (int, error) {
@@ -112,14 +114,14 @@
 	return Closed
 }
 
-// isHungUp reports whether the other side has closed its sending side or the connection has failed.
+// isHungUp reports whether the peer has closed its sending side or the connection has failed.
 func isHungUp(fd uintptr) bool {
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := retryTransient(func() (int, error) { return poll(polled, 0) })
 	return err == nil && n > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// unreadBytes is the number of bytes that wait to be read; 0 if the system call fails.
+// unreadBytes returns the number of bytes that can be read from a socket; 0 if the system call fails.
 func unreadBytes(fd uintptr) int {
 	n, err := retryTransient(func() (int, error) { return ioctlGetInt(int(fd), unix.TIOCINQ) })
 	if err != nil {
@@ -128,7 +130,8 @@
 	return n
 }
 
-// retryTransient makes a system call that does not wait, and repeats it at once while it fails transiently.
+// retryTransient makes a non-blocking system call. It retries the call immediately after a transient failure, up to
+// maxRetries calls.
 func retryTransient(call func() (int, error)) (n int, err error) {
 	for range maxRetries {
 		if n, err = call(); !isTransient(err) {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -10,7 +10,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// connect returns both ends of a TCP connection.
+// connect returns both ends of a new TCP connection.
 func connect(t *testing.T) (local net.Conn, peer *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,7 +29,7 @@
 	t.Cleanup(func() { _, _ = dialled.Close(), local.Close() })
 	peer, ok := dialled.(*net.TCPConn)
 	if !ok {
-		t.Fatalf("dialled a %T", dialled)
+		t.Fatalf("got dialed connection of type %T, want *net.TCPConn", dialled)
 	}
 	return local, peer
 }
@@ -51,18 +51,18 @@
 func TestPeek(t *testing.T) {
 	local, peer := connect(t)
 	if state := socket.Peek(local); state != socket.Empty || socket.HasUnread(local) {
-		t.Errorf("before any byte: state %d, want Quiet", state)
+		t.Errorf("before any byte: got state %d, want Empty", state)
 	}
 	send(t, peer, "x")
-	testutil.Eventually(t, "the byte", func() bool { return socket.Peek(local) == socket.Readable })
+	testutil.Eventually(t, "an unread byte", func() bool { return socket.Peek(local) == socket.Readable })
 	if !socket.HasUnread(local) {
-		t.Error("a byte that was not read is not reported")
+		t.Error("with an unread byte: got HasUnread false, want true")
 	}
 	if _, err := io.ReadFull(local, make([]byte, 1)); err != nil {
-		t.Errorf("Peek has taken the byte: %v", err)
+		t.Errorf("read after Peek: got error %v, want the byte that Peek saw", err)
 	}
 	closeWrite(t, peer)
-	testutil.Eventually(t, "the end", func() bool { return socket.Peek(local) == socket.Closed })
+	testutil.Eventually(t, "state Closed", func() bool { return socket.Peek(local) == socket.Closed })
 }
 
 func TestPeekAtUnusableConnections(t *testing.T) {
@@ -74,14 +74,14 @@
 	}
 	for name, conn := range map[string]net.Conn{"not a socket": pipe, "closed by this side": closed} {
 		if state := socket.Peek(conn); state != socket.Closed {
-			t.Errorf("%s: state %d, want Ended", name, state)
+			t.Errorf("%s: got state %d, want Closed", name, state)
 		}
 		if err := socket.WaitForReadable(conn); err == nil {
-			t.Errorf("%s: WaitReadable reports no error", name)
+			t.Errorf("%s: got no error from WaitForReadable, want one", name)
 		}
 	}
 	if !socket.Peer(closed).Closed {
-		t.Error("nobody can be answered on a connection that this side has closed")
+		t.Error("closed by this side: got Closed false, want true")
 	}
 }
 
@@ -102,7 +102,7 @@
 				t.Error(err)
 			}
 			if state := socket.Peek(local); state == socket.Empty {
-				t.Error("the wait ended with nothing to read")
+				t.Error("after WaitForReadable: got state Empty, want another")
 			}
 		})
 	}
@@ -111,26 +111,26 @@
 func TestPeer(t *testing.T) {
 	flood := strings.Repeat("x", 24<<10)
 	for _, tt := range []struct {
-		name, behind string
+		name, extra string
 		closes       bool
 		want         socket.PeerState
 	}{
 		{"waits", "", false, socket.PeerState{}},
-		{"waits, bytes behind", "GET /", false, socket.PeerState{}},
+		{"waits, bytes after the request", "GET /", false, socket.PeerState{}},
 		{"closes", "", true, socket.PeerState{Closed: true}},
-		{"closes, bytes behind", "GET /", true, socket.PeerState{Closed: true}},
+		{"closes, bytes after the request", "GET /", true, socket.PeerState{Closed: true}},
 		{"floods", flood, false, socket.PeerState{Flooded: true}},
 		{"floods and closes", flood, true, socket.PeerState{Closed: true, Flooded: true}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			local, peer := connect(t)
-			send(t, peer, tt.behind)
+			send(t, peer, tt.extra)
 			if tt.closes {
 				closeWrite(t, peer)
 			}
-			testutil.Eventually(t, "the state", func() bool { return socket.Peer(local) == tt.want })
+			testutil.Eventually(t, "the wanted state", func() bool { return socket.Peer(local) == tt.want })
 			if got, want := socket.Peer(local).IsGone(), tt.want != (socket.PeerState{}); got != want {
-				t.Errorf("gone %v, want %v", got, want)
+				t.Errorf("got IsGone %v, want %v", got, want)
 			}
 		})
 	}
--- a/internal/socket/transient_test.go
+++ b/internal/socket/transient_test.go
@@ -13,52 +13,52 @@
 	"ashshunt/internal/testutil"
 )
 
-// transientCauses are errors of system calls on a connection that is in good health.
+// transientCauses are errors of system calls that may occur on a healthy connection.
 var transientCauses = []error{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
 
-// What a socket holds, and whether the other side has gone, is seen also where system calls fail for a moment.
+// The receive side of a socket and a close by the peer are detected even if system calls fail transiently.
 func TestPeekRetriesTransientFailures(t *testing.T) {
 	for _, cause := range transientCauses {
 		t.Run(fmt.Sprint(cause), func(t *testing.T) {
 			local, peer := connect(t)
 			socket.FailSyscalls(t, 3, cause)
 			if state := socket.Peek(local); state != socket.Empty {
-				t.Errorf("before any byte: state %d, want Quiet", state)
+				t.Errorf("before any byte: got state %d, want Empty", state)
 			}
 			send(t, peer, strings.Repeat("x", 17<<10))
-			testutil.Eventually(t, "the bytes", func() bool { return socket.Peer(local).Flooded })
+			testutil.Eventually(t, "state Flooded", func() bool { return socket.Peer(local).Flooded })
 			socket.FailSyscalls(t, 3, cause)
 			if !socket.HasUnread(local) {
-				t.Error("unread bytes are not reported")
+				t.Error("with unread bytes: got HasUnread false, want true")
 			}
 			if !socket.Peer(local).Flooded {
-				t.Error("so many unread bytes are not reported")
+				t.Error("with 17 KiB unread: got Flooded false, want true")
 			}
 			closeWrite(t, peer)
-			testutil.Eventually(t, "the end", func() bool { return socket.Peer(local).Closed })
+			testutil.Eventually(t, "state Closed", func() bool { return socket.Peer(local).Closed })
 			socket.FailSyscalls(t, 3, cause)
 			if !socket.Peer(local).Closed {
-				t.Error("the other side's end is not reported")
+				t.Error("after the peer's close: got Closed false, want true")
 			}
 		})
 	}
 }
 
-// A connection that can't be examined at all may hold a request: it does not count as idle.
+// A connection that can't be examined may have an unread request, so it must not be treated as idle or closed.
 func TestPeekPersistentFailure(t *testing.T) {
 	local, peer := connect(t)
 	send(t, peer, "x")
-	testutil.Eventually(t, "the byte", func() bool { return socket.HasUnread(local) })
+	testutil.Eventually(t, "an unread byte", func() bool { return socket.HasUnread(local) })
 	socket.FailSyscalls(t, 1<<30, syscall.ENOBUFS)
 	if !socket.HasUnread(local) {
-		t.Error("a connection that can't be examined counts as idle")
+		t.Error("got HasUnread false while system calls fail, want true")
 	}
 	if socket.Peer(local).IsGone() {
-		t.Error("the other side counts as gone")
+		t.Error("got IsGone true while system calls fail, want false")
 	}
 }
 
-// flakyConn is a connection that reads and writes one byte at a time, with a failure before each.
+// flakyConn reads and writes one byte at a time. Every other call fails with cause.
 type flakyConn struct {
 	net.Conn
 	cause error
@@ -76,7 +76,7 @@
 
 func (c *flakyConn) Write(p []byte) (int, error) { return c.failAlternately(p, c.Conn.Write) }
 
-// Reads and writes that are short, or fail for a moment, lose nothing.
+// Short reads and writes, and transient failures between them, must not lose any bytes.
 func TestConnRetriesTransientFailures(t *testing.T) {
 	const text = "a request, or the response to it"
 	for _, cause := range transientCauses {
@@ -86,17 +86,17 @@
 			send(t, conn, text)
 			received := make([]byte, len(text))
 			if _, err := io.ReadFull(peer, received); err != nil || string(received) != text {
-				t.Errorf("written: %q, %v", received, err)
+				t.Errorf("written bytes: got %q and error %v, want the text", received, err)
 			}
 			send(t, peer, text)
 			if _, err := io.ReadFull(conn, received); err != nil || string(received) != text {
-				t.Errorf("read: %q, %v", received, err)
+				t.Errorf("read bytes: got %q and error %v, want the text", received, err)
 			}
 		})
 	}
 }
 
-// Connections that are dialled withstand such failures.
+// Dialed connections must retry transient failures, too.
 func TestDialerReturnsRetryingConn(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,6 +109,6 @@
 	}
 	defer func() { _ = conn.Close() }()
 	if _, ok := conn.(socket.Conn); !ok {
-		t.Errorf("dialled a %T", conn)
+		t.Errorf("got dialed connection of type %T, want socket.Conn", conn)
 	}
 }
