--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -112,8 +112,8 @@
 	flood := strings.Repeat("x", 24<<10)
 	for _, tt := range []struct {
 		name, extra string
-		closes       bool
-		want         socket.PeerState
+		closes      bool
+		want        socket.PeerState
 	}{
 		{"waits", "", false, socket.PeerState{}},
 		{"waits, bytes after the request", "GET /", false, socket.PeerState{}},
