--- a/internal/config/settings_object.go
+++ b/internal/config/settings_object.go
@@ -23,8 +23,9 @@
 	TickMs         float64
 	PolicyLimits   policyLimits
 	Contract       contract
-	Goal           struct{ Whole, WorstWindow, WorstClass, WorstTenant float64 } // weights
-	Prices         prices
+	// Goal holds the weights of the parts of the operator's goal.
+	Goal   struct{ Whole, WorstWindow, WorstClass, WorstTenant float64 }
+	Prices prices
 }
 
 // profile is one class of requests.
@@ -33,7 +34,7 @@
 	AimMs      float64 // latency objective
 	DeadlineMs float64
 	Worth      float64 // priority weight
-	LateValue  float64 // priority of a response after the objective, as a fraction of Worth
+	LateValue  float64 // priority of a response between objective and deadline, as a fraction of Worth
 	Semantics  string  // idempotency
 	Group      string  // deduplication scope
 	WindowMs   float64 // deduplication window
--- a/internal/frontend/connectiontable.go
+++ b/internal/frontend/connectiontable.go
@@ -200,6 +200,6 @@
 func (t *connectionTable) handleConnState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*connection)
 	if ok && c.handleConnState(state) {
-		_ = c.finishClose() // nothing was under way on it
+		_ = c.finishClose() // an idle connection has no data in transit
 	}
 }
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -235,8 +235,9 @@
 	return &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.RequestURI, "?")}, nil
 }
 
-// readBody reads a body whose length has been validated. It sets no read deadline: net/http can't tell one that expires
-// just as the body completes from a disconnect. The connection rejects a request that takes too long.
+// readBody reads a body whose length has been validated. It sets no read deadline, since net/http would treat a
+// deadline that expires just as the body completes as a disconnect. The connection rejects a request that takes too
+// long.
 func readBody(r *http.Request) ([]byte, error) {
 	body := make([]byte, r.ContentLength)
 	_, err := io.ReadFull(r.Body, body)
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -71,7 +71,7 @@
 
 // Server accepts the application's connections and responds to its requests.
 type Server struct {
-	// Timeouts may be changed until Serve is called.
+	// Timeouts may be changed until Serve is called, since no connection is accepted before.
 	Timeouts Timeouts
 
 	connections *connectionTable
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -120,10 +120,10 @@
 }}
 
 // parse returns the value that a word stands for, or an *UnknownWordError.
-func (v *enumField[T]) parse(word string) (T, error) {
-	value, ok := v.values[word]
+func (f *enumField[T]) parse(word string) (T, error) {
+	value, ok := f.values[word]
 	if !ok {
-		return value, &UnknownWordError{Field: v.name, Word: word}
+		return value, &UnknownWordError{Field: f.name, Word: word}
 	}
 	return value, nil
 }
