--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -22,7 +22,7 @@
 		text        string
 		want        error
 	}{
-		"silent":    {since: 1, idleTimeout: 100 * time.Millisecond, want: errWatchIdle},
+		"silent":    {since: 1, idleTimeout: 100 * time.Millisecond, want: errWatchTimeout},
 		"malformed": {since: 1, idleTimeout: testutil.Timeout, text: "{}", want: endpoint.ErrMalformedList},
 		"too long":  {since: 1, idleTimeout: testutil.Timeout, text: endless, want: errListTooLarge},
 		"changes first": {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -13,7 +13,7 @@
 
 // Why a watch was ended by this side.
 var (
-	errWatchIdle           = errors.New("watch fell silent")
+	errWatchTimeout        = errors.New("watch fell silent")
 	errListTooLarge        = errors.New("list too long")
 	errListTimeout         = errors.New("list too slow")
 	errDeltaBeforeComplete = errors.New("changes came before the complete list")
@@ -37,7 +37,7 @@
 func (c *Client) runWatch(ctx context.Context, w *watch) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	idleTimer := time.AfterFunc(c.callTimeout, func() { cancel(errWatchIdle) })
+	idleTimer := time.AfterFunc(c.callTimeout, func() { cancel(errWatchTimeout) })
 	defer idleTimer.Stop()
 	body, err := c.get(ctx, w.addr, w.query())
 	if err != nil {
