--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -5,7 +5,8 @@
 	"ashshunt/internal/endpoint"
 )
 
-// applyWatchedList applies a list of a watch, unless a later watch has replaced that one, and reports whether it did.
+// applyWatchedList applies a list that was received on a watch, unless another watch has replaced it, and reports
+// whether it did.
 func (c *Client) applyWatchedList(w *watch, list endpoint.List) bool {
 	c.applyMu.Lock()
 	defer c.applyMu.Unlock()
@@ -16,7 +17,7 @@
 	return true
 }
 
-// applyPolledList applies a list that was polled from an address, unless discovery has another address by now.
+// applyPolledList applies a list that was polled from addr, unless the address of discovery has changed since.
 func (c *Client) applyPolledList(addr string, list endpoint.List) {
 	c.applyMu.Lock()
 	defer c.applyMu.Unlock()
@@ -25,10 +26,11 @@
 	}
 }
 
-// applyAndPublish applies a list and passes it on. An outdated one, such as the response to a poll that the watch has
-// overtaken, counts as an empty delta: it must change nothing, but a poll always has an event, and any list of a watch
-// tells the decision module that discovery answers. A list of a watch from an earlier address, which is active until
-// its successor is, has no comparable version and is applied. The caller holds applyMu.
+// applyAndPublish applies a list to the table and publishes it as an event. An outdated list, such as a poll response
+// that is older than the last list of the watch, is replaced by an empty delta: it must not change the table, but each
+// poll must have an event, and each list of a watch shows the decision module that discovery responds. A list from a
+// watch of an earlier address, which stays active until the new watch is, has an incomparable version and is applied.
+// The caller holds applyMu.
 func (c *Client) applyAndPublish(list endpoint.List, freshness listFreshness) {
 	if freshness == outdated {
 		list = endpoint.List{}
@@ -37,14 +39,15 @@
 	c.publish(list)
 }
 
-// applyToTable applies a list to the endpoint table and reports the endpoints whose connections that makes stale.
+// applyToTable applies a list to the endpoint table and calls onStaleConnections for the endpoints whose connections
+// became stale.
 func (c *Client) applyToTable(list endpoint.List) {
 	for _, id := range c.table.Apply(list) {
 		c.onStaleConnections(id)
 	}
 }
 
-// publish records the start times of a list and passes it on as an event. The caller holds applyMu.
+// publish records the start times of a list and passes the list to onList as an event. The caller holds applyMu.
 func (c *Client) publish(list endpoint.List) {
 	kind := balancer.ListDelta
 	if list.Complete {
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -6,24 +6,26 @@
 )
 
 const (
-	// minDelayBound is the lower bound of the backoff's unit and limit. Delays are drawn from zero on.
+	// minDelayBound is the minimum value of backoff.baseDelay and backoff.maxDelay. A delay itself may be as low as 0.
 	minDelayBound = 10 * time.Millisecond
-	// drainGraceDivisor is how many of the longest delays fit into the drain grace.
+	// drainGraceDivisor is the minimum ratio of the drain grace to backoff.maxDelay.
 	drainGraceDivisor = 4
-	// maxDoublings bounds the growth of the delay: all agents of a machine room lose their watches at once.
+	// maxDoublings is the maximum number of times that the upper bound of the delay is doubled. All agents of a data
+	// center may lose their watches at the same time.
 	maxDoublings = 3
 )
 
-// backoff gives the exponential, fully jittered delays before a watch is started again. It is not safe for concurrent
-// use.
+// backoff computes the delays before a watch is restarted: exponential backoff with full jitter. It is not safe for
+// concurrent use.
 type backoff struct {
-	baseDelay time.Duration // upper bound of the first delay
-	maxDelay  time.Duration // upper bound of each delay
-	failures  int           // watches that ended since one was last established
+	baseDelay time.Duration // Upper bound of the first delay.
+	maxDelay  time.Duration // Upper bound of all delays.
+	failures  int           // Number of delays since the last reset.
 	random    *rand.Rand
 }
 
-// newBackoff returns a backoff whose delays start at the connect timeout.
+// newBackoff returns a backoff whose base delay is the connect timeout and whose maximum delay follows from the drain
+// grace.
 func newBackoff(connectTimeout, drainGrace time.Duration, seed uint64) backoff {
 	return backoff{
 		baseDelay: max(connectTimeout, minDelayBound),
@@ -32,12 +34,13 @@
 	}
 }
 
-// next returns the delay after one more failure: a random part of unit * 2^failures, bounded by limit.
+// next records a failure and returns the delay after it: a random number between 0 and baseDelay * 2^failures, at most
+// maxDelay.
 func (b *backoff) next() time.Duration {
 	bound := min(b.baseDelay<<min(b.failures, maxDoublings), b.maxDelay)
 	b.failures++
 	return time.Duration(b.random.Float64() * float64(bound))
 }
 
-// reset starts over, after a success.
+// reset resets the backoff after a success, so that the next delay is at most baseDelay.
 func (b *backoff) reset() { b.failures = 0 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,8 +1,8 @@
-// Package discovery is the agent's client of the discovery service: it watches and polls the endpoint list, applies
-// each list to the endpoint table and passes it on as an event of the decision module.
+// Package discovery implements the client of the discovery service. It watches and polls the endpoint list, applies
+// each list to the endpoint table and passes it to the decision module as an event.
 //
-// A watch (watch.go) is a response without end that brings lists as they change; the client starts and replaces
-// watches (subscription.go). A poll (poll.go) asks for the complete list once.
+// A watch (watch.go) is a streaming response that contains a list for each change; the client starts and replaces
+// watches (subscription.go). A poll (poll.go) requests the complete list once.
 package discovery
 
 import (
@@ -18,13 +18,13 @@
 	"ashshunt/internal/telemetry"
 )
 
-// Client polls and watches the endpoint list. Its methods may be called on any goroutine.
+// Client polls and watches the endpoint list. It is safe for concurrent use.
 type Client struct {
 	http               *http.Client
 	table              *endpoint.Table
 	onStaleConnections func(endpointID string)
 	onList             func(balancer.EndpointList)
-	converter          converter // used by the holder of applyMu
+	converter          converter // Protected by applyMu.
 	cachedList         endpoint.List
 	autoWatch          bool
 	idleTimeout        time.Duration
@@ -33,12 +33,13 @@
 	log                *slog.Logger
 	source             *source
 
-	// applyMu puts lists in one order, from the check of their version to the event. It is held while OnList runs, and
-	// taken before the source's mutex.
+	// applyMu serializes the processing of lists, from the comparison of their version to their event, so that events
+	// have the order of the versions. It is held during calls to OnList. Lock order: applyMu before source.mu.
 	applyMu sync.Mutex
 }
 
-// New returns a client that has applied the cached list to the table. It calls nobody yet.
+// New returns a client and applies the cached list to the table. The client sends no request before Start, Subscribe or
+// Poll is called.
 func New(options Options) *Client {
 	c := &Client{
 		http:               newHTTPClient(),
@@ -67,21 +68,21 @@
 	return c
 }
 
-// CachedList returns the event of the list that the client was given. It must be called before any watch or poll.
+// CachedList returns the event for the cached list. It must be called before the first watch or poll.
 func (c *Client) CachedList() balancer.EndpointList {
 	c.converter.starts.update(c.cachedList)
 	return c.converter.toEvent(c.cachedList, balancer.ListCached)
 }
 
-// Start starts the watch that the client keeps open, if Options.KeepWatch says so.
+// Start starts the watch if Options.AutoWatch is set.
 func (c *Client) Start(ctx context.Context) {
 	if c.autoWatch {
 		c.Subscribe(ctx)
 	}
 }
 
-// SetAddress changes the address of discovery. The new one is watched at once if the client keeps its watch, or if the
-// old one was watched or about to be.
+// SetAddress changes the address of discovery. It starts a watch of the new address if Options.AutoWatch is set or if a
+// watch is active or pending.
 func (c *Client) SetAddress(ctx context.Context, addr string) {
 	changed, watched := c.source.setAddr(addr)
 	if !changed {
--- a/internal/discovery/convert.go
+++ b/internal/discovery/convert.go
@@ -7,14 +7,14 @@
 	"ashshunt/internal/endpoint"
 )
 
-// converter turns endpoint lists into the decision module's events. It is not safe for concurrent use.
+// converter converts endpoint lists to events of the decision module. It is not safe for concurrent use.
 type converter struct {
-	zones  []string // in the order of the module's numbers
-	kinds  []string
+	zones  []string // Zone names; the index is the decision module's zone number.
+	kinds  []string // Kind names; the index is the decision module's kind number.
 	starts *startTimes
 }
 
-// toEvent converts a list whose start times have been recorded.
+// toEvent converts a list to an event. The start times of the list must have been recorded with starts.update before.
 func (c converter) toEvent(list endpoint.List, kind balancer.ListKind) balancer.EndpointList {
 	event := balancer.EndpointList{Kind: kind, Endpoints: make([]balancer.Endpoint, 0, len(list.Entries))}
 	for _, entry := range list.Entries {
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -12,19 +12,20 @@
 	"ashshunt/internal/socket"
 )
 
-// listPath is the path of discovery's endpoint list.
+// listPath is the path of the endpoint list.
 const listPath = "/v1/servers"
 
-// maxListSize is the size in bytes that one list may have. A poll reads no further, so that a longer list is malformed
-// there; a watch ends with errListTooLong.
+// maxListSize is the maximum size in bytes of one list. A poll truncates a larger list, which is then malformed. A
+// watch fails with errListTooLarge.
 const maxListSize = 8 << 20
 
-// errRefused marks a call that discovery answered with a status other than 200, whichever it is: the decision module
-// has one event for all of them, ListRefused.
-var errRefused = errors.New("discovery refused the call")
+// errRefused marks a request to which discovery responded with a status other than 200. The decision module has one
+// event for all such statuses, ListRefused.
+var errRefused = errors.New("discovery responded with a status other than 200")
 
-// newHTTPClient returns a client that uses each connection once, so that it never sends a call again by itself. Its
-// timeouts do not follow Options.CallTimeout: a shorter one ends the call by its context, a longer one has no effect.
+// newHTTPClient returns a client without connection reuse, since net/http may resend a request on its own if a reused
+// connection fails. Its timeouts are constant: a shorter Options.CallTimeout applies through the request's context, a
+// longer one has no effect on the dial and the response header.
 func newHTTPClient() *http.Client {
 	dialer := &socket.Dialer{Dialer: net.Dialer{Timeout: defaultCallTimeout}}
 	return &http.Client{Transport: &http.Transport{
@@ -35,7 +36,8 @@
 	}}
 }
 
-// get calls discovery and returns the body of its response. Its error is errRefused for a status other than 200.
+// get requests the endpoint list from discovery and returns the body of the response. It returns errRefused for a
+// status other than 200.
 func (c *Client) get(ctx context.Context, addr, query string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+listPath+query, nil)
 	if err != nil {
@@ -43,7 +45,7 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, err // names the call and its address
+		return nil, err // A *url.Error with the method and the URL.
 	}
 	if response.StatusCode != http.StatusOK {
 		_ = response.Body.Close()
@@ -52,7 +54,7 @@
 	return response.Body, nil
 }
 
-// failureEvent is the decision module's event of a call that failed.
+// failureEvent returns the decision module's event for a failed request.
 func failureEvent(err error) balancer.EndpointList {
 	if errors.Is(err, errRefused) {
 		return balancer.EndpointList{Kind: balancer.ListRefused}
--- a/internal/discovery/listtimeout.go
+++ b/internal/discovery/listtimeout.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// listTimeoutFactor is the factor by which the timeout of a list grows when one expires, and its multiple of the
-	// time that the last list took.
+	// listTimeoutFactor is the factor by which the timeout grows when it expires, and the ratio of the timeout to the
+	// duration of the last list.
 	listTimeoutFactor = 2
-	// maxListTimeoutFactor bounds the timeout, in multiples of its minimum.
+	// maxListTimeoutFactor is the maximum timeout as a multiple of the minimum timeout.
 	maxListTimeoutFactor = 8
 )
 
-// adaptiveListTimeout is the time that one list of a watch may take from its first byte to its end. It adapts to slow lists,
-// so that lists of a slow discovery arrive in the end. It is safe for concurrent use.
+// adaptiveListTimeout is the timeout from the first byte of a list on a watch to its end. It adapts to the duration of
+// lists, so that lists from a slow discovery service are received eventually. It is safe for concurrent use.
 type adaptiveListTimeout struct {
 	minTimeout time.Duration
 
-	mu      sync.Mutex // protects timeout
+	mu      sync.Mutex // Protects timeout.
 	timeout time.Duration
 }
 
@@ -26,29 +26,29 @@
 	return &adaptiveListTimeout{minTimeout: minimum, timeout: minimum}
 }
 
-// current is the timeout of the next list.
+// current returns the timeout for the next list.
 func (l *adaptiveListTimeout) current() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.timeout
 }
 
-// increase grows the timeout after a list that did not come in time.
+// increase increases the timeout after it has expired.
 func (l *adaptiveListTimeout) increase() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.set(listTimeoutFactor * l.timeout)
 }
 
-// update adapts the timeout to the time that a list took. One that came along with the list before it took none, and
-// so resets the timeout to its minimum.
+// update sets the timeout from the duration of a received list. A list that was received together with the previous one
+// has duration 0, which sets the minimum timeout.
 func (l *adaptiveListTimeout) update(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.set(listTimeoutFactor * duration)
 }
 
-// set sets the timeout within its bounds. The caller holds mu.
+// set sets the timeout, clamped to its bounds. The caller holds mu.
 func (l *adaptiveListTimeout) set(timeout time.Duration) {
 	l.timeout = min(max(l.minTimeout, timeout), maxListTimeoutFactor*l.minTimeout)
 }
--- a/internal/discovery/options.go
+++ b/internal/discovery/options.go
@@ -11,26 +11,26 @@
 
 // Options are the parameters of a Client.
 type Options struct {
-	Addr       string          // host:port of discovery
-	CachedList endpoint.List   // complete list from the configuration; a watch continues from its version
-	Table      *endpoint.Table // to which lists are applied
-	// OnStaleConnections is called for each endpoint whose connections a list has made stale, before OnList takes its event.
-	// Both are called on the goroutines of watches and polls.
+	Addr       string          // Address of discovery, as host:port.
+	CachedList endpoint.List   // Complete list from the configuration; the first watch continues from its version.
+	Table      *endpoint.Table // Table to which lists are applied.
+	// OnStaleConnections is called for each endpoint whose connections became stale through a list, before OnList is
+	// called with the event of the list. Both functions are called on the goroutines of watches and polls.
 	OnStaleConnections func(endpointID string)
 	OnList             func(balancer.EndpointList)
-	Zones              []string // names in the order of the decision module's numbers
-	Kinds              []string
+	Zones              []string // Zone names; the index is the decision module's zone number.
+	Kinds              []string // Kind names; the index is the decision module's kind number.
 	Clock              clock.Clock
 	Log                *slog.Logger
 
-	// AutoWatch has the client keep a watch open by itself. The decision module never subscribes where the settings say
-	// that changes are pushed; a real discovery pushes them on a watch alone.
+	// AutoWatch makes the client start and restart a watch on its own. It is set if the settings say that changes are
+	// pushed: the decision module never subscribes then, but discovery pushes changes only on a watch.
 	AutoWatch      bool
-	ConnectTimeout time.Duration // unit of the backoff between two such watches
-	DrainGrace     time.Duration // how long requests to a draining endpoint are tolerated; bounds that backoff
-	Seed           uint64        // of the backoff's jitter
-	SlowStart      SlowStart     // of endpoints that have started
+	ConnectTimeout time.Duration // Base delay of the backoff between watches; used with AutoWatch.
+	DrainGrace     time.Duration // Time during which a draining endpoint tolerates requests; limits the backoff.
+	Seed           uint64        // Seed of the backoff's jitter.
+	SlowStart      SlowStart     // Slow start of endpoints, used to estimate their start times.
 
-	IdleTimeout time.Duration // how long a watch may bring nothing; 0: defaultSilenceTimeout
-	CallTimeout time.Duration // how long a poll may take, or a watch until its first byte; 0: defaultCallTimeout
+	IdleTimeout time.Duration // Maximum time without data on a watch; 0 means defaultIdleTimeout.
+	CallTimeout time.Duration // Timeout of a poll, and of a watch until its response; 0 means defaultCallTimeout.
 }
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -9,8 +9,8 @@
 	"ashshunt/internal/telemetry"
 )
 
-// Poll asks for the complete list once and passes it, or the failure, to Options.OnList. It doesn't wait for that: a
-// goroutine does, which ends within the call timeout.
+// Poll requests the complete list once and passes the list or the failure to Options.OnList. It returns at once; the
+// request runs on a new goroutine, which ends within the call timeout.
 func (c *Client) Poll(ctx context.Context) {
 	go func() {
 		if err := c.poll(ctx); err != nil && ctx.Err() == nil {
@@ -31,13 +31,13 @@
 	defer func() { _ = body.Close() }()
 	raw, err := io.ReadAll(io.LimitReader(body, maxListSize))
 	if err != nil {
-		return fmt.Errorf("reading the list: %w", err)
+		return fmt.Errorf("read endpoint list: %w", err)
 	}
 	list, err := endpoint.ParseList(raw)
 	if err != nil {
 		return err
 	}
-	list.Complete = true // a poll always brings all entries, whatever the list says
+	list.Complete = true // The response to a poll always has all entries, whether it is marked as complete or not.
 	c.applyPolledList(addr, list)
 	return nil
 }
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// unknownVersion is the version of an address that has sent no list yet. Another discovery may number its versions
-// differently, so none is carried over.
+// unknownVersion is the version of an address from which no list was received yet. Another discovery service may number
+// its versions differently, so the version is not kept when the address changes.
 const unknownVersion = -1
 
-// source is where lists come from: the address of discovery, the version of its last list, and the watches. A new
-// watch is pending until it is active: one that continues from a version, from its response on; one without a version,
-// from its complete list on. It then stops its predecessor.
+// source is the state of the source of lists: the address of discovery, the version of its last list, and the watches.
 //
-// It is safe for concurrent use; the event loop waits for its mutex, which is therefore held for moments only.
+// A new watch is pending at first. It becomes active, and replaces the previous active watch, when discovery responds
+// to it, or, if it does not continue from a version, when its complete list is received.
+//
+// source is safe for concurrent use. The event loop blocks on its mutex, so the mutex is never held during I/O.
 type source struct {
-	mu      sync.Mutex // protects what follows
-	addr    string     // host:port of discovery
-	version int64      // of the list that was last applied from addr, or unknownVersion
-	active  *watch     // the one that lists are taken from; nil: none
-	pending *watch     // the one that will replace it once it is active; nil: none
-	backoff backoff    // between watches that end
+	mu      sync.Mutex // Protects the fields below.
+	addr    string     // Address of discovery, as host:port.
+	version int64      // Version of the last list from addr, or unknownVersion.
+	active  *watch     // Watch whose lists are applied; nil if none.
+	pending *watch     // Watch that will replace the active one; nil if none.
+	backoff backoff    // Backoff between a failed watch and the next one.
 }
 
-// listFreshness is how the version of a list relates to that of the last one that was applied.
+// listFreshness is the result of the comparison of a list's version with the version of the last list.
 type listFreshness uint8
 
 const (
-	fresh        listFreshness = iota
-	outdated                   // older than the last one of the same address
-	incomparable               // from an address that is no longer discovery's, which numbers its versions by itself
+	fresh        listFreshness = iota // At least as new as the last list.
+	outdated                          // Older than the last list from the same address.
+	incomparable                      // From an earlier address, whose versions are numbered independently.
 )
 
-// currentAddr returns discovery's address.
+// currentAddr returns the address of discovery.
 func (s *source) currentAddr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// setAddr changes the address and reports whether it is another one, and whether a watch is active or pending.
+// setAddr sets the address. It reports whether the address changed and, if so, whether a watch is active or pending.
 func (s *source) setAddr(addr string) (changed, watched bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +52,7 @@
 	return true, s.active != nil || s.pending != nil
 }
 
-// recordVersion records the version of a list from addr that is about to be applied, unless it is outdated.
+// recordVersion compares the version of a list from addr with the last version, and records it if the list is fresh.
 func (s *source) recordVersion(addr string, version int64) listFreshness {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +66,7 @@
 	return fresh
 }
 
-// addWatch makes a new watch the pending one and stops the one that was.
+// addWatch returns a new pending watch and stops the previous pending watch, if any.
 func (s *source) addWatch(stop context.CancelFunc) *watch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,9 +77,10 @@
 	return s.pending
 }
 
-// activateWatch is called when a watch has been answered, and when it has brought a list, which may be complete. It
-// activates a pending watch if that is enough for it, and stops its predecessor. It reports whether w is the active
-// watch now: both happen under one lock, since another watch may replace w at any time.
+// activateWatch is called when discovery has responded to a watch, and when a list was received on it; complete is set
+// if that list is complete. It activates a pending watch that meets the condition for it (see source), stops the
+// previous active watch, and reports whether w is the active watch now. All of that is done under one lock, since
+// another watch may replace w at any time.
 func (s *source) activateWatch(w *watch, complete bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,9 +94,9 @@
 	return w == s.active
 }
 
-// removeWatch removes a watch that ended by itself and reports whether another one has to be started. That is so after
-// a pending watch, even beside an active one, which may be of an earlier address. It is not so after an active watch
-// that a pending one is about to replace, nor after one that was replaced already.
+// removeWatch removes a watch that failed and reports whether a new watch must be started. A new one is needed if w was
+// pending, even if there is an active watch, since that may be of an earlier address. It is not needed if w was active
+// and another watch is pending, or if w was already replaced.
 func (s *source) removeWatch(w *watch) (needsRestart bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,15 +123,15 @@
 	s.active, s.pending = nil, nil
 }
 
-// isWatched reports whether the current address is watched, or about to be. An active watch of an earlier address does
-// not count.
+// isWatched reports whether the current address has an active or pending watch. An active watch of an earlier address
+// does not count.
 func (s *source) isWatched() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.active != nil && s.active.addr == s.addr || s.pending != nil
 }
 
-// nextDelay returns the delay before a watch that ended is started again. It counts the failure.
+// nextDelay records the failure of a watch and returns the delay before the next watch.
 func (s *source) nextDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -7,20 +7,22 @@
 	"ashshunt/internal/endpoint"
 )
 
-// maxListingDelay is the usual age of an endpoint when a list first reports its start, and the upper bound of listDelay.
+// maxListingDelay is the upper bound of SlowStart.listingDelay. It is the usual age of an endpoint when its start is
+// first listed.
 const maxListingDelay = 2 * time.Second
 
-// SlowStart says how endpoints warm up.
+// SlowStart describes how the capacity of an endpoint grows after its start.
 type SlowStart struct {
-	Duration    time.Duration // after which an endpoint is warm
-	MinCapacity float64       // share of its capacity that it starts with
+	Duration    time.Duration // Time from the start of an endpoint until it has its full capacity.
+	MinCapacity float64       // Capacity at the start, as a fraction of the full capacity.
 }
 
-// listingDelay is the age beyond the one that the list proves which an endpoint may be given, if this machine's clock
-// agrees. Where a list comes sooner and that clock is ahead, the endpoint is estimated too old by this much; that must
-// not double the capacity at which it is estimated.
+// listingDelay returns the assumed time between the start of an endpoint and its first listing, which may be added to
+// its minimum age (see startTimes.minAge). If the endpoint is listed sooner and the wall clock of this machine is
+// ahead, the estimated age is too high by up to this delay. The delay is limited so that this error at most doubles
+// the estimated capacity.
 //
-// Capacity grows linearly from m = MinCapacity to 1 within Duration, by 1-m; it has doubled when it has grown by m.
+// Capacity grows linearly from m = MinCapacity to 1 within Duration, so it has doubled when it has grown by m.
 func (s SlowStart) listingDelay() time.Duration {
 	if s.MinCapacity <= 0 || s.MinCapacity >= 1 {
 		return maxListingDelay
@@ -32,33 +34,37 @@
 // startTimes converts the start times of endpoints from Unix time to the agent's clock. It is not safe for concurrent
 // use.
 //
-// Any wall clock may be off by any amount, and an endpoint that is estimated too old may get too much traffic before it
-// is warm. The estimated age is therefore the smaller one of two: by this machine's wall clock, and by the clock of the
-// endpoints, which has passed the newest start that was listed, plus listDelay. Where a complete list leaves most
-// endpoints unproven, this machine's wall clock counts alone (see mostUnproven).
+// The wall clocks of this machine and of the endpoints may be wrong by any amount, and an endpoint whose age is
+// overestimated may get too much traffic before it is warm. The estimated age is therefore the minimum of two ages:
 //
-// The clock of the endpoints is treated as one clock: of the starts that are listed, the one that is furthest ahead
-// tells its time.
+//   - the age by the wall clock of this machine;
+//   - the minimum age that follows from the newest listed start (see minAge), plus SlowStart.listingDelay.
+//
+// If the minimum age confirms only a minority of a complete list as warm, the second age is not used (see
+// isMajorityUnconfirmed).
+//
+// All endpoints are assumed to share one clock. The listed start that is furthest ahead of the agent's clock determines
+// the lower bound of its time.
 type startTimes struct {
 	clock     clock.Clock
 	slowStart SlowStart
-	starts    map[string]start // the last start of each endpoint, by its ID
+	starts    map[string]start // Last start of each endpoint, by endpoint ID.
 
-	newestStartUnix time.Duration // the latest start that was listed, since the Unix epoch
-	newestListedAt  time.Duration // when it was first listed, on the agent's clock
+	newestStartUnix time.Duration // Newest listed start, as time since the Unix epoch.
+	newestListedAt  time.Duration // Time of its first listing, on the agent's clock.
 }
 
-// start is one start of an endpoint.
+// start is a start of an endpoint.
 type start struct {
-	unix      time.Duration // as listed, since the Unix epoch
-	startedAt time.Duration // estimated, on the agent's clock
+	unix      time.Duration // Listed start, as time since the Unix epoch.
+	startedAt time.Duration // Estimated start, on the agent's clock.
 }
 
 func newStartTimes(agentClock clock.Clock, slowStart SlowStart) *startTimes {
 	return &startTimes{clock: agentClock, slowStart: slowStart, starts: map[string]start{}}
 }
 
-// startedAt is when an endpoint started, on the agent's clock; 0: long ago.
+// startedAt returns the estimated start of an endpoint on the agent's clock. 0 means long ago.
 func (s *startTimes) startedAt(endpointID string) time.Duration {
 	return s.starts[endpointID].startedAt
 }
@@ -73,7 +79,7 @@
 	previous := s.starts
 	if list.Complete {
 		s.starts = make(map[string]start, len(list.Entries))
-	} // otherwise previous is s.starts itself: each entry of a delta replaces its own start alone
+	} // Otherwise previous is s.starts itself, since an entry of a delta replaces only its own start.
 	for _, entry := range list.Entries {
 		unix := entry.StartedAtUnix()
 		switch last, known := previous[entry.ID]; {
@@ -87,22 +93,24 @@
 	}
 }
 
-// updateNewest records a start if it proves that the endpoints' clock is ahead of what was known. unix is Unix time,
-// now is on the agent's clock.
+// updateNewest records a listed start as the newest one if it raises the lower bound of the endpoints' clock. unix is
+// Unix time, now is on the agent's clock.
 func (s *startTimes) updateNewest(unix, now time.Duration) {
 	if unix-now > s.newestStartUnix-s.newestListedAt {
 		s.newestStartUnix, s.newestListedAt = unix, now
 	}
 }
 
-// minAge is the age at now, on the agent's clock, that the newest start proves for a start at Unix time.
+// minAge returns the minimum age of an endpoint that started at unix. The clock of the endpoints has at least the time
+// of the newest listed start plus the time since its listing. unix is Unix time, now is on the agent's clock.
 func (s *startTimes) minAge(unix, now time.Duration) time.Duration {
 	minEndpointClock := s.newestStartUnix + (now - s.newestListedAt)
 	return minEndpointClock - unix
 }
 
-// isMajorityUnconfirmed reports whether a complete list can't prove that most of its endpoints are warm, since they started at
-// about the same time, be it long ago. To treat all of them as cold would shed most requests during a slow start.
+// isMajorityUnconfirmed reports whether the minimum age of most endpoints of a complete list is below the slow start
+// duration. This is so if they started at about the same time, even long ago. Treating them all as cold would shed most
+// requests for the duration of a slow start.
 func (s *startTimes) isMajorityUnconfirmed(list endpoint.List, now time.Duration) bool {
 	unconfirmed := 0
 	for _, entry := range list.Entries {
@@ -114,11 +122,12 @@
 	return unconfirmed > len(list.Entries)-unconfirmed
 }
 
-// estimateStart returns when an endpoint started, on the agent's clock: now minus its estimated age, but later than its last
-// start. unix is the start by Unix time, last the endpoint's start before it, if any; wallClockOnly leaves out the age
-// that the list proves.
-func (s *startTimes) estimateStart(unix time.Duration, last start, now time.Duration, wallClockOnly bool) time.Duration {
-	if unix < last.unix { // some clock was set back: it started since the list before, and no one knows when
+// estimateStart returns the estimated start of an endpoint on the agent's clock: now minus its estimated age, but after
+// its last start. unix is the listed start in Unix time, and last is the previous start of the endpoint, if any. If
+// wallClockOnly is set, the estimated age is the age by the wall clock of this machine, without the minimum age.
+func (s *startTimes) estimateStart(unix time.Duration, last start, now time.Duration,
+	wallClockOnly bool) time.Duration {
+	if unix < last.unix { // A clock was set back. The restart was at an unknown time after the last list.
 		return now
 	}
 	age := time.Duration(time.Now().UnixNano()) - unix
@@ -126,6 +135,6 @@
 		age = min(age, s.minAge(unix, now)+s.slowStart.listingDelay())
 	}
 	startedAt := now - max(0, age)
-	earliest := last.startedAt + 1 // by a nanosecond: the decision module tells starts apart by their times
+	earliest := last.startedAt + 1 // 1 ns later, since the decision module distinguishes starts by their times.
 	return min(now, max(startedAt, earliest))
 }
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -7,12 +7,12 @@
 	"ashshunt/internal/telemetry"
 )
 
-// Subscribe starts a watch. The active watch continues until the new one replaces it (see source): a new address may be
-// slow to answer, or never do so.
+// Subscribe starts a watch. The active watch continues until the new one replaces it (see source), since a new address
+// may respond slowly or not at all.
 //
-// The watch runs on a goroutine of its own, which ends when ctx does, when Unsubscribe or a later watch stops it, or
-// when the watch ends by itself. In that last case it reports the failure, or, if the client keeps its watch, waits
-// and starts the next one.
+// The watch runs on a new goroutine. It ends when ctx is cancelled, when Unsubscribe or a later watch stops it, or when
+// it fails. After a failure the goroutine calls Options.OnList with the failure or, with Options.AutoWatch, starts the
+// next watch after a backoff.
 func (c *Client) Subscribe(ctx context.Context) {
 	watchCtx, stop := context.WithCancel(ctx)
 	w := c.source.addWatch(stop)
@@ -31,10 +31,10 @@
 	}()
 }
 
-// Unsubscribe ends all watches.
+// Unsubscribe stops all watches.
 func (c *Client) Unsubscribe() { c.source.stopWatches() }
 
-// restartWatch starts a watch again after a backoff, unless another one was started meanwhile.
+// restartWatch starts a watch after a backoff, unless another watch was started in the meantime.
 func (c *Client) restartWatch(ctx context.Context) {
 	select {
 	case <-time.After(c.source.nextDelay()):
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// The budget of a change. Discovery counts a change as received propagationLimit after it had the change and could be
-// reached, whatever became of the calls before; from then on a request to an endpoint that drains is an error of the
-// agent. Within that time must fit:
+// The timeouts and delays below keep the propagation of a change within maxPropagationDelay. Discovery treats a change
+// as received that long after it had the change and was reachable, regardless of failed calls; from then on, a request
+// that is sent to a draining endpoint counts as an error of the agent. The following must fit into that time:
 //
-//   - where the decision module subscribes and polls: a watch that fell silent or a poll that hung, the wait until
-//     the next call (SubscribeSpread), and that call's time in discovery's queue;
-//   - where the client keeps the watch open by itself: two silent watches in a row, the backoff after each, and the
-//     next watch. Such calls fail on this machine and wait in no queue.
+//   - If the decision module subscribes and polls: an idle watch or a hanging poll until its timeout, the delay of the
+//     next call (SubscribeSpread), and the time of that call in discovery's queue.
+//   - If the client restarts the watch on its own (Options.AutoWatch): two idle watches in a row until their timeouts,
+//     the backoff after each, and the next watch. These calls fail on this machine and do not wait in a queue.
 const (
-	// defaultIdleTimeout ends a watch that has brought nothing for so long. An empty line is due every 2 s, and a
-	// machine that was cut off says nothing at all.
+	// defaultIdleTimeout is the time without data after which a watch is closed. Discovery sends an empty line every
+	// 2 s, and the absence of these lines is the only sign of a network partition.
 	defaultIdleTimeout = 2500 * time.Millisecond
-	// defaultCallTimeout bounds a poll, and the time to the first byte of a watch.
+	// defaultCallTimeout is the timeout of a poll, and of a watch until its response.
 	defaultCallTimeout = 2500 * time.Millisecond
-	// maxQueueTime is how long a call may wait in discovery's queue before discovery refuses it.
+	// maxQueueTime is the time that a call may wait in discovery's queue before discovery refuses it.
 	maxQueueTime = 2 * time.Second
-	// maxPropagationDelay is how long a change may take to reach this agent.
+	// maxPropagationDelay is the maximum time until a change has reached this agent.
 	maxPropagationDelay = 6 * time.Second
-	// SubscribeSpread is the time over which agents spread their calls after a start or a failure.
+	// SubscribeSpread is the interval over which agents spread their calls after a start or a failure.
 	SubscribeSpread = maxPropagationDelay - max(defaultIdleTimeout, defaultCallTimeout) - maxQueueTime
-	// RefusedSubscribeSpread is the same after a refusal, which proves that discovery could not be reached until then.
+	// RefusedSubscribeSpread is the interval over which agents spread their calls after a refusal. No timeout is
+	// deducted, since a refusal proves that discovery was not reachable until then.
 	RefusedSubscribeSpread = maxPropagationDelay - maxQueueTime
-	// restartDelayDivisor is how many of the longest backoffs fit into what two silent watches leave of the limit. Two occur
-	// there, and half is left for the next watch.
+	// restartDelayDivisor is the number of maximum backoff delays that fit into the time that two idle watches leave of
+	// maxPropagationDelay. Two such delays occur; the other half of the time is for the next watch.
 	restartDelayDivisor = 4
-	// maxRestartDelay bounds the backoff before a watch that the client keeps is started again.
+	// maxRestartDelay is the maximum backoff delay before the client restarts a watch on its own.
 	maxRestartDelay = (maxPropagationDelay - defaultIdleTimeout - defaultCallTimeout) / restartDelayDivisor
 )
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -11,19 +11,19 @@
 	"ashshunt/internal/telemetry"
 )
 
-// Why a watch was ended by this side.
+// Errors by which the client ends a watch.
 var (
-	errWatchTimeout        = errors.New("watch fell silent")
-	errListTooLarge        = errors.New("list too long")
-	errListTimeout         = errors.New("list too slow")
-	errDeltaBeforeComplete = errors.New("changes came before the complete list")
+	errWatchTimeout        = errors.New("watch received no response or data within its timeout")
+	errListTooLarge        = fmt.Errorf("endpoint list exceeds %d bytes", maxListSize)
+	errListTimeout         = errors.New("endpoint list was not received completely within its timeout")
+	errDeltaBeforeComplete = errors.New("watch received a delta before the complete list")
 )
 
-// watch is one watch of an address. It is run by the goroutine that Subscribe starts for it.
+// watch is a watch of one address. It runs on the goroutine that Subscribe starts.
 type watch struct {
 	addr  string
-	since int64              // the version that it continues; unknownVersion: it starts with the complete list
-	stop  context.CancelFunc // ends it
+	since int64              // Version to continue from; with unknownVersion, the first list is complete.
+	stop  context.CancelFunc // Stops the watch.
 }
 
 func (w *watch) query() string {
@@ -33,7 +33,8 @@
 	return fmt.Sprintf("?follow=1&since=%d", w.since)
 }
 
-// runWatch opens a watch and reads it until it ends, falls silent or brings what can't be parsed.
+// runWatch sends the request of a watch and applies its lists until the watch ends, times out or receives a malformed
+// list. It always returns an error.
 func (c *Client) runWatch(ctx context.Context, w *watch) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -56,7 +57,7 @@
 	return err
 }
 
-// readLists applies the lists that a watch brings.
+// readLists reads and applies the lists of a watch.
 func (c *Client) readLists(ctx context.Context, w *watch, reader *watchReader) error {
 	for decoder := json.NewDecoder(reader); ; {
 		reader.prepareForList(c.listTimeout.current())
@@ -64,25 +65,25 @@
 		if err != nil {
 			return err
 		}
-		if ctx.Err() != nil { // replaced or silent meanwhile: another watch brings what follows
+		if ctx.Err() != nil { // The watch was replaced or has timed out, so the list must not be applied.
 			return ctx.Err()
 		}
 		c.listTimeout.update(reader.listDuration())
-		// A watch that was replaced ends here too, with an error that nobody sees: its context has been cancelled.
+		// A watch that was replaced also returns here, but its error is ignored since its context is cancelled.
 		if !c.applyWatchedList(w, list) {
 			return errDeltaBeforeComplete
 		}
 	}
 }
 
-// readList reads one list. It ends where its JSON does, which may be several lines on.
+// readList reads one list. A list is one JSON value and may extend over several lines.
 func readList(ctx context.Context, decoder *json.Decoder) (endpoint.List, error) {
 	var raw json.RawMessage
 	if err := decoder.Decode(&raw); err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		return endpoint.List{}, fmt.Errorf("reading changes: %w", err)
+		return endpoint.List{}, fmt.Errorf("read endpoint list: %w", err)
 	}
 	return endpoint.ParseList(raw)
 }
--- a/internal/discovery/watchreader.go
+++ b/internal/discovery/watchreader.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// watchReader reads the body of a watch and bounds the bytes and the time that one list may take. Between two lists
-// each byte is a sign of life; within a list only its start is, since a trickling list would never end otherwise.
+// watchReader reads the response body of a watch and limits the size and the duration of each list. Between two lists,
+// each received byte resets the idle timer. Within a list, the idle timer is stopped and the list timer runs, which
+// received bytes do not reset: a list whose bytes trickle in forever must time out.
 type watchReader struct {
 	body        io.Reader
-	idleTimer   *time.Timer // ends the watch after a silence
+	idleTimer   *time.Timer // Ends the watch when no data is received between lists; stopped within a list.
 	idleTimeout time.Duration
-	listTimer   *time.Timer // ends the watch if a list takes too long; stopped between lists
+	listTimer   *time.Timer // Ends the watch when a list exceeds listTimeout; stopped between lists.
 
-	bytesRemaining int           // what the list may still take
-	listTimeout    time.Duration // from the list's first byte to its end
-	listStartedAt  time.Time     // zero: no byte of it has come
+	bytesRemaining int           // Number of bytes that may still be read for the current list.
+	listTimeout    time.Duration // Timeout from the first byte of a list to its end.
+	listStartedAt  time.Time     // Time of the list's first byte; zero before it was received.
 }
 
-// newWatchReader returns a reader that resets the running timer silence on each sign of life. onSlowList is called
-// when a list takes too long.
+// newWatchReader returns a reader that resets idleTimer, which must be running, when it receives data between lists.
+// onListTimeout is called when a list exceeds its timeout.
 func newWatchReader(body io.Reader, idleTimer *time.Timer, idleTimeout time.Duration,
 	onListTimeout func()) *watchReader {
 	listTimer := time.AfterFunc(idleTimeout, onListTimeout)
-	listTimer.Stop() // until a list begins
+	listTimer.Stop() // Started by the first byte of a list.
 	return &watchReader{body: body, idleTimer: idleTimer, idleTimeout: idleTimeout, listTimer: listTimer}
 }
 
-// stop stops the timer of slow lists.
+// stop stops the list timer.
 func (r *watchReader) stop() { r.listTimer.Stop() }
 
-// prepareForList sets the bounds of the next list.
+// prepareForList sets the size limit and the timeout of the next list.
 func (r *watchReader) prepareForList(timeout time.Duration) {
 	r.listTimer.Stop()
 	r.idleTimer.Reset(r.idleTimeout)
 	r.bytesRemaining, r.listTimeout, r.listStartedAt = maxListSize, timeout, time.Time{}
 }
 
-// listDuration is how long the list that was read last took to come.
+// listDuration returns the time since the first byte of the list that was read last.
 func (r *watchReader) listDuration() time.Duration {
-	if r.listStartedAt.IsZero() { // it came along with the list before
+	if r.listStartedAt.IsZero() { // The list was buffered together with the previous one.
 		return 0
 	}
 	return time.Since(r.listStartedAt)
@@ -59,7 +60,8 @@
 	return n, err
 }
 
-// resetTimers resets the timers for bytes that were received between two lists: blanks, or the start of a list.
+// resetTimers resets the timers after bytes were received between two lists. White space resets the idle timer; any
+// other byte is the start of a list.
 func (r *watchReader) resetTimers(received []byte) {
 	if len(bytes.TrimSpace(received)) == 0 {
 		r.idleTimer.Reset(r.idleTimeout)
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -20,8 +20,8 @@
 	Target         *url.URL // Path and query as sent by the client.
 	Body           []byte
 	Lifetime       context.Context // Cancelled when the request has finished; no attempt may start after that.
-	// ClientGone reports whether the client will get no response because it closed its connection or sent too many bytes
-	// after its request. It may become true before Lifetime is cancelled.
+	// ClientGone reports whether the client will get no response, because it closed its connection or sent too many
+	// bytes after its request. It may become true before Lifetime is cancelled.
 	ClientGone func() bool
 }
 
