--- a/internal/endpoint/entry.go
+++ b/internal/endpoint/entry.go
@@ -1,5 +1,5 @@
-// Package endpoint holds discovery's endpoint list: its entries, how a list is parsed, and the table that attempts
-// consult.
+// Package endpoint parses the endpoint lists of the discovery service and holds their entries in a table, which
+// attempts consult before they send a request.
 package endpoint
 
 import (
@@ -12,24 +12,24 @@
 	"ashshunt/internal/clock"
 )
 
-// State is an endpoint's state by its name on discovery's wire.
+// State is the state of an endpoint in an endpoint list.
 type State string
 
-// The states that discovery may send. StateDeleted appears among changes only.
+// Values of State. StateDeleted occurs only in lists of changes.
 const (
 	StateServing  State = "SERVING"
 	StateDraining State = "DRAINING"
 	StateDeleted  State = "DELETED"
 )
 
-// balancerStates maps discovery's states to the decision module's.
+// balancerStates maps the states of endpoint lists to those of the decision module.
 var balancerStates = map[State]balancer.EndpointState{
 	StateServing:  balancer.Serving,
 	StateDraining: balancer.Draining,
 	StateDeleted:  balancer.Removed,
 }
 
-// Entry is one entry of discovery's list.
+// Entry is an entry of an endpoint list.
 type Entry struct {
 	ID              string  `json:"id"`
 	Addr            string  `json:"addr"`
@@ -38,51 +38,53 @@
 	Cell            int     `json:"cell"`
 	State           State   `json:"state"`
 	Weight          float64 `json:"weight"`
-	StartedAtUnixMs float64 `json:"started_ms"` // Unix time in milliseconds; 0: long ago
+	StartedAtUnixMs float64 `json:"started_ms"` // Start of the process, as Unix time in milliseconds; 0 means long ago.
 }
 
-// BalancerState is the entry's state in the decision module's terms.
+// BalancerState returns the state of the endpoint as a state of the decision module.
 func (e Entry) BalancerState() balancer.EndpointState { return balancerStates[e.State] }
 
-// IsServing reports whether the endpoint may get new requests.
+// IsServing reports whether new requests may be sent to the endpoint.
 func (e Entry) IsServing() bool { return e.State == StateServing }
 
-// StartedAtUnix is when the endpoint last started, as the time since the Unix epoch; 0: long ago.
+// StartedAtUnix returns the last start of the endpoint as the time since the Unix epoch. 0 means long ago.
 func (e Entry) StartedAtUnix() time.Duration { return max(0, clock.Milliseconds(e.StartedAtUnixMs)) }
 
-// IsSameProcess reports whether two entries of an endpoint describe one process: the same start at the same address.
+// IsSameProcess reports whether two entries of an endpoint describe the same process, which is so if their addresses
+// and start times are equal.
 func (e Entry) IsSameProcess(other Entry) bool {
 	return e.Addr == other.Addr && e.StartedAtUnixMs == other.StartedAtUnixMs
 }
 
-// validate returns an ErrMalformedList that says why an entry is unusable, if it is.
+// validate returns an ErrMalformedList if the entry is invalid.
 func (e Entry) validate() error {
 	if e.ID == "" {
-		return fmt.Errorf("%w: server without id", ErrMalformedList)
+		return fmt.Errorf("%w: entry without an id", ErrMalformedList)
 	}
 	if _, known := balancerStates[e.State]; !known {
-		return fmt.Errorf("%w: server %s: unknown state %q", ErrMalformedList, e.ID, e.State)
+		return fmt.Errorf("%w: entry %s: unknown state %q, want SERVING, DRAINING or DELETED",
+			ErrMalformedList, e.ID, e.State)
 	}
 	if e.State == StateDeleted {
 		return nil
 	}
 	if err := ValidateAddress(e.Addr); err != nil {
-		return fmt.Errorf("%w: server %s: %w", ErrMalformedList, e.ID, err)
+		return fmt.Errorf("%w: entry %s: %w", ErrMalformedList, e.ID, err)
 	}
 	return nil
 }
 
-// maxPort is the highest port number of TCP.
+// maxPort is the maximum TCP port number.
 const maxPort = 65535
 
-// ValidateAddress returns an error unless an address is host:port with a valid port.
+// ValidateAddress returns an error unless addr has the form host:port with a port number from 0 to maxPort.
 func ValidateAddress(addr string) error {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return fmt.Errorf("%q is not host:port", addr)
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > maxPort {
-		return fmt.Errorf("%q has no valid port", addr)
+		return fmt.Errorf("%q has no valid port: want 0 to %d", addr, maxPort)
 	}
 	return nil
 }
--- a/internal/endpoint/list.go
+++ b/internal/endpoint/list.go
@@ -6,21 +6,21 @@
 	"fmt"
 )
 
-// ErrMalformedList marks a list that can't be parsed, or that has an entry which can't be used.
+// ErrMalformedList marks a list that can't be parsed or has an invalid entry.
 var ErrMalformedList = errors.New("malformed endpoint list")
 
-// List is discovery's list, or the entries of it that changed.
+// List is the complete endpoint list, or a list of the entries that changed.
 type List struct {
 	Version  int64
-	Complete bool // it has all entries: an endpoint that it leaves out is gone
+	Complete bool // The list has all entries; endpoints without an entry have been removed.
 	Entries  []Entry
 }
 
-// ParseList parses one list in the form that discovery sends and validates all of it: a list that is applied in part
-// could leave out healthy endpoints. Its errors are ErrMalformedList.
+// ParseList parses a list in the JSON format of the discovery service. It returns an error if any entry is invalid,
+// since applying only the valid ones could remove healthy endpoints. All its errors are ErrMalformedList.
 func ParseList(raw []byte) (List, error) {
-	// The names on the wire are in lower case, and encoding/json matches any case. Its errors, which are logged, name
-	// the fields as they are written here, so tags would change these texts.
+	// The field names are lower case on the wire; encoding/json ignores the case. The fields have no tags, since tags
+	// would change the field names in the errors of encoding/json, which are logged.
 	var fields struct {
 		Version *int64
 		Full    bool
@@ -30,7 +30,7 @@
 		return List{}, fmt.Errorf("%w: %w", ErrMalformedList, err)
 	}
 	if fields.Version == nil || fields.Servers == nil {
-		return List{}, fmt.Errorf("%w: missing version or servers", ErrMalformedList)
+		return List{}, fmt.Errorf("%w: missing version or servers field", ErrMalformedList)
 	}
 	for _, entry := range *fields.Servers {
 		if err := entry.validate(); err != nil {
--- a/internal/endpoint/table.go
+++ b/internal/endpoint/table.go
@@ -2,19 +2,19 @@
 
 import "sync"
 
-// Table is the endpoint list as last received. Discovery applies lists to it, and attempts consult it right before
-// their first byte, so that a change takes effect when it is read and not in the decision module's next step. Its
-// methods may be called on any goroutine.
+// Table holds the entries of the endpoint list. Package discovery applies lists to it, and each attempt consults it
+// right before it sends its request, so that a change takes effect at once and not only when the decision module has
+// handled it. Table is safe for concurrent use.
 type Table struct {
-	mu      sync.RWMutex     // protects entries; held for map accesses only
-	entries map[string]Entry // by ID
+	mu      sync.RWMutex     // Protects entries; held only for map accesses.
+	entries map[string]Entry // Entries by endpoint ID.
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: map[string]Entry{}} }
 
-// Apply updates the table by a list. It returns the IDs of the endpoints whose connections must not be used
-// again: the endpoint drains, is gone, has another address or was restarted.
+// Apply updates the table from a list. It returns the IDs of the endpoints whose connections are stale and must not be
+// used for new requests, since the endpoint is draining, was removed, was restarted, or has a new address.
 func (t *Table) Apply(list List) (stale []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -29,7 +29,7 @@
 	return stale
 }
 
-// applyEntry updates one entry and reports whether that makes connections stale. The caller holds t.mu.
+// applyEntry updates one entry and reports whether connections to the endpoint became stale. The caller holds t.mu.
 func (t *Table) applyEntry(entry Entry) (stale bool) {
 	previous, known := t.entries[entry.ID]
 	if entry.State == StateDeleted {
@@ -40,7 +40,7 @@
 	return known && (!entry.IsServing() || !entry.IsSameProcess(previous))
 }
 
-// removeUnlisted removes all entries that are not in a complete list and returns their IDs. The caller holds t.mu.
+// removeUnlisted removes the entries that are not in a complete list and returns their IDs. The caller holds t.mu.
 func (t *Table) removeUnlisted(listed []Entry) (removed []string) {
 	isListed := make(map[string]bool, len(listed))
 	for _, entry := range listed {
@@ -55,7 +55,7 @@
 	return removed
 }
 
-// LookupServing returns the entry of an endpoint, and whether it may get new requests.
+// LookupServing returns the entry of an endpoint and reports whether new requests may be sent to it.
 func (t *Table) LookupServing(id string) (Entry, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -63,7 +63,7 @@
 	return entry, known && entry.IsServing()
 }
 
-// HasServing reports whether some endpoint may get new requests.
+// HasServing reports whether there is an endpoint to which new requests may be sent.
 func (t *Table) HasServing() bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport reads the load reports of endpoints, which come on real responses and in the simulator's messages,
-// and maps the names of their values to the decision module's terms.
+// Package loadreport parses the load reports of endpoints, from responses and from messages of the simulator, and
+// converts them to the type of the decision module.
 package loadreport
 
 import (
@@ -11,13 +11,13 @@
 	"ashshunt/internal/clock"
 )
 
-// notReported marks a value that a load report does not hold. As a service time it is a negative duration.
+// notReported is the value of a field that a load report does not have. As a service time it is a negative duration.
 const notReported = -1
 
-// textPrefix starts a report in the one format that endpoints use.
+// textPrefix is the prefix of reports in the text format, the only format that endpoints use.
 const textPrefix = "TEXT "
 
-// The values of a report, by their names in the simulator's messages and in the settings.
+// Names of the values of a report in the simulator's messages and in the settings.
 const (
 	InFlight        = "outstanding"
 	Queue           = "backlog"
@@ -27,7 +27,7 @@
 	ErrorsPerSecond = "errors_per_s"
 )
 
-// canonicalNames maps the names that real endpoints use to the simulator's. A report may use either.
+// canonicalNames maps the value names of endpoints to those of the simulator. A text report may use either.
 var canonicalNames = map[string]string{
 	"inflight":   InFlight,
 	"queue":      Queue,
@@ -37,8 +37,8 @@
 	"eps":        ErrorsPerSecond,
 }
 
-// Parse parses a report as endpoints write it: "TEXT name=value, name=value". Text that can't be parsed in full is no
-// report, since one wrong figure would spoil running means.
+// Parse parses a report in the text format, "TEXT name=value, name=value". If any part of it is invalid, Parse returns
+// an invalid report, since a single wrong value would distort moving averages.
 func Parse(text string) balancer.LoadReport {
 	list, ok := strings.CutPrefix(strings.TrimSpace(text), textPrefix)
 	if !ok {
@@ -60,7 +60,7 @@
 	return FromValues(values)
 }
 
-// parseValue parses "name=value" and reports whether the value is a finite number that is not negative.
+// parseValue parses "name=value". ok reports whether the value is a finite, non-negative number.
 func parseValue(assignment string) (name string, value float64, ok bool) {
 	name, number, _ := strings.Cut(assignment, "=")
 	value, err := strconv.ParseFloat(number, 64)
@@ -70,7 +70,8 @@
 	return name, value, true
 }
 
-// FromValues converts a report whose values have the simulator's names. A nil map means that there is no report.
+// FromValues returns the report with the given values, whose keys are the names above. For a nil map, the report is
+// invalid.
 func FromValues(values map[string]float64) balancer.LoadReport {
 	value := func(name string) float64 {
 		if v, ok := values[name]; ok {
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,28 +1,28 @@
-// Package protocol has the names and limits of the HTTP messages between the application, the agent and endpoints. It
-// maps the names on the wire to the terms of the code; no other package spells them out.
+// Package protocol defines the header names, paths and limits of the HTTP messages between clients, the agent and
+// endpoints. Other packages refer to them only by the constants of this package.
 package protocol
 
-// Headers, in the canonical form of net/http.
+// Header names, in the canonical form of net/http.
 const (
-	HeaderRequestID      = "X-Call-Id"       // 16 hexadecimal digits, different for each request
-	HeaderTimeout        = "X-Budget-Ms"     // how long the sender waits, in whole milliseconds
-	HeaderIdempotencyKey = "Idempotency-Key" // of requests that are deduplicated by a key
-	HeaderTenant         = "X-Caller"        // the tenant's name in the settings
-	HeaderAffinityKey    = "X-Route-Hash"    // the key for cache affinity and order
-	HeaderClientRetry    = "X-Again"         // Yes on a client's retry, where clients mark them
-	HeaderWorkEstimate   = "X-Call-Cost"     // the client's estimate of the work, in microseconds
-	HeaderRejected       = "X-Rejected"      // Yes on the response to a request that has not run
-	HeaderLoadReport     = "X-Load-Report"   // an endpoint's load report
+	HeaderRequestID      = "X-Call-Id"       // ID of the request: 16 hexadecimal digits, unique.
+	HeaderTimeout        = "X-Budget-Ms"     // Time that the sender waits for the response, in whole milliseconds.
+	HeaderIdempotencyKey = "Idempotency-Key" // Deduplication key of an idempotent request.
+	HeaderTenant         = "X-Caller"        // Name of the tenant in the settings.
+	HeaderAffinityKey    = "X-Route-Hash"    // Key for cache affinity and ordering.
+	HeaderClientRetry    = "X-Again"         // FlagTrue on a retry by the client, if clients mark retries.
+	HeaderWorkEstimate   = "X-Call-Cost"     // Client's estimate of the request's work, in microseconds.
+	HeaderRejected       = "X-Rejected"      // FlagTrue on a response whose request was rejected without running.
+	HeaderLoadReport     = "X-Load-Report"   // Load report of the endpoint.
 )
 
-// FlagTrue is the value of headers that are flags.
+// FlagTrue is the value of a flag header that is set.
 const FlagTrue = "1"
 
-// Paths of health checks, which belong to no class of requests.
+// Paths of health checks. They belong to no request class.
 const (
 	HealthPath     = "/healthz"
 	LoadReportPath = "/load"
 )
 
-// MaxBodySize is the largest size in bytes of the body of a request or a response.
+// MaxBodySize is the maximum size in bytes of the body of a request or a response.
 const MaxBodySize = 64 << 10
