--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -173,7 +173,7 @@
 	for _, tt := range []struct {
 		name     string
 		timeLeft time.Duration // until the time, as the agent begins to look for a connection
-		delay    time.Duration
+		stall    time.Duration
 		want     balancer.Result
 	}{
 		{"in time", testutil.Timeout, 0, balancer.Served},
@@ -185,7 +185,7 @@
 			t.Parallel()
 			server := testutil.NewServer(t, testutil.Echo)
 			client, request := newTestClient(t, server.Addr()), newUnsafeRequest()
-			request.ClientGone = func() bool { time.Sleep(tt.delay); return false }
+			request.ClientGone = func() bool { time.Sleep(tt.stall); return false }
 			bounds := newBounds(testutil.Timeout)
 			bounds.NotAfter = time.Now().Add(tt.timeLeft)
 			if result, _ := client.Attempt(t.Context(), request, "s0", bounds); result != tt.want {
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -19,16 +19,16 @@
 
 // Responses and parts of them.
 const (
-	okHead                 = "HTTP/1.1 200 OK\r\n"
-	okResponse             = okHead + "Content-Length: 2\r\n\r\nok"
-	chunkedHead            = okHead + "Transfer-Encoding: chunked\r\n\r\n"
-	informationalResponses = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-	switchingProtocols     = "HTTP/1.1 101 Switching Protocols\r\n\r\n"
-	bothFramings           = okHead + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-	negativeLength         = okHead + "Content-Length: -2\r\n\r\n"
-	oversizedLength        = okHead + "Content-Length: 3000000000\r\n\r\nxxxx"
-	twoLengths             = okHead + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nfour"
-	halfBody               = okHead + "Content-Length: 9\r\n\r\nhalf"
+	okHead             = "HTTP/1.1 200 OK\r\n"
+	okResponse         = okHead + "Content-Length: 2\r\n\r\nok"
+	chunkedHead        = okHead + "Transfer-Encoding: chunked\r\n\r\n"
+	informational      = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
+	switchingProtocols = "HTTP/1.1 101 Switching Protocols\r\n\r\n"
+	bothFramings       = okHead + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+	negativeLength     = okHead + "Content-Length: -2\r\n\r\n"
+	oversizedLength    = okHead + "Content-Length: 3000000000\r\n\r\nxxxx"
+	twoLengths         = okHead + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nfour"
+	truncatedBody      = okHead + "Content-Length: 9\r\n\r\nhalf"
 )
 
 // The protocol's table of outcomes, on which the rule on repeated requests rests. A request goes out only once for
@@ -36,7 +36,7 @@
 func TestAttemptResults(t *testing.T) {
 	endlessHead := okHead + strings.Repeat("A: b\r\n", 1<<16)
 	endlessInformational := strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)
-	largest := strings.Repeat("x", protocol.MaxBodySize)
+	largestBody := strings.Repeat("x", protocol.MaxBodySize)
 	tests := []struct {
 		name    string
 		respond handler
@@ -52,23 +52,23 @@
 		{"an error marked as rejected", respondRejected(500), testutil.Timeout, balancer.ServerError},
 		{"closed without a response", respondAndClose(""), testutil.Timeout, balancer.Reset},
 		{"half a head", respondAndClose(okHead + "Cont"), testutil.Timeout, balancer.Reset},
-		{"half a body", respondAndClose(halfBody), testutil.Timeout, balancer.Reset},
+		{"half a body", respondAndClose(truncatedBody), testutil.Timeout, balancer.Reset},
 		{"half a chunked body", respondAndClose(chunkedHead + "4\r\nhalf\r\n"), testutil.Timeout, balancer.Reset},
 		{"not HTTP", respondAndClose("220 mail\r\n\r\n"), testutil.Timeout, balancer.ServerError},
 		{"an endless head", respondAndClose(endlessHead), testutil.Timeout, balancer.ServerError},
-		{"informational responses ahead", respondAndClose(informationalResponses + okResponse), testutil.Timeout, balancer.Served},
+		{"informational responses ahead", respondAndClose(informational + okResponse), testutil.Timeout, balancer.Served},
 		{"endless informational responses", respondAndClose(endlessInformational), testutil.Timeout, balancer.ServerError},
 		{"another protocol", respondAndClose(switchingProtocols + okResponse), testutil.Timeout, balancer.ServerError},
 		{"chunks", respondAndClose(chunkedHead + "2\r\nok\r\n0\r\n\r\n"), testutil.Timeout, balancer.Served},
 		{"noise, then silence", respondAndHang("\x00\xff\x17"), testutil.Timeout, balancer.ServerError},
-		{"a body that stalls", respondAndHang(halfBody), testutil.Timeout, balancer.ServerError},
+		{"a body that stalls", respondAndHang(truncatedBody), testutil.Timeout, balancer.ServerError},
 		{"a body of 3 GB", respondAndHang(oversizedLength), testutil.Timeout, balancer.ServerError},
 		{"two lengths", respondAndHang(twoLengths), testutil.Timeout, balancer.ServerError},
 		{"length and encoding", respondAndHang(bothFramings), testutil.Timeout, balancer.ServerError},
 		{"a negative length", respondAndHang(negativeLength), testutil.Timeout, balancer.ServerError},
 		{"no length", respondAndHang(okHead + "\r\nbody"), testutil.Timeout, balancer.ServerError},
-		{"too large a body", respond(200, largest+"x"), testutil.Timeout, balancer.ServerError},
-		{"the largest body", respond(200, largest), testutil.Timeout, balancer.Served},
+		{"too large a body", respond(200, largestBody+"x"), testutil.Timeout, balancer.ServerError},
+		{"the largest body", respond(200, largestBody), testutil.Timeout, balancer.Served},
 		{"silence", testutil.Hang, time.Second, balancer.TimedOut},
 	}
 	for _, tt := range tests {
@@ -169,7 +169,7 @@
 // brings no more.
 func TestResponsesWithoutLength(t *testing.T) {
 	const body = "as long as it is"
-	largest := strings.Repeat("x", protocol.MaxBodySize)
+	largestBody := strings.Repeat("x", protocol.MaxBodySize)
 	for _, tt := range []struct {
 		name    string
 		respond handler
@@ -179,8 +179,8 @@
 		{"closed", respondAndClose(okHead + "Connection: close\r\n\r\n" + body), balancer.Served, body},
 		{"closed, HTTP/1.0", respondAndClose("HTTP/1.0 200 OK\r\n\r\n" + body), balancer.Served, body},
 		{"closed, no word on the connection", respondAndClose(okHead + "\r\n" + body), balancer.Served, body},
-		{"closed, the largest body", respondAndClose(okHead + "\r\n" + largest), balancer.Served, largest},
-		{"closed, too large a body", respondAndClose(okHead + "\r\n" + largest + "x"), balancer.ServerError, ""},
+		{"closed, the largest body", respondAndClose(okHead + "\r\n" + largestBody), balancer.Served, largestBody},
+		{"closed, too large a body", respondAndClose(okHead + "\r\n" + largestBody + "x"), balancer.ServerError, ""},
 		{"closed within the head", respondAndClose(okHead + "Connection: close\r\n"), balancer.Reset, ""},
 		{"reset", respondAndReset(t, okHead+"\r\n"+body), balancer.Reset, ""},
 		{"kept open", respondAndHang(okHead + "\r\n" + body), balancer.ServerError, ""},
