--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -140,7 +140,7 @@
 
 // The old watch continues until the one of the new address has brought the complete list, since a new address may bring
 // nothing and may number its versions differently; after that the old one is ignored.
-func TestSetAddress(t *testing.T) {
+func TestSetAddressReplacesWatch(t *testing.T) {
 	oldServer, newServer := testutil.NewDiscovery(t), testutil.NewDiscovery(t)
 	client, events := newSubscribedClient(t, oldServer, testutil.Timeout)
 	testutil.Receive(t, oldServer.Watches)
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -93,7 +93,7 @@
 
 // A request must not go to a process that has ended, nor to another one at its old address, when a list reports the
 // restart between the choice of a connection and the first byte: it goes out once, on a new connection.
-func TestRestartBeforeFirstByte(t *testing.T) {
+func TestRestartBeforeRequestIsSent(t *testing.T) {
 	restarted := func(old, _ string) endpoint.Entry {
 		return endpoint.Entry{ID: "s0", Addr: old, State: endpoint.StateServing, StartedAtUnixMs: 7}
 	}
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -132,7 +132,7 @@
 // Bytes behind a response must not be read as the response to the next request: the good response before them counts,
 // and the connection is not used again.
 func TestBytesAfterResponse(t *testing.T) {
-	const twoResponses = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid xHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid x"
+	const doubled = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid xHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid x"
 	sendMore := make(chan struct{})
 	respondAgainLater := func(conn net.Conn, request *http.Request, body []byte) bool {
 		testutil.Echo(conn, request, body)
@@ -145,7 +145,7 @@
 		respond handler
 		late    bool
 	}{
-		{"at once", respondRaw(twoResponses), false},
+		{"at once", respondRaw(doubled), false},
 		{"later, while idle", respondAgainLater, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
