--- a/internal/endpoint/list_test.go
+++ b/internal/endpoint/list_test.go
@@ -18,19 +18,19 @@
 		t.Fatal(err)
 	}
 	if list.Version != 41 || !list.Complete || len(list.Entries) != 2 {
-		t.Fatalf("list %+v", list)
+		t.Fatalf("got list %+v, want version 41, complete, with 2 entries", list)
 	}
 	first, second := list.Entries[0], list.Entries[1]
 	if first.ID != "s0" || first.Addr != "127.0.0.1:1" || !first.IsServing() ||
 		first.BalancerState() != balancer.Serving {
-		t.Errorf("first entry %+v", first)
+		t.Errorf("got first entry %+v, want s0 at 127.0.0.1:1, serving", first)
 	}
 	if second.ID != "s1" || second.IsServing() || second.BalancerState() != balancer.Removed {
-		t.Errorf("second entry %+v", second)
+		t.Errorf("got second entry %+v, want s1, deleted", second)
 	}
 }
 
-// Names are matched whatever their case, as encoding/json does.
+// The field names of a list are matched case-insensitively, as encoding/json does.
 func TestParseListIgnoresFieldCase(t *testing.T) {
 	entry := testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING")
 	for _, names := range [][3]string{
@@ -39,7 +39,7 @@
 		text := fmt.Sprintf(`{%q:41,%q:true,%q:[%s]}`, names[0], names[1], names[2], entry)
 		list, err := endpoint.ParseList([]byte(text))
 		if err != nil || list.Version != 41 || !list.Complete || len(list.Entries) != 1 {
-			t.Errorf("%v: list %+v, error %v", names, list, err)
+			t.Errorf("fields %v: got list %+v, error %v, want version 41, complete, with 1 entry", names, list, err)
 		}
 	}
 }
@@ -48,17 +48,18 @@
 	good := testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING")
 	for name, text := range map[string]string{
 		"empty":         ``,
-		"no JSON":       `{"version":2,"servers":[}`,
+		"invalid JSON":  `{"version":2,"servers":[}`,
 		"no version":    `{"full":true,"servers":[` + good + `]}`,
 		"no servers":    `{"version":2,"full":true}`,
 		"no id":         `{"version":2,"servers":[` + testutil.EntryJSON("", "127.0.0.1:1", "SERVING") + `]}`,
 		"unknown state": `{"version":2,"servers":[` + strings.Replace(good, "SERVING", "ASLEEP", 1) + `]}`,
-		"bad address":   `{"version":2,"servers":[` + good + `,` + testutil.EntryJSON("s1", "here", "DRAINING") + `]}`,
-		"bad type":      `{"version":2,"servers":{}}`,
+		"invalid address": `{"version":2,"servers":[` + good + `,` +
+			testutil.EntryJSON("s1", "here", "DRAINING") + `]}`,
+		"invalid type": `{"version":2,"servers":{}}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			if list, err := endpoint.ParseList([]byte(text)); !errors.Is(err, endpoint.ErrMalformedList) {
-				t.Errorf("list %+v, error %v, want ErrMalformedList", list, err)
+				t.Errorf("got list %+v, error %v, want ErrMalformedList", list, err)
 			}
 		})
 	}
@@ -70,7 +71,7 @@
 		"": false, "host": false, "host:": false, "host:http": false, "host:-1": false, "host:65536": false,
 	} {
 		if err := endpoint.ValidateAddress(addr); (err == nil) != valid {
-			t.Errorf("%q: error %v, want valid %v", addr, err, valid)
+			t.Errorf("address %q: got error %v, want valid %v", addr, err, valid)
 		}
 	}
 }
--- a/internal/endpoint/table_test.go
+++ b/internal/endpoint/table_test.go
@@ -11,8 +11,8 @@
 	return endpoint.Entry{ID: id, Addr: addr, State: state, StartedAtUnixMs: unixMs}
 }
 
-// Idle connections to a process that has ended must not be used again: endpoints that drain, left the list, moved or
-// were restarted are returned.
+// Connections to a process that has exited or is draining must not be reused, so Apply must return the endpoints that
+// are draining, were removed, have a new address or were restarted.
 func TestApplyReturnsStaleEndpoints(t *testing.T) {
 	table := endpoint.NewTable()
 	table.Apply(endpoint.List{Complete: true, Entries: []endpoint.Entry{
@@ -29,14 +29,14 @@
 		newEntry("d", "x:4", endpoint.StateServing, 0),
 	}})
 	if got := strings.Join(stale, ""); got != "abce" {
-		t.Errorf("stale: %q, want abce", got)
+		t.Errorf("got stale endpoints %q, want abce", got)
 	}
 }
 
 func TestServing(t *testing.T) {
 	table := endpoint.NewTable()
 	if table.HasServing() {
-		t.Error("an empty table has an endpoint to send to")
+		t.Error("HasServing of an empty table: got true, want false")
 	}
 	table.Apply(endpoint.List{Complete: true, Entries: []endpoint.Entry{
 		newEntry("a", "x:1", endpoint.StateServing, 0),
@@ -46,14 +46,14 @@
 	table.Apply(endpoint.List{Entries: []endpoint.Entry{newEntry("c", "", endpoint.StateDeleted, 0)}})
 	for id, want := range map[string]bool{"a": true, "b": false, "c": false, "unknown": false} {
 		if _, got := table.LookupServing(id); got != want {
-			t.Errorf("endpoint %s: serving %v, want %v", id, got, want)
+			t.Errorf("endpoint %s: got serving %v, want %v", id, got, want)
 		}
 	}
 	if !table.HasServing() {
-		t.Error("no endpoint to send to, although one is serving")
+		t.Error("HasServing of a table with a serving endpoint: got false, want true")
 	}
 	table.Apply(endpoint.List{Complete: true})
 	if _, serving := table.LookupServing("a"); serving || table.HasServing() {
-		t.Error("an endpoint that a complete list leaves out is still serving")
+		t.Error("endpoint a is serving after a complete list without it, want none serving")
 	}
 }
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -33,13 +33,13 @@
 	}
 	for _, tt := range tests {
 		if got := Parse(tt.text); got != tt.want {
-			t.Errorf("%q was read as %+v, want %+v", tt.text, got, tt.want)
+			t.Errorf("Parse(%q): got %+v, want %+v", tt.text, got, tt.want)
 		}
 	}
 }
 
 func TestFromValuesNil(t *testing.T) {
 	if got := FromValues(nil); got.Valid {
-		t.Errorf("read as %+v", got)
+		t.Errorf("got valid report %+v, want an invalid one", got)
 	}
 }
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -23,31 +23,33 @@
 	}
 	client := newTestClient(t, server.Addr())
 	if result, _ := client.attempt(testutil.Timeout); result != balancer.ConnectFailed {
-		t.Errorf("result %d, want ConnectFailed", result)
+		t.Errorf("got result %d, want ConnectFailed", result)
 	}
 }
 
 func TestUnknownEndpoint(t *testing.T) {
 	result, response := newTestClient(t).attempt(testutil.Timeout)
 	if result != balancer.ConnectFailed || !errors.Is(response.Err, ErrNotServing) {
-		t.Errorf("result %d, error %v, want ConnectFailed since it is not serving", result, response.Err)
+		t.Errorf("got result %d, error %v, want ConnectFailed with ErrNotServing", result, response.Err)
 	}
 }
 
-// An attempt to a machine that vanished ends within the connect timeout, with proof that it never ran.
+// An attempt to a machine that has vanished fails within the connect timeout, with a result that says that the request
+// did not run.
 func TestConnectTimeout(t *testing.T) {
 	client := newTestClient(t, listenWithFullBacklog(t))
 	client.pool.dialer.Timeout = 250 * time.Millisecond
 	start := time.Now()
 	result, _ := client.attempt(testutil.Timeout)
 	if took := time.Since(start); result != balancer.ConnectFailed || took > testutil.Timeout/2 {
-		t.Errorf("result %d after %v, want ConnectFailed within the connect timeout", result, took)
+		t.Errorf("got result %d after %v, want ConnectFailed within the connect timeout", result, took)
 	}
 }
 
-// A request whose endpoint begins to drain, or that ends, while its connection is dialled is not sent.
+// A request must not be sent if, during the dial of its connection, its endpoint starts to drain or is removed, the
+// request finishes, or its client disconnects.
 func TestRequestNotSentAfterDial(t *testing.T) {
-	const dialAbandoned = "request ended"
+	const dialAbandoned = "request finished"
 	draining := endpoint.Entry{ID: "s0", Addr: "127.0.0.1:1", State: endpoint.StateDraining}
 	tests := []struct {
 		name       string
@@ -57,7 +59,7 @@
 		{"draining", func(client *Client, _ *Request, _ func()) {
 			client.table.Apply(endpoint.List{Entries: []endpoint.Entry{draining}})
 		}, balancer.ConnectFailed},
-		{"gone", func(client *Client, _ *Request, _ func()) {
+		{"removed", func(client *Client, _ *Request, _ func()) {
 			client.table.Apply(endpoint.List{Complete: true})
 		}, balancer.ConnectFailed},
 		{dialAbandoned, func(_ *Client, _ *Request, end func()) { end() }, balancer.NotSent},
@@ -78,21 +80,22 @@
 			}
 			result, _ := client.Attempt(context.Background(), request, "s0", newBounds(testutil.Timeout))
 			if result != tt.want {
-				t.Errorf("result %d, want %d", result, tt.want)
+				t.Errorf("got result %d, want %d", result, tt.want)
 			}
 			client.CloseIdle("s0")
 			if tt.name != dialAbandoned {
-				testutil.Receive(t, server.Closed) // the connection ended, with no request on it
+				testutil.Receive(t, server.Closed) // The connection is closed without a request on it.
 			}
 			if len(server.Received) != 0 {
-				t.Error("the endpoint got a request")
+				t.Error("endpoint received a request, want none")
 			}
 		})
 	}
 }
 
-// A request must not go to a process that has ended, nor to another one at its old address, when a list reports the
-// restart between the choice of a connection and the first byte: it goes out once, on a new connection.
+// A list may report the restart or the new address of an endpoint after a connection was selected and before the
+// request is sent. The request must not be sent to the earlier process, nor to another process at the old address, but
+// exactly once, on a new connection to the new process.
 func TestRestartBeforeRequestIsSent(t *testing.T) {
 	restarted := func(old, _ string) endpoint.Entry {
 		return endpoint.Entry{ID: "s0", Addr: old, State: endpoint.StateServing, StartedAtUnixMs: 7}
@@ -102,7 +105,7 @@
 	}
 	for _, tt := range []struct {
 		name  string
-		idle  bool // on an idle connection, which the restart has not drained yet
+		idle  bool // Use an idle connection to the earlier process that is not closed yet.
 		entry func(old, other string) endpoint.Entry
 	}{
 		{"restarted during the dial", false, restarted},
@@ -132,10 +135,10 @@
 				target = other
 			}
 			if r := testutil.Receive(t, target.Received); r.RemoteAddr == previousConnection {
-				t.Error("it went out on the old connection")
+				t.Error("request was sent on the old connection, want a new connection")
 			}
 			if len(old.Received)+len(other.Received) != 0 {
-				t.Error("it went out twice, or to the old address")
+				t.Error("request was sent twice or to the old address, want once to the new process")
 			}
 		})
 	}
@@ -151,35 +154,35 @@
 	client := newTestClient(t, server.Addr())
 	result, _ := client.HealthCheck(context.Background(), "s0")
 	if path := testutil.Receive(t, server.Received).URL.Path; result != balancer.Served || path != "/healthz" {
-		t.Errorf("result %d, path %s", result, path)
+		t.Errorf("got result %d, path %s, want Served, /healthz", result, path)
 	}
 	client.loadReports = balancer.LoadReportsWithHealthChecks
 	_, response := client.HealthCheck(context.Background(), "s0")
 	if path := testutil.Receive(t, server.Received).URL.Path; path != "/load" {
-		t.Errorf("path %s, want /load", path)
+		t.Errorf("got path %s, want /load", path)
 	}
 	report := response.LoadReport()
 	if report.InFlight != 7 || report.Queue != 2 || report.Utilization != 0.61 || report.Throughput != -1 {
-		t.Errorf("load report %+v", report)
+		t.Errorf("got load report %+v, want in flight 7, queue 2, utilization 0.61, no throughput", report)
 	}
 	status.Store(http.StatusServiceUnavailable)
 	if result, _ := client.HealthCheck(context.Background(), "s0"); result != balancer.ServerError {
-		t.Errorf("result %d, want ServerError", result)
+		t.Errorf("got result %d, want ServerError", result)
 	}
 }
 
-// An attempt that must not begin after a time does not, also where the agent is held up right before its first byte.
+// An attempt must not start after Bounds.NotAfter, even if the process stalls right before the request is sent.
 func TestAttemptNotStartedAfterBound(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
-		timeLeft time.Duration // until the time, as the agent begins to look for a connection
+		timeLeft time.Duration // Time until NotAfter when the attempt is called.
 		stall    time.Duration
 		want     balancer.Result
 	}{
-		{"in time", testutil.Timeout, 0, balancer.Served},
-		{"too late", -time.Second, 0, balancer.NotSent},
-		{"so late that a hold-up of the machine would be too much", 10 * time.Millisecond, 0, balancer.NotSent},
-		{"held up until it is too late", time.Second, 1100 * time.Millisecond, balancer.NotSent},
+		{"before the bound", testutil.Timeout, 0, balancer.Served},
+		{"after the bound", -time.Second, 0, balancer.NotSent},
+		{"within startMargin of the bound", 10 * time.Millisecond, 0, balancer.NotSent},
+		{"delayed past the bound", time.Second, 1100 * time.Millisecond, balancer.NotSent},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
@@ -189,10 +192,10 @@
 			bounds := newBounds(testutil.Timeout)
 			bounds.NotAfter = time.Now().Add(tt.timeLeft)
 			if result, _ := client.Attempt(t.Context(), request, "s0", bounds); result != tt.want {
-				t.Errorf("result %d, want %d", result, tt.want)
+				t.Errorf("got result %d, want %d", result, tt.want)
 			}
 			if served := tt.want == balancer.Served; len(server.Received) > 0 != served {
-				t.Errorf("the endpoint got %d requests", len(server.Received))
+				t.Errorf("endpoint received %d requests, want a request only if served", len(server.Received))
 			}
 		})
 	}
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -10,12 +10,13 @@
 	"ashshunt/internal/testutil"
 )
 
-// localErrnos are errors of socket and connect that say nothing sure of the endpoint.
+// localErrnos are errors of the socket and connect system calls whose cause may be this machine, so that they prove
+// nothing about the endpoint.
 var localErrnos = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN,
 	syscall.ETIMEDOUT, syscall.EAGAIN, syscall.EACCES, syscall.EPERM, syscall.ECONNABORTED}
 
-// failDials has the next dials of a client fail by a cause.
+// failDials makes the next count dials of a client fail with cause.
 func failDials(client *Client, count int32, cause error) {
 	var dials atomic.Int32
 	client.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
@@ -26,7 +27,7 @@
 	}
 }
 
-// A connection that fails for a moment, by a cause that may be this machine's own, comes up within the connect timeout
+// A dial that fails temporarily, with an error whose cause may be this machine, is retried within the connect timeout,
 // for attempts and for health checks.
 func TestLocalConnectFailures(t *testing.T) {
 	for _, cause := range localErrnos {
@@ -38,7 +39,7 @@
 			client.CloseIdle("s0")
 			failDials(client, 5, cause)
 			if result, _ := client.HealthCheck(t.Context(), "s0"); result != balancer.Served {
-				t.Errorf("health check: result %d, want Served", result)
+				t.Errorf("health check: got result %d, want Served", result)
 			}
 		})
 	}
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -17,7 +17,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// Responses and parts of them.
+// Complete and partial responses.
 const (
 	okHead             = "HTTP/1.1 200 OK\r\n"
 	okResponse         = okHead + "Content-Length: 2\r\n\r\nok"
@@ -31,8 +31,8 @@
 	truncatedBody      = okHead + "Content-Length: 9\r\n\r\nhalf"
 )
 
-// The protocol's table of outcomes, on which the rule on repeated requests rests. A request goes out only once for
-// one attempt.
+// Retries depend on the result of an attempt, so each kind of response must have the result that the protocol defines.
+// The request must be sent exactly once.
 func TestAttemptResults(t *testing.T) {
 	endlessHead := okHead + strings.Repeat("A: b\r\n", 1<<16)
 	endlessInformational := strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)
@@ -46,30 +46,30 @@
 		{"served", testutil.Echo, testutil.Timeout, balancer.Served},
 		{"error", respond(500, "no"), testutil.Timeout, balancer.ServerError},
 		{"rejected", respondRejected(503), testutil.Timeout, balancer.Rejected},
-		{"rejected as too late", respondRejected(504), testutil.Timeout, balancer.Rejected},
-		{"503 without a mark", respond(503, ""), testutil.Timeout, balancer.ServerError},
-		{"an unknown status", respond(302, ""), testutil.Timeout, balancer.ServerError},
-		{"an error marked as rejected", respondRejected(500), testutil.Timeout, balancer.ServerError},
+		{"rejected after the deadline", respondRejected(504), testutil.Timeout, balancer.Rejected},
+		{"503 without X-Rejected", respond(503, ""), testutil.Timeout, balancer.ServerError},
+		{"undefined status", respond(302, ""), testutil.Timeout, balancer.ServerError},
+		{"500 with X-Rejected", respondRejected(500), testutil.Timeout, balancer.ServerError},
 		{"closed without a response", respondAndClose(""), testutil.Timeout, balancer.Reset},
-		{"half a head", respondAndClose(okHead + "Cont"), testutil.Timeout, balancer.Reset},
-		{"half a body", respondAndClose(truncatedBody), testutil.Timeout, balancer.Reset},
-		{"half a chunked body", respondAndClose(chunkedHead + "4\r\nhalf\r\n"), testutil.Timeout, balancer.Reset},
+		{"truncated head", respondAndClose(okHead + "Cont"), testutil.Timeout, balancer.Reset},
+		{"truncated body", respondAndClose(truncatedBody), testutil.Timeout, balancer.Reset},
+		{"truncated chunked body", respondAndClose(chunkedHead + "4\r\nhalf\r\n"), testutil.Timeout, balancer.Reset},
 		{"not HTTP", respondAndClose("220 mail\r\n\r\n"), testutil.Timeout, balancer.ServerError},
-		{"an endless head", respondAndClose(endlessHead), testutil.Timeout, balancer.ServerError},
-		{"informational responses ahead", respondAndClose(informational + okResponse), testutil.Timeout, balancer.Served},
-		{"endless informational responses", respondAndClose(endlessInformational), testutil.Timeout, balancer.ServerError},
-		{"another protocol", respondAndClose(switchingProtocols + okResponse), testutil.Timeout, balancer.ServerError},
-		{"chunks", respondAndClose(chunkedHead + "2\r\nok\r\n0\r\n\r\n"), testutil.Timeout, balancer.Served},
-		{"noise, then silence", respondAndHang("\x00\xff\x17"), testutil.Timeout, balancer.ServerError},
-		{"a body that stalls", respondAndHang(truncatedBody), testutil.Timeout, balancer.ServerError},
-		{"a body of 3 GB", respondAndHang(oversizedLength), testutil.Timeout, balancer.ServerError},
-		{"two lengths", respondAndHang(twoLengths), testutil.Timeout, balancer.ServerError},
-		{"length and encoding", respondAndHang(bothFramings), testutil.Timeout, balancer.ServerError},
-		{"a negative length", respondAndHang(negativeLength), testutil.Timeout, balancer.ServerError},
-		{"no length", respondAndHang(okHead + "\r\nbody"), testutil.Timeout, balancer.ServerError},
-		{"too large a body", respond(200, largestBody+"x"), testutil.Timeout, balancer.ServerError},
-		{"the largest body", respond(200, largestBody), testutil.Timeout, balancer.Served},
-		{"silence", testutil.Hang, time.Second, balancer.TimedOut},
+		{"endless head", respondAndClose(endlessHead), testutil.Timeout, balancer.ServerError},
+		{"1xx responses first", respondAndClose(informational + okResponse), testutil.Timeout, balancer.Served},
+		{"endless 1xx responses", respondAndClose(endlessInformational), testutil.Timeout, balancer.ServerError},
+		{"status 101", respondAndClose(switchingProtocols + okResponse), testutil.Timeout, balancer.ServerError},
+		{"chunked body", respondAndClose(chunkedHead + "2\r\nok\r\n0\r\n\r\n"), testutil.Timeout, balancer.Served},
+		{"binary data, then no data", respondAndHang("\x00\xff\x17"), testutil.Timeout, balancer.ServerError},
+		{"stalled body", respondAndHang(truncatedBody), testutil.Timeout, balancer.ServerError},
+		{"Content-Length of 3 GB", respondAndHang(oversizedLength), testutil.Timeout, balancer.ServerError},
+		{"two Content-Length headers", respondAndHang(twoLengths), testutil.Timeout, balancer.ServerError},
+		{"Content-Length and Transfer-Encoding", respondAndHang(bothFramings), testutil.Timeout, balancer.ServerError},
+		{"negative Content-Length", respondAndHang(negativeLength), testutil.Timeout, balancer.ServerError},
+		{"no Content-Length, kept open", respondAndHang(okHead + "\r\nbody"), testutil.Timeout, balancer.ServerError},
+		{"body over the limit", respond(200, largestBody+"x"), testutil.Timeout, balancer.ServerError},
+		{"body at the limit", respond(200, largestBody), testutil.Timeout, balancer.Served},
+		{"no response", testutil.Hang, time.Second, balancer.TimedOut},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -78,20 +78,20 @@
 			client := newTestClient(t, server.Addr())
 			result, response := client.attempt(tt.timeout)
 			if result != tt.want {
-				t.Errorf("result %d, want %d", result, tt.want)
+				t.Errorf("got result %d, want %d", result, tt.want)
 			}
 			if response.Err != nil && result == balancer.ServerError && !errors.Is(response.Err, ErrMalformedResponse) {
-				t.Errorf("error %v, want ErrMalformedResponse", response.Err)
+				t.Errorf("got error %v, want ErrMalformedResponse", response.Err)
 			}
 			if n := len(server.Received); n != 1 {
-				t.Errorf("the endpoint got %d requests for one attempt", n)
+				t.Errorf("endpoint received %d requests, want 1 for one attempt", n)
 			}
 		})
 	}
 }
 
-// A reused connection that breaks after the write may have run its request, even if nothing came back, and nothing
-// may send that again by itself.
+// If a reused connection fails after the request was written, the request may have run although no response was
+// received. The result must be Reset, and the request must not be resent automatically, as http.Transport would.
 func TestReusedConnectionFails(t *testing.T) {
 	var requests atomic.Int32
 	server := testutil.NewServer(t, func(conn net.Conn, request *http.Request, body []byte) bool {
@@ -103,14 +103,14 @@
 	client := newTestClient(t, server.Addr())
 	client.mustServe(t)
 	if result, _ := client.attempt(testutil.Timeout); result != balancer.Reset {
-		t.Errorf("second: result %d, want Reset", result)
+		t.Errorf("second attempt: got result %d, want Reset", result)
 	}
 	if len(server.Received) != 2 {
-		t.Errorf("the endpoint got %d requests for two attempts", len(server.Received))
+		t.Errorf("endpoint received %d requests, want 2 for two attempts", len(server.Received))
 	}
 }
 
-// A cancelled attempt closes its connection, on which it would still count.
+// A cancelled attempt must close its connection, or the endpoint would still count the request.
 func TestCancelClosesConnection(t *testing.T) {
 	ignoreRequest := func(net.Conn, *http.Request, []byte) bool { return true }
 	server := testutil.NewServer(t, ignoreRequest)
@@ -124,13 +124,13 @@
 	testutil.Receive(t, server.Received)
 	cancel()
 	if result := testutil.Receive(t, results); result != balancer.Cancelled {
-		t.Errorf("result %d, want Cancelled", result)
+		t.Errorf("got result %d, want Cancelled", result)
 	}
 	testutil.Receive(t, server.Closed)
 }
 
-// Bytes behind a response must not be read as the response to the next request: the good response before them counts,
-// and the connection is not used again.
+// Bytes after a response must not be read as the response to the next request. The response before them is valid, and
+// the connection must not be reused.
 func TestBytesAfterResponse(t *testing.T) {
 	const doubled = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid xHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndid x"
 	sendMore := make(chan struct{})
@@ -145,8 +145,8 @@
 		respond handler
 		late    bool
 	}{
-		{"at once", respondRaw(doubled), false},
-		{"later, while idle", respondAgainLater, true},
+		{"together with the response", respondRaw(doubled), false},
+		{"later, on the idle connection", respondAgainLater, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			client := newTestClient(t, testutil.NewServer(t, tt.respond).Addr())
@@ -154,7 +154,7 @@
 			for i := range 3 {
 				result, response := client.attempt(testutil.Timeout)
 				if result != balancer.Served || string(response.Body) != "did x" {
-					t.Fatalf("request %d: result %d, body %q", i, result, response.Body)
+					t.Fatalf("request %d: got result %d, body %q, want Served, \"did x\"", i, result, response.Body)
 				}
 				if tt.late {
 					sendMore <- struct{}{}
@@ -165,8 +165,8 @@
 	}
 }
 
-// A response with no length ends with its connection: it is complete if that was closed, and not if it was reset or
-// brings no more.
+// A response without a length ends when its connection is closed. It is incomplete if the connection is reset, or stays
+// open without more data.
 func TestResponsesWithoutLength(t *testing.T) {
 	const body = "as long as it is"
 	largestBody := strings.Repeat("x", protocol.MaxBodySize)
@@ -178,9 +178,9 @@
 	}{
 		{"closed", respondAndClose(okHead + "Connection: close\r\n\r\n" + body), balancer.Served, body},
 		{"closed, HTTP/1.0", respondAndClose("HTTP/1.0 200 OK\r\n\r\n" + body), balancer.Served, body},
-		{"closed, no word on the connection", respondAndClose(okHead + "\r\n" + body), balancer.Served, body},
-		{"closed, the largest body", respondAndClose(okHead + "\r\n" + largestBody), balancer.Served, largestBody},
-		{"closed, too large a body", respondAndClose(okHead + "\r\n" + largestBody + "x"), balancer.ServerError, ""},
+		{"closed, no Connection header", respondAndClose(okHead + "\r\n" + body), balancer.Served, body},
+		{"closed, body at the limit", respondAndClose(okHead + "\r\n" + largestBody), balancer.Served, largestBody},
+		{"closed, body over the limit", respondAndClose(okHead + "\r\n" + largestBody + "x"), balancer.ServerError, ""},
 		{"closed within the head", respondAndClose(okHead + "Connection: close\r\n"), balancer.Reset, ""},
 		{"reset", respondAndReset(t, okHead+"\r\n"+body), balancer.Reset, ""},
 		{"kept open", respondAndHang(okHead + "\r\n" + body), balancer.ServerError, ""},
@@ -191,17 +191,17 @@
 			client := newTestClient(t, testutil.NewServer(t, tt.respond).Addr())
 			result, response := client.attempt(testutil.Timeout)
 			if result != tt.want || string(response.Body) != tt.body {
-				t.Errorf("result %d, want %d, with a body of %d bytes: %v",
+				t.Errorf("got result %d, want %d; got a body of %d bytes, error %v",
 					result, tt.want, len(response.Body), response.Err)
 			}
 			if open := client.OpenConnections(); open != 0 {
-				t.Errorf("%d connections are still open", open)
+				t.Errorf("got %d open connections, want 0", open)
 			}
 		})
 	}
 }
 
-// failingConn is a connection that breaks by a cause once the request is written.
+// failingConn is a connection whose writes succeed and whose reads fail with cause.
 type failingConn struct {
 	net.Conn
 	cause error
@@ -212,7 +212,7 @@
 func (c failingConn) SetDeadline(time.Time) error     { return nil }
 func (c failingConn) SetReadDeadline(time.Time) error { return nil }
 
-// A connection that breaks is no time-out, whatever the system calls it.
+// A failed connection must be classified as Reset even if the system error is a timeout, such as ETIMEDOUT.
 func TestConnectionErrorsAreResets(t *testing.T) {
 	for _, cause := range []error{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
 		syscall.EPIPE, syscall.ENETDOWN, syscall.ECONNABORTED} {
@@ -220,7 +220,7 @@
 		deadline := time.Now().Add(testutil.Timeout)
 		outcome := roundTrip(context.Background(), conn, []byte("x"), deadline, testutil.Timeout)
 		if result := classify(outcome, false); result != balancer.Reset {
-			t.Errorf("%v: result %d, want Reset", cause, result)
+			t.Errorf("%v: got result %d, want Reset", cause, result)
 		}
 	}
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -16,10 +16,10 @@
 	"ashshunt/internal/testutil"
 )
 
-// handler answers a request on its connection and reports whether that stays open.
+// handler responds to a request on its connection and reports whether the connection stays open.
 type handler = func(conn net.Conn, request *http.Request, body []byte) bool
 
-// newTestClient returns a client to which the given addresses are the endpoints s0, s1 and so on.
+// newTestClient returns a client whose endpoints s0, s1, ... have the given addresses.
 func newTestClient(t *testing.T, addrs ...string) *Client {
 	t.Helper()
 	list := endpoint.List{Complete: true}
@@ -52,7 +52,7 @@
 	}
 }
 
-// newBounds returns the bounds of an attempt with a timeout.
+// newBounds returns the bounds of an attempt with the given timeout.
 func newBounds(timeout time.Duration) Bounds { return Bounds{Deadline: time.Now().Add(timeout)} }
 
 // attempt sends an unsafe request to the endpoint s0.
@@ -60,7 +60,7 @@
 	return c.Attempt(context.Background(), newUnsafeRequest(), "s0", newBounds(timeout))
 }
 
-// startAttempt is attempt on a goroutine of its own, which passes the result on.
+// startAttempt calls attempt on a new goroutine and sends the result to results.
 func (c *Client) startAttempt(results chan<- balancer.Result) {
 	go func() {
 		result, _ := c.attempt(testutil.Timeout)
@@ -68,23 +68,23 @@
 	}()
 }
 
-// mustServe fails the test unless an attempt is served.
+// mustServe makes an attempt and fails the test unless it is served.
 func (c *Client) mustServe(t *testing.T) {
 	t.Helper()
 	if result, _ := c.attempt(testutil.Timeout); result != balancer.Served {
-		t.Fatalf("result %d, want Served", result)
+		t.Fatalf("got result %d, want Served", result)
 	}
 }
 
-// oldestIdle returns the connection to s0 that has been idle for longest.
+// oldestIdle returns the connection to s0 that has been idle for the longest time.
 func (c *Client) oldestIdle() net.Conn {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	return c.pool.groups["s0"].idle[0].netConn
 }
 
-// newClientWithTwoIdle returns a client with two idle connections to one server. After a value on next, the server
-// hands one request to exceptional.
+// newClientWithTwoIdle returns a client with two idle connections to one server. After a value is sent to next, the
+// server handles one request with exceptional.
 func newClientWithTwoIdle(t *testing.T, exceptional handler) (client *Client, next chan<- struct{}) {
 	t.Helper()
 	trigger, gate := make(chan struct{}, 1), make(chan struct{})
@@ -99,7 +99,7 @@
 	})
 	client = newTestClient(t, server.Addr())
 	results := make(chan balancer.Result, 2)
-	for range 2 { // at the same time, for which they need two connections
+	for range 2 { // The attempts run concurrently, so that they need two connections.
 		client.startAttempt(results)
 	}
 	for range 2 {
@@ -108,13 +108,14 @@
 	close(gate)
 	for range 2 {
 		if result := testutil.Receive(t, results); result != balancer.Served {
-			t.Fatalf("result %d, want Served", result)
+			t.Fatalf("got result %d, want Served", result)
 		}
 	}
 	return client, trigger
 }
 
-// listenWithFullBacklog returns an address whose connections never come up, as with a machine that vanished.
+// listenWithFullBacklog returns an address on which connections are never established, as with a machine that has
+// vanished. The backlog of its listener is full.
 func listenWithFullBacklog(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -134,21 +135,21 @@
 	}
 	inet, ok := name.(*syscall.SockaddrInet4)
 	if !ok {
-		t.Fatalf("bound to a %T", name)
+		t.Fatalf("got a socket address of type %T, want *syscall.SockaddrInet4", name)
 	}
 	addr := fmt.Sprintf("127.0.0.1:%d", inet.Port)
-	for range 20 { // nobody accepts them
+	for range 20 { // The listener accepts no connections.
 		conn, err := net.DialTimeout("tcp", addr, time.Second)
 		if err != nil {
 			return addr
 		}
 		t.Cleanup(func() { _ = conn.Close() })
 	}
-	t.Skip("this system takes connections without end")
+	t.Skip("this system accepts connections beyond the backlog")
 	return ""
 }
 
-// respondRejected answers with a status and the mark of a rejected request.
+// respondRejected responds with a status and the X-Rejected header.
 func respondRejected(status int) handler {
 	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
 		testutil.Respond(conn, status, "X-Rejected: 1\r\n", "")
@@ -156,7 +157,7 @@
 	}
 }
 
-// respond answers with a status and a body.
+// respond responds with a status and a body.
 func respond(status int, body string) handler {
 	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
 		testutil.Respond(conn, status, "", body)
@@ -164,7 +165,7 @@
 	}
 }
 
-// respondRaw answers with raw bytes.
+// respondRaw responds with raw bytes.
 func respondRaw(text string) handler {
 	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
 		write(conn, text)
@@ -172,7 +173,7 @@
 	}
 }
 
-// respondAndClose answers with raw bytes and closes the connection.
+// respondAndClose responds with raw bytes and closes the connection.
 func respondAndClose(text string) handler {
 	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
 		write(conn, text)
@@ -180,7 +181,7 @@
 	}
 }
 
-// respondAndHang answers with raw bytes, keeps the connection open and says no more.
+// respondAndHang responds with raw bytes, then keeps the connection open without sending more.
 func respondAndHang(text string) handler {
 	return func(conn net.Conn, request *http.Request, body []byte) bool {
 		write(conn, text)
@@ -188,14 +189,14 @@
 	}
 }
 
-// respondAndReset answers with raw bytes and resets the connection.
+// respondAndReset responds with raw bytes and resets the connection.
 func respondAndReset(t *testing.T, text string) handler {
 	t.Helper()
 	return func(conn net.Conn, _ *http.Request, _ []byte) bool {
 		write(conn, text)
 		tcpConn, ok := conn.(*net.TCPConn)
 		if !ok {
-			t.Errorf("connection %T", conn)
+			t.Errorf("got a connection of type %T, want *net.TCPConn", conn)
 		} else if err := tcpConn.SetLinger(0); err != nil {
 			t.Error(err)
 		}
@@ -203,5 +204,5 @@
 	}
 }
 
-// write sends raw bytes. The client may have given up on them by then.
+// write sends raw bytes. It ignores errors, since the client may have closed the connection.
 func write(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -21,37 +21,37 @@
 	for range 5 {
 		result, response := client.attempt(testutil.Timeout)
 		if result != balancer.Served || string(response.Body) != "did x" {
-			t.Fatalf("result %d, body %q", result, response.Body)
+			t.Fatalf("got result %d, body %q, want Served, \"did x\"", result, response.Body)
 		}
 		connections[testutil.Receive(t, server.Received).RemoteAddr] = true
 	}
 	if len(connections) != 1 {
-		t.Errorf("5 requests one after the other took %d connections", len(connections))
+		t.Errorf("5 sequential requests used %d connections, want 1", len(connections))
 	}
 }
 
-// A connection that the endpoint has closed while it was idle is not written to: the request would end as a reset,
-// which an unsafe one does not survive.
+// A connection that the endpoint closed while it was idle must not be reused: the attempt would end with Reset, and an
+// unsafe request can't be retried after that.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	var requests atomic.Int32
 	server := testutil.NewServer(t, func(conn net.Conn, request *http.Request, body []byte) bool {
 		testutil.Echo(conn, request, body)
-		return requests.Add(1) > 1 // closes the first connection after its response, unannounced
+		return requests.Add(1) > 1 // Close the first connection after its response, without a Connection header.
 	})
 	client := newTestClient(t, server.Addr())
 	client.mustServe(t)
 	testutil.Eventually(t, "the close", func() bool { return socket.Peek(client.oldestIdle()) != socket.Quiet })
-	client.mustServe(t) // on a new connection
+	client.mustServe(t) // Uses a new connection.
 }
 
-// The agent closes idle connections before the endpoint does.
+// The pool closes connections that exceed its idle timeout, which is below that of the endpoints.
 func TestIdleTimeout(t *testing.T) {
 	server := testutil.NewServer(t, testutil.Echo)
 	client := newTestClient(t, server.Addr())
 	client.pool.idleTimeout = 10 * time.Millisecond
 	client.mustServe(t)
 	testutil.Receive(t, server.Closed)
-	testutil.Eventually(t, "the pool to forget it", func() bool { return client.OpenConnections() == 0 })
+	testutil.Eventually(t, "the pool to remove the connection", func() bool { return client.OpenConnections() == 0 })
 }
 
 func TestIdleTimeoutFromOptions(t *testing.T) {
@@ -61,26 +61,27 @@
 	} {
 		client := New(Options{EndpointIdleTimeout: idleClose})
 		if got := client.pool.idleTimeout; got != want {
-			t.Errorf("endpoints close after %v: the pool does after %v, want %v", idleClose, got, want)
+			t.Errorf("endpoint idle timeout %v: got pool idle timeout %v, want %v", idleClose, got, want)
 		}
 	}
 }
 
-// Idle connections to a machine that vanished swallow what is written to them, and an unsafe request never gets
-// another attempt.
+// If a machine has vanished, requests on its idle connections are lost without an error, and unsafe requests can't be
+// retried. After a timeout, the idle connections to the endpoint must therefore be closed.
 func TestTimeoutClosesIdleConnections(t *testing.T) {
 	client, next := newClientWithTwoIdle(t, testutil.Hang)
 	next <- struct{}{}
 	if result, _ := client.attempt(time.Second); result != balancer.TimedOut {
-		t.Fatalf("result %d, want TimedOut", result)
+		t.Fatalf("got result %d, want TimedOut", result)
 	}
 	if n := client.OpenConnections(); n != 0 {
-		t.Errorf("%d connections are left to a silent endpoint", n)
+		t.Errorf("got %d open connections after a timeout, want 0", n)
 	}
 }
 
-// A busy connection that breaks says nothing about the others, which would cost a handshake each; one that breaks after
-// it was idle shows that those that were idle for as long are dead as well.
+// If a connection fails that was idle before, connections that were idle for as long are presumed dead and must be
+// closed. The failure of a connection that was not idle implies nothing about the others, and closing them would cost
+// one handshake each.
 func TestIdleConnectionsAfterFailure(t *testing.T) {
 	closeConnection := func(net.Conn, *http.Request, []byte) bool { return false }
 	for _, tt := range []struct {
@@ -88,38 +89,38 @@
 		idleDuration time.Duration
 		wantOpen     int
 	}{
-		{"in full use", 0, 1},
-		{"after it was idle", time.Minute, 0},
+		{"not idle before", 0, 1},
+		{"idle before", time.Minute, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			client, next := newClientWithTwoIdle(t, closeConnection)
 			client.pool.mu.Lock()
-			for i, conn := range client.pool.groups["s0"].idle { // the older one first
+			for i, conn := range client.pool.groups["s0"].idle { // Oldest first.
 				conn.idleSince = time.Now().Add(-tt.idleDuration - time.Duration(1-i)*time.Microsecond)
 			}
 			client.pool.mu.Unlock()
 			client.pool.idleTimeout = time.Hour
 			next <- struct{}{}
 			if result, _ := client.attempt(testutil.Timeout); result != balancer.Reset {
-				t.Fatalf("result %d, want Reset", result)
+				t.Fatalf("got result %d, want Reset", result)
 			}
 			if n := client.OpenConnections(); n != tt.wantOpen {
-				t.Errorf("%d connections are left, want %d", n, tt.wantOpen)
+				t.Errorf("got %d open connections, want %d", n, tt.wantOpen)
 			}
 		})
 	}
 }
 
-// A connection in use stays when others are closed over one that failed, as when an endpoint takes no more of them;
-// one to a process that was restarted closes with its response.
+// CloseIdle must not affect a connection in use: for example, an endpoint that refuses new connections may still
+// respond on the existing ones. DrainConnections closes a connection in use after its response.
 func TestConnectionsInUse(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		event    func(client *Client)
 		wantOpen int
 	}{
-		{"another one failed", func(client *Client) { client.CloseIdle("s0") }, 1},
-		{"drained", func(client *Client) { client.DrainConnections("s0") }, 0},
+		{"close idle", func(client *Client) { client.CloseIdle("s0") }, 1},
+		{"drain", func(client *Client) { client.DrainConnections("s0") }, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			gate := make(chan struct{})
@@ -135,13 +136,14 @@
 			close(gate)
 			result := testutil.Receive(t, results)
 			if open := client.OpenConnections(); result != balancer.Served || open != tt.wantOpen {
-				t.Errorf("result %d, %d connections open, want %d", result, open, tt.wantOpen)
+				t.Errorf("got result %d, %d open connections, want Served, %d", result, open, tt.wantOpen)
 			}
 		})
 	}
 }
 
-// At the limit an idle connection elsewhere makes room; when none is idle the attempt fails unsent.
+// At the connection limit, a dial evicts an idle connection to another endpoint. If none is idle, the attempt fails
+// without sending the request.
 func TestConnectionLimit(t *testing.T) {
 	first, second := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
 	client := newTestClient(t, first.Addr(), second.Addr())
@@ -149,18 +151,18 @@
 	client.mustServe(t)
 	result, _ := client.Attempt(context.Background(), newUnsafeRequest(), "s1", newBounds(testutil.Timeout))
 	if result != balancer.Served {
-		t.Errorf("result %d, want Served in place of the idle connection", result)
+		t.Errorf("got result %d, want Served after the eviction of the idle connection", result)
 	}
 	testutil.Receive(t, first.Closed)
 	inUse := client.pool.takeIdle("s1")
 	result, response := client.attempt(testutil.Timeout)
 	if result != balancer.LocalFailure || !errors.Is(response.Err, ErrPoolExhausted) {
-		t.Errorf("result %d, error %v, want LocalFailure at the limit", result, response.Err)
+		t.Errorf("got result %d, error %v, want LocalFailure with ErrPoolExhausted", result, response.Err)
 	}
 	client.pool.close(inUse)
 }
 
-// Nothing is kept of an endpoint without connections.
+// The pool must not keep a group for an endpoint without connections, or it would grow with each endpoint.
 func TestPoolRemovesEmptyGroups(t *testing.T) {
 	server := testutil.NewServer(t, testutil.Echo)
 	client := newTestClient(t, server.Addr())
@@ -168,6 +170,6 @@
 	client.DrainConnections("s0")
 	client.DrainConnections("s1")
 	if n := len(client.pool.groups); n != 0 || client.OpenConnections() != 0 {
-		t.Errorf("%d groups and %d connections are left", n, client.OpenConnections())
+		t.Errorf("got %d groups and %d connections, want none", n, client.OpenConnections())
 	}
 }
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -7,13 +7,13 @@
 	"ashshunt/internal/protocol"
 )
 
-// A load report that can't be read counts as none.
+// A malformed load report counts as no report.
 func TestMalformedLoadReports(t *testing.T) {
 	for _, text := range []string{"", "inflight=7", "TEXT inflight=NaN", "TEXT inflight=1, queue=+Inf", "TEXT util=-1",
 		"TEXT inflight=1e999", "TEXT inflight", "TEXT \x01"} {
 		response := Response{Header: textproto.MIMEHeader{protocol.HeaderLoadReport: {text}}}
 		if report := response.LoadReport(); report.Valid {
-			t.Errorf("%q was read as %+v", text, report)
+			t.Errorf("load report %q: got valid report %+v, want an invalid one", text, report)
 		}
 	}
 }
