--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -12,11 +12,11 @@
 	client, _ := newClient(t, false)
 	client.source.backoff.failures = maxDoublings
 	client.source.backoff.baseDelay = time.Hour
-	client.source.pending = &watch{} // so that none is started
+	client.source.pending = &watch{} // A pending watch prevents restartWatch from starting one.
 	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
 	if client.restartWatch(ctx); ctx.Err() != nil {
-		t.Error("the delay before a watch outlasts the grace for draining endpoints")
+		t.Error("restartWatch did not return in time, want a delay below the drain grace")
 	}
 }
 
@@ -25,11 +25,11 @@
 	b := newBackoff(baseDelay, 4*maxDelay, 1)
 	for _, bound := range []time.Duration{baseDelay, 2 * baseDelay, 4 * baseDelay, maxDelay, maxDelay} {
 		if delay := b.next(); delay < 0 || delay > bound {
-			t.Errorf("delay %v, want at most %v", delay, bound)
+			t.Errorf("got delay %v, want 0 to %v", delay, bound)
 		}
 	}
 	b.reset()
 	if delay := b.next(); delay > baseDelay {
-		t.Errorf("delay %v after a reset, want at most %v", delay, baseDelay)
+		t.Errorf("after a reset: got delay %v, want at most %v", delay, baseDelay)
 	}
 }
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -22,10 +22,10 @@
 		text        string
 		want        error
 	}{
-		"silent":    {since: 1, idleTimeout: 100 * time.Millisecond, want: errWatchTimeout},
+		"idle":      {since: 1, idleTimeout: 100 * time.Millisecond, want: errWatchTimeout},
 		"malformed": {since: 1, idleTimeout: testutil.Timeout, text: "{}", want: endpoint.ErrMalformedList},
-		"too long":  {since: 1, idleTimeout: testutil.Timeout, text: endless, want: errListTooLarge},
-		"changes first": {
+		"too large": {since: 1, idleTimeout: testutil.Timeout, text: endless, want: errListTooLarge},
+		"delta first": {
 			since: unknownVersion, idleTimeout: testutil.Timeout, text: deltaListJSON(2), want: errDeltaBeforeComplete,
 		},
 	} {
@@ -38,13 +38,14 @@
 			server.Say <- tt.text
 			err := client.runWatch(context.Background(), client.source.addWatch(func() {}))
 			if !errors.Is(err, tt.want) {
-				t.Errorf("error %v, want %v", err, tt.want)
+				t.Errorf("got error %v, want %v", err, tt.want)
 			}
 		})
 	}
 }
 
-// A refusal, unlike another failure, proves that discovery could not be reached until then.
+// A refused request must have the event ListRefused and not ListFailed: only a refusal proves that discovery was not
+// reachable until then.
 func TestRefusedCalls(t *testing.T) {
 	refuse := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	server := httptest.NewServer(http.HandlerFunc(refuse))
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -14,7 +14,8 @@
 	"ashshunt/internal/testutil"
 )
 
-// newOptions returns the options of a client with a configuration, and the channel that its events come out of.
+// newOptions returns the options of a client with the given configuration, and the channel to which the client sends
+// its events.
 func newOptions(t *testing.T, c *config.Config) (Options, chan balancer.EndpointList) {
 	t.Helper()
 	events := make(chan balancer.EndpointList, 10)
@@ -32,12 +33,15 @@
 		ConnectTimeout:     c.Settings.ConnectTimeout,
 		DrainGrace:         c.Settings.DrainGrace,
 		Seed:               c.Seed,
-		SlowStart:          SlowStart{Duration: c.Settings.SlowStartDuration, MinCapacity: c.Settings.SlowStartMinCapacity},
+		SlowStart: SlowStart{
+			Duration:    c.Settings.SlowStartDuration,
+			MinCapacity: c.Settings.SlowStartMinCapacity,
+		},
 	}, events
 }
 
-// newClient returns a client whose discovery does not answer, and its settings. subscribe: the decision module decides
-// when to watch.
+// newClient returns a client without a discovery service, and its settings. subscribe is Settings.Subscribe: the
+// decision module, and not the client, decides when to watch.
 func newClient(t *testing.T, subscribe bool) (*Client, balancer.Settings) {
 	t.Helper()
 	c := testutil.Config(t, "127.0.0.1:1")
@@ -46,12 +50,13 @@
 	return New(options), c.Settings
 }
 
-// newSubscribedClient returns a client that has the endpoints s0 and s1, by version 1, in its cached list and has begun to watch
-// discovery. silence is the timeout of its watches and calls.
+// newSubscribedClient returns a client that has a cached list of version 1 with the endpoints s0 and s1, and has
+// subscribed to the discovery service. timeout is its idle timeout and its call timeout.
 func newSubscribedClient(t *testing.T, server *testutil.Discovery,
 	timeout time.Duration) (*Client, chan balancer.EndpointList) {
 	t.Helper()
-	options, events := newOptions(t, testutil.Config(t, server.Addr, entryJSON("s0", "SERVING"), entryJSON("s1", "SERVING")))
+	options, events := newOptions(t,
+		testutil.Config(t, server.Addr, entryJSON("s0", "SERVING"), entryJSON("s1", "SERVING")))
 	options.IdleTimeout, options.CallTimeout = timeout, timeout
 	client := New(options)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -60,28 +65,28 @@
 	return client, events
 }
 
-// entryJSON is one entryJSON of a list, as discovery writes it.
+// entryJSON returns an entry of a list in the JSON format of discovery.
 func entryJSON(id string, state endpoint.State) string {
 	return testutil.EntryJSON(id, "127.0.0.1:1", string(state))
 }
 
-// completeListJSON is a list with all entries, as discovery writes it.
+// completeListJSON returns a complete list in the JSON format of discovery.
 func completeListJSON(version int, entries ...string) string { return listJSON(version, true, entries) }
 
-// deltaListJSON is a list with the entries that changed, as discovery writes it.
+// deltaListJSON returns a list of changed entries in the JSON format of discovery.
 func deltaListJSON(version int, entries ...string) string { return listJSON(version, false, entries) }
 
 func listJSON(version int, complete bool, entries []string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, complete, strings.Join(entries, ","))
 }
 
-// expectEvent checks the kind of the next event and the number of its entries.
+// expectEvent receives the next event and verifies its kind and its number of entries.
 func expectEvent(t *testing.T, events <-chan balancer.EndpointList, kind balancer.ListKind,
 	entries int) balancer.EndpointList {
 	t.Helper()
 	event := testutil.Receive(t, events)
 	if event.Kind != kind || len(event.Endpoints) != entries {
-		t.Errorf("event %+v, want kind %d with %d entries", event, kind, entries)
+		t.Errorf("got event %+v, want kind %d with %d entries", event, kind, entries)
 	}
 	return event
 }
@@ -91,18 +96,18 @@
 	expectEvent(t, events, balancer.ListFailed, 0)
 }
 
-// expectWatch checks the query of the next watch.
+// expectWatch waits for the next watch and verifies its query.
 func expectWatch(t *testing.T, server *testutil.Discovery, query string) {
 	t.Helper()
 	if got := testutil.Receive(t, server.Watches); got != query {
-		t.Errorf("watched with %q, want %q", got, query)
+		t.Errorf("got a watch with query %q, want %q", got, query)
 	}
 }
 
-// expectServing checks whether attempts may go to an endpoint.
+// expectServing verifies whether the endpoint table lists an endpoint as serving.
 func expectServing(t *testing.T, client *Client, id string, want bool) {
 	t.Helper()
 	if _, serving := client.table.LookupServing(id); serving != want {
-		t.Errorf("endpoint %s: serving %v, want %v", id, serving, want)
+		t.Errorf("endpoint %s: got serving %v, want %v", id, serving, want)
 	}
 }
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -15,21 +15,22 @@
 	client, events := newSubscribedClient(t, server, testutil.Timeout)
 	client.Poll(context.Background())
 	if event := expectEvent(t, events, balancer.ListComplete, 1); event.Endpoints[0].ID != "s7" {
-		t.Errorf("event %+v", event)
+		t.Errorf("got event %+v, want endpoint s7", event)
 	}
 }
 
-// A list must not be applied in part: endpoints would look as if they were gone.
+// A malformed list must be rejected as a whole: if only its valid entries were applied, the other endpoints would be
+// removed.
 func TestMalformedLists(t *testing.T) {
 	good := entryJSON("s0", "SERVING")
 	for name, text := range map[string]string{
-		"no JSON":          `{"version":2,"servers":[}`,
-		"no version":       `{"full":true,"servers":[` + good + `]}`,
-		"no servers":       `{"version":2,"full":true}`,
-		"no id":            completeListJSON(2, entryJSON("", "SERVING")),
-		"an unknown state": completeListJSON(2, strings.Replace(good, "SERVING", "ASLEEP", 1)),
-		"a bad address":    completeListJSON(2, testutil.EntryJSON("s0", "here", "SERVING")),
-		"a bad type":       `{"version":2,"full":true,"servers":{}}`,
+		"invalid JSON":    `{"version":2,"servers":[}`,
+		"no version":      `{"full":true,"servers":[` + good + `]}`,
+		"no servers":      `{"version":2,"full":true}`,
+		"no id":           completeListJSON(2, entryJSON("", "SERVING")),
+		"unknown state":   completeListJSON(2, strings.Replace(good, "SERVING", "ASLEEP", 1)),
+		"invalid address": completeListJSON(2, testutil.EntryJSON("s0", "here", "SERVING")),
+		"invalid type":    `{"version":2,"full":true,"servers":{}}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := testutil.NewDiscovery(t)
@@ -37,16 +38,16 @@
 			client, events := newSubscribedClient(t, server, testutil.Timeout)
 			testutil.Receive(t, server.Watches)
 			server.Say <- text
-			expectFailure(t, events) // of the watch
+			expectFailure(t, events) // Failure of the watch.
 			client.Poll(context.Background())
 			expectFailure(t, events)
-			expectServing(t, client, "s1", true) // by the old list
+			expectServing(t, client, "s1", true) // From the cached list.
 		})
 	}
 }
 
-// The response to a poll that a line of the watch has overtaken, and a line that is older than the ones before it, must
-// not set back version and table: a draining endpoint would get requests again.
+// A list with an older version, whether it is a delayed poll response or a list of the watch, must not revert the
+// version and the table. Otherwise requests would be sent to a draining endpoint again.
 func TestOutdatedListIsIgnored(t *testing.T) {
 	server := testutil.NewDiscovery(t)
 	polled, gate := make(chan struct{}), make(chan struct{})
@@ -62,13 +63,13 @@
 	server.Say <- deltaListJSON(2, entryJSON("s0", "DRAINING"))
 	testutil.Receive(t, events)
 	close(gate)
-	expectEvent(t, events, balancer.ListDelta, 0) // a poll always has an event
+	expectEvent(t, events, balancer.ListDelta, 0) // Each poll has an event.
 	server.Say <- completeListJSON(1, entryJSON("s0", "SERVING"))
 	if event := testutil.Receive(t, events); len(event.Endpoints) != 0 {
-		t.Errorf("event %+v of an outdated line", event)
+		t.Errorf("outdated list on the watch: got event %+v, want one without entries", event)
 	}
 	expectServing(t, client, "s0", false)
-	expectServing(t, client, "s1", true) // which the outdated list does not know
+	expectServing(t, client, "s1", true) // Would be removed if the outdated list were applied.
 	server.Cut <- struct{}{}
 	testutil.Receive(t, events)
 	client.Subscribe(context.Background())
--- a/internal/discovery/source_test.go
+++ b/internal/discovery/source_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// newTestSource returns a source at version 1, and a function that adds a watch and returns whether it was stopped.
+// newTestSource returns a source with version 1, and a function that adds a watch and returns it with a flag that is
+// set when the watch is stopped.
 func newTestSource() (s *source, addWatch func() (w *watch, stopped *bool)) {
 	s = &source{addr: "a:1", version: 1, backoff: newBackoff(time.Second, time.Second, 1)}
 	return s, func() (*watch, *bool) {
@@ -14,30 +15,32 @@
 	}
 }
 
-// A watch that replaces another one stops it once it is answered, or, after a change of the address, once the complete
-// list has come.
+// A new watch replaces and stops the active one when discovery responds to it or, after a change of the address, when
+// its complete list is received.
 func TestSourceReplacesWatch(t *testing.T) {
 	s, addWatch := newTestSource()
 	first, firstStopped := addWatch()
 	if !s.activateWatch(first, false) {
-		t.Error("a watch with a version is not activated by its answer")
+		t.Error("watch with a version after its response: got inactive, want active")
 	}
 	if changed, watched := s.setAddr("b:1"); !changed || !watched || s.isWatched() {
-		t.Errorf("changed %v, watched before %v, and now %v", changed, watched, s.isWatched())
+		t.Errorf("after setAddr: got changed %v, watched before %v, watched now %v, want true, true, false",
+			changed, watched, s.isWatched())
 	}
 	second, _ := addWatch()
 	if s.activateWatch(second, false) || *firstStopped {
-		t.Error("a watch without a version is activated before the complete list")
+		t.Error("watch without a version, before its complete list: want it pending and the first watch active")
 	}
 	if !s.activateWatch(second, true) || !*firstStopped || s.activateWatch(first, true) {
-		t.Error("the complete list does not replace the watch before")
+		t.Error("after the complete list of the second watch: want it active and the first watch stopped")
 	}
 	if !s.removeWatch(second) || s.isWatched() {
-		t.Error("the last watch was removed and nothing is lost")
+		t.Error("after the removal of the only watch: want a restart needed and no watch")
 	}
 }
 
-// A watch that ends while another one is to replace it is no loss; a later pending watch stops an earlier one.
+// If an active watch fails while another one is pending, no further watch must be started. A new pending watch replaces
+// and stops the previous pending one.
 func TestSourcePendingWatch(t *testing.T) {
 	s, addWatch := newTestSource()
 	active, _ := addWatch()
@@ -45,10 +48,10 @@
 	pending, pendingStopped := addWatch()
 	latest, latestStopped := addWatch()
 	if !*pendingStopped || s.removeWatch(pending) || s.removeWatch(active) || !s.removeWatch(latest) {
-		t.Error("only the end of the latest watch leaves the source without one")
+		t.Error("want the first pending watch stopped, and a restart needed only after the latest watch failed")
 	}
 	if *latestStopped {
-		t.Error("the latest watch was stopped")
+		t.Error("latest watch: got stopped, want running")
 	}
 }
 
@@ -65,11 +68,11 @@
 		{"b:1", 9, incomparable},
 	} {
 		if got := s.recordVersion(tt.addr, tt.version); got != tt.want {
-			t.Errorf("version %d of %s: freshness %d, want %d", tt.version, tt.addr, got, tt.want)
+			t.Errorf("version %d of %s: got freshness %d, want %d", tt.version, tt.addr, got, tt.want)
 		}
 	}
 	s.setAddr("b:1")
 	if s.version != unknownVersion || s.recordVersion("b:1", 0) != fresh {
-		t.Error("the version of the old address is compared with the new one's")
+		t.Error("after a change of the address: version was not reset, want unknownVersion and any list fresh")
 	}
 }
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -11,16 +11,16 @@
 	"ashshunt/internal/testutil"
 )
 
-// startedEntry is an entry of an endpoint that started at a Unix time in milliseconds.
+// startedEntry returns the entry of an endpoint that started at a Unix time in milliseconds.
 func startedEntry(id string, unixMs int64) string {
 	startedMs := fmt.Sprintf(`"started_ms":%d`, unixMs)
 	return strings.Replace(entryJSON(id, endpoint.StateServing), `"started_ms":0`, startedMs, 1)
 }
 
-// unixMsAfter is the wall clock's time after a while.
+// unixMsAfter returns the wall clock time plus a duration, as Unix time in milliseconds.
 func unixMsAfter(after time.Duration) int64 { return time.Now().Add(after).UnixMilli() }
 
-// startedAtOf returns the start of an endpoint by an event.
+// startedAtOf returns the start time of an endpoint in an event.
 func startedAtOf(t *testing.T, event balancer.EndpointList, id string) time.Duration {
 	t.Helper()
 	for _, ep := range event.Endpoints {
@@ -28,12 +28,13 @@
 			return ep.StartedAt
 		}
 	}
-	t.Fatalf("no endpoint %s in %+v", id, event)
+	t.Fatalf("endpoint %s not found in event %+v", id, event)
 	return 0
 }
 
-// The wall clock of this machine or of others may be off by seconds or an hour, either way. An endpoint is
-// estimated as old as the list itself proves, and never as starting in the future.
+// The wall clocks of this machine and of the endpoints may differ by seconds or an hour, in either direction. The age
+// of an endpoint must not be estimated above its minimum age plus the listing delay, and its start must not be in the
+// future.
 func TestStartTimesWithWrongWallClock(t *testing.T) {
 	offsets := []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, 30 * time.Second, time.Hour}
 	for _, offset := range offsets {
@@ -48,20 +49,21 @@
 			after := options.Clock.Now()
 			earliest := before - options.SlowStart.listingDelay()
 			if at := startedAtOf(t, event, "newest"); at < earliest || at > after {
-				t.Errorf("the newest started %v before now", after-at)
+				t.Errorf("newest endpoint: got a start %v ago, want within the listing delay", after-at)
 			}
 			if at := startedAtOf(t, event, "older"); at < earliest-3*time.Second || at > after {
-				t.Errorf("one that is 3 s older started %v before now", after-at)
+				t.Errorf("endpoint 3 s older: got a start %v ago, want within 3 s plus the listing delay", after-at)
 			}
 			if at := startedAtOf(t, event, "old"); at != 0 {
-				t.Errorf("one that started long ago started at %v", at)
+				t.Errorf("endpoint without a start time: got start %v, want 0", at)
 			}
 		})
 	}
 }
 
-// A start that a watch brings counts from then on, whatever the clocks say, also where they were set back since the
-// endpoint's last start. It keeps its time when it is listed again.
+// A restart that is listed on a watch must be estimated after the previous start of the endpoint and not in the future,
+// whatever the wall clocks say, even if they were set back since the previous start. The estimate must not change when
+// the same start is listed again.
 func TestStartTimesOfChanges(t *testing.T) {
 	for _, offset := range []time.Duration{-time.Hour, 0, time.Hour} {
 		t.Run(offset.String(), func(t *testing.T) {
@@ -74,20 +76,21 @@
 			server.Say <- deltaListJSON(3, restarted)
 			second := startedAtOf(t, expectEvent(t, events, balancer.ListDelta, 1), "s0")
 			if second <= first || second > client.converter.starts.clock.Now() {
-				t.Errorf("started at %v, restarted at %v", first, second)
+				t.Errorf("got start %v and restart %v, want the restart later and not in the future", first, second)
 			}
 			if offset < 0 && second < before {
-				t.Errorf("restarted %v before it was listed", before-second)
+				t.Errorf("clock set back: got a restart %v before its listing, want not before", before-second)
 			}
 			server.Say <- completeListJSON(4, restarted)
 			if again := startedAtOf(t, expectEvent(t, events, balancer.ListComplete, 1), "s0"); again != second {
-				t.Errorf("restarted at %v, and at %v when it was listed again", second, again)
+				t.Errorf("want restart %v, got %v when it was listed again", second, again)
 			}
 		})
 	}
 }
 
-// Endpoints that all started at about the same time, long ago by this machine's clock, are not all treated as cold.
+// If all endpoints started at about the same time, the minimum age of each is near 0. If they started long ago by the
+// wall clock of this machine, they must not all be treated as cold, or most requests would be shed.
 func TestStartTimesAfterFleetRestart(t *testing.T) {
 	var entries []string
 	for i := range 10 {
@@ -97,12 +100,12 @@
 	event := New(options).CachedList()
 	for _, ep := range event.Endpoints {
 		if age := options.Clock.Now() - ep.StartedAt; age < time.Minute {
-			t.Errorf("%s started %v ago", ep.ID, age)
+			t.Errorf("endpoint %s: got age %v, want at least 1 min", ep.ID, age)
 		}
 	}
 }
 
-// The assumed delay of lists must not double the capacity at which an endpoint is estimated.
+// An error of the estimated age by the listing delay must at most double the estimated capacity of an endpoint.
 func TestListingDelay(t *testing.T) {
 	for _, test := range []struct {
 		slowStart SlowStart
@@ -115,7 +118,7 @@
 		{SlowStart{Duration: time.Second, MinCapacity: 1}, maxListingDelay},
 	} {
 		if got := test.slowStart.listingDelay(); got != test.want {
-			t.Errorf("%+v: %v, want %v", test.slowStart, got, test.want)
+			t.Errorf("%+v: got listing delay %v, want %v", test.slowStart, got, test.want)
 		}
 	}
 }
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// Calls must not time out while they wait in discovery's queue, nor silent watches before a line is due, and what a
-// silent watch or a hung call leaves of the limit has to be enough for the next call's queueing.
+// Calls must not time out while they wait in discovery's queue, and idle watches must not time out before the next
+// empty line is due. A timeout, the spread of the next call and its queue time must fit into the maximum propagation
+// delay.
 func TestPollsFitMaxPropagationDelay(t *testing.T) {
 	client, _ := newClient(t, true)
 	if client.callTimeout <= maxQueueTime || client.idleTimeout <= 2*time.Second {
-		t.Errorf("calls end after %v, silent watches after %v: while they wait for their turn, or before a line is due",
+		t.Errorf("got call timeout %v, idle timeout %v, want more than the queue time and more than 2 s",
 			client.callTimeout, client.idleTimeout)
 	}
 	worst := max(client.idleTimeout, client.callTimeout) + SubscribeSpread + maxQueueTime
 	if worst > 6*time.Second || SubscribeSpread <= 0 {
-		t.Errorf("a silent watch or a hung call, a delay of %v and the next call's turn take %v",
+		t.Errorf("got spread %v and worst-case propagation delay %v, want a positive spread and at most 6 s",
 			SubscribeSpread, worst)
 	}
 }
 
-// A silent watch, one more that is silent from its start, and the delays between them must be over before the 6 s
-// after which what the first one missed counts as received.
+// A watch that idles, a next watch without a response, and the backoff after each must fit into the 6 s after which
+// discovery treats a change as received.
 func TestRestartsFitMaxPropagationDelay(t *testing.T) {
 	client, settings := newClient(t, false)
-	// Half a second is left for the next one, which a machine that is late may take.
+	// The remaining 0.5 s are for the next watch, which a slow machine may need.
 	worst := client.idleTimeout + client.callTimeout + 2*client.source.backoff.maxDelay
 	if worst > 5500*time.Millisecond {
-		t.Errorf("two silent watches take %v", worst)
+		t.Errorf("got %v for two idle watches, want at most 5.5 s", worst)
 	}
 	if client.source.backoff.maxDelay > settings.DrainGrace/4 {
-		t.Errorf("a delay of %v between two watches, where requests to draining endpoints are tolerated for %v",
+		t.Errorf("got maximum backoff delay %v, want at most a quarter of the drain grace of %v",
 			client.source.backoff.maxDelay, settings.DrainGrace)
 	}
 	if client.idleTimeout <= 2*time.Second {
-		t.Errorf("%v is too short for an empty line every 2 s", client.idleTimeout)
+		t.Errorf("got idle timeout %v, want more than the 2 s between empty lines", client.idleTimeout)
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -18,7 +18,7 @@
 	server.Say <- deltaListJSON(2, entryJSON("s0", "DRAINING"))
 	event := expectEvent(t, events, balancer.ListDelta, 1)
 	if event.Endpoints[0].State != balancer.Draining || event.Endpoints[0].Zone != 0 {
-		t.Errorf("event %+v", event)
+		t.Errorf("got event %+v, want s0 draining in zone 0", event)
 	}
 	expectServing(t, client, "s0", false)
 	server.Say <- completeListJSON(3, entryJSON("s0", "SERVING"))
@@ -31,13 +31,13 @@
 	client.Unsubscribe()
 }
 
-// A watch that a cut-off network holds open for ever is ended.
+// In a network partition, a watch stays open without data. It must end after the idle timeout.
 func TestWatchIdleTimeout(t *testing.T) {
 	_, events := newSubscribedClient(t, testutil.NewDiscovery(t), 100*time.Millisecond)
 	expectFailure(t, events)
 }
 
-// indentedList is a list over several lines, as some write it.
+// indentedList is a list that extends over several lines.
 const indentedList = `{
   "version": 2,
   "full": false,
@@ -47,7 +47,8 @@
   ]
 }`
 
-// The end of a line is not the end of a list.
+// Lists must be separated by their JSON syntax and not by newlines: a list may extend over several lines, and a line
+// may contain several lists.
 func TestIndentedLists(t *testing.T) {
 	server := testutil.NewDiscovery(t)
 	server.Complete = func() string { return strings.Replace(indentedList, `"version": 2`, `"version": 4`, 1) }
@@ -64,7 +65,8 @@
 	expectEvent(t, events, balancer.ListComplete, 1)
 }
 
-// A watch that falls silent or ends within a list, or that brings a list without end, leaves the version as it was.
+// If a watch times out or ends within a list, or receives a list over the size limit, the version must not change, so
+// that the next watch receives the list again.
 func TestWatchEndsWithinList(t *testing.T) {
 	half := indentedList[:len(indentedList)/2]
 	for name, tt := range map[string]struct {
@@ -72,9 +74,9 @@
 		idleTimeout time.Duration
 		cut         bool
 	}{
-		"silent":      {text: half, idleTimeout: 100 * time.Millisecond},
-		"cut off":     {text: half, idleTimeout: testutil.Timeout, cut: true},
-		"without end": {text: `{"version":2,"x":"` + strings.Repeat("x", maxListSize), idleTimeout: testutil.Timeout},
+		"idle":      {text: half, idleTimeout: 100 * time.Millisecond},
+		"closed":    {text: half, idleTimeout: testutil.Timeout, cut: true},
+		"too large": {text: `{"version":2,"x":"` + strings.Repeat("x", maxListSize), idleTimeout: testutil.Timeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := testutil.NewDiscovery(t)
@@ -82,7 +84,7 @@
 			testutil.Receive(t, server.Watches)
 			server.Say <- tt.text
 			if tt.cut {
-				testutil.Eventually(t, "the half list to be sent", func() bool { return len(server.Say) == 0 })
+				testutil.Eventually(t, "the truncated list to be sent", func() bool { return len(server.Say) == 0 })
 				server.Cut <- struct{}{}
 			}
 			expectFailure(t, events)
@@ -92,7 +94,7 @@
 	}
 }
 
-// sendTricklingList begins a list that keeps coming, a blank at a time, until the test ends.
+// sendTricklingList sends the first half of a list, and then white space at an interval until the test ends.
 func sendTricklingList(t *testing.T, server *testutil.Discovery, every time.Duration) {
 	t.Helper()
 	stopped := make(chan struct{})
@@ -110,7 +112,8 @@
 	}()
 }
 
-// A list that never becomes complete is given up, however steadily it comes: its changes count as received soon.
+// A list that never ends must time out even if bytes keep arriving, since discovery treats its changes as received
+// after the maximum propagation delay.
 func TestTricklingList(t *testing.T) {
 	server := testutil.NewDiscovery(t)
 	client, events := newSubscribedClient(t, server, 200*time.Millisecond)
@@ -120,7 +123,7 @@
 	expectServing(t, client, "s0", true)
 }
 
-// A list that takes longer than the silence timeout is applied if it comes.
+// A list that takes longer than the idle timeout must be applied if it is received within the list timeout.
 func TestSlowList(t *testing.T) {
 	server := testutil.NewDiscovery(t)
 	options, events := newOptions(t, testutil.Config(t, server.Addr, entryJSON("s0", "SERVING")))
@@ -138,32 +141,32 @@
 	expectServing(t, client, "s0", false)
 }
 
-// The old watch continues until the one of the new address has brought the complete list, since a new address may bring
-// nothing and may number its versions differently; after that the old one is ignored.
+// After a change of the address, the old watch must continue until the new one has received its complete list: the new
+// address may not respond, and may number its versions differently. After that, the old watch is ignored.
 func TestSetAddressReplacesWatch(t *testing.T) {
 	oldServer, newServer := testutil.NewDiscovery(t), testutil.NewDiscovery(t)
 	client, events := newSubscribedClient(t, oldServer, testutil.Timeout)
 	testutil.Receive(t, oldServer.Watches)
 	oldServer.Say <- deltaListJSON(2)
 	testutil.Receive(t, events)
-	client.SetAddress(context.Background(), "127.0.0.1:1") // refused: the module is notified, and subscribes again
+	client.SetAddress(context.Background(), "127.0.0.1:1") // Connection refused, which has an event.
 	expectFailure(t, events)
 	oldServer.Say <- deltaListJSON(3, entryJSON("s0", "DRAINING"))
-	expectEvent(t, events, balancer.ListDelta, 1) // from the old address, which is still watched
+	expectEvent(t, events, balancer.ListDelta, 1) // From the watch of the old address, which continues.
 	client.SetAddress(context.Background(), newServer.Addr)
-	client.SetAddress(context.Background(), newServer.Addr) // once more changes nothing
-	expectWatch(t, newServer, "follow=1")                   // for the complete list
-	oldServer.Cut <- struct{}{}                             // no failure: the new one is under way
+	client.SetAddress(context.Background(), newServer.Addr) // No effect.
+	expectWatch(t, newServer, "follow=1")                   // Without a version, for the complete list.
+	oldServer.Cut <- struct{}{}                             // No event, since the new watch is pending.
 	newServer.Say <- ""
 	newServer.Say <- completeListJSON(1, entryJSON("s1", "SERVING"))
 	expectEvent(t, events, balancer.ListComplete, 1)
-	expectServing(t, client, "s0", false) // which only the old address knew
+	expectServing(t, client, "s0", false) // Not in the list of the new address.
 	newServer.Cut <- struct{}{}
 	expectFailure(t, events)
 	client.Subscribe(context.Background())
 	expectWatch(t, newServer, "follow=1&since=1")
 	if len(newServer.Watches) != 0 {
-		t.Error("watched twice")
+		t.Error("got a second watch of the new address, want one")
 	}
 	client.Unsubscribe()
 }
