--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -5,8 +5,8 @@
 	"ashshunt/internal/endpoint"
 )
 
-// applyWatchedList applies a list that was received on a watch, unless another watch has replaced it, and reports
-// whether it did.
+// applyWatchedList applies a list that was received on a watch and reports whether it did. The list is not applied if
+// the watch was replaced, or if the watch has no version yet and the list is not complete.
 func (c *Client) applyWatchedList(w *watch, list endpoint.List) bool {
 	c.applyMu.Lock()
 	defer c.applyMu.Unlock()
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -24,8 +24,8 @@
 	random    *rand.Rand
 }
 
-// newBackoff returns a backoff whose base delay is the connect timeout and whose maximum delay follows from the drain
-// grace.
+// newBackoff returns a backoff whose base delay is the connect timeout. Its maximum delay is limited by the drain grace
+// and by maxRestartDelay.
 func newBackoff(connectTimeout, drainGrace time.Duration, seed uint64) backoff {
 	return backoff{
 		baseDelay: max(connectTimeout, minDelayBound),
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,8 +1,9 @@
 // Package discovery implements the client of the discovery service. It watches and polls the endpoint list, applies
 // each list to the endpoint table and passes it to the decision module as an event.
 //
-// A watch (watch.go) is a streaming response that contains a list for each change; the client starts and replaces
-// watches (subscription.go). A poll (poll.go) requests the complete list once.
+// A watch (watch.go) is a streaming response that contains a list for each change, either the complete list or a delta
+// with the changed entries. The client starts and replaces watches (subscription.go). A poll (poll.go) requests the
+// complete list once.
 package discovery
 
 import (
@@ -68,7 +69,8 @@
 	return c
 }
 
-// CachedList returns the event for the cached list. It must be called before the first watch or poll.
+// CachedList returns the event for the cached list. It does not lock applyMu, so it must be called before the first
+// watch or poll.
 func (c *Client) CachedList() balancer.EndpointList {
 	c.converter.starts.update(c.cachedList)
 	return c.converter.toEvent(c.cachedList, balancer.ListCached)
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -15,7 +15,8 @@
 // A new watch is pending at first. It becomes active, and replaces the previous active watch, when discovery responds
 // to it, or, if it does not continue from a version, when its complete list is received.
 //
-// source is safe for concurrent use. The event loop blocks on its mutex, so the mutex is never held during I/O.
+// source is safe for concurrent use. The agent's event loop locks its mutex, which is therefore never held
+// during I/O.
 type source struct {
 	mu      sync.Mutex // Protects the fields below.
 	addr    string     // Address of discovery, as host:port.
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -30,7 +30,7 @@
 // Options are the parameters of a Client.
 type Options struct {
 	Table               *endpoint.Table           // Consulted right before each attempt sends its request.
-	LoadReports         balancer.LoadReportSource // Whether health checks request load reports.
+	LoadReports         balancer.LoadReportSource // If not LoadReportsNone, health checks request load reports.
 	ConnectTimeout      time.Duration             // Timeout of a dial.
 	EndpointIdleTimeout time.Duration             // Idle timeout of the endpoints; 0 means that they have none.
 	MaxConnections      int                       // Maximum number of connections to all endpoints; 0 means no limit.
