--- a/internal/discovery/listtimeout.go
+++ b/internal/discovery/listtimeout.go
@@ -22,8 +22,8 @@
 	timeout time.Duration
 }
 
-func newAdaptiveListTimeout(minimum time.Duration) *adaptiveListTimeout {
-	return &adaptiveListTimeout{minTimeout: minimum, timeout: minimum}
+func newAdaptiveListTimeout(minTimeout time.Duration) *adaptiveListTimeout {
+	return &adaptiveListTimeout{minTimeout: minTimeout, timeout: minTimeout}
 }
 
 // current returns the timeout for the next list.
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -72,10 +72,10 @@
 	for name, tt := range map[string]struct {
 		text        string
 		idleTimeout time.Duration
-		cut         bool
+		closeWatch  bool
 	}{
 		"idle":      {text: half, idleTimeout: 100 * time.Millisecond},
-		"closed":    {text: half, idleTimeout: testutil.Timeout, cut: true},
+		"closed":    {text: half, idleTimeout: testutil.Timeout, closeWatch: true},
 		"too large": {text: `{"version":2,"x":"` + strings.Repeat("x", maxListSize), idleTimeout: testutil.Timeout},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 			client, events := newSubscribedClient(t, server, tt.idleTimeout)
 			testutil.Receive(t, server.Watches)
 			server.Say <- tt.text
-			if tt.cut {
+			if tt.closeWatch {
 				testutil.Eventually(t, "the truncated list to be sent", func() bool { return len(server.Say) == 0 })
 				server.Cut <- struct{}{}
 			}
@@ -95,7 +95,7 @@
 }
 
 // sendTricklingList sends the first half of a list, and then white space at an interval until the test ends.
-func sendTricklingList(t *testing.T, server *testutil.Discovery, every time.Duration) {
+func sendTricklingList(t *testing.T, server *testutil.Discovery, interval time.Duration) {
 	t.Helper()
 	stopped := make(chan struct{})
 	t.Cleanup(func() { close(stopped) })
@@ -105,7 +105,7 @@
 			select {
 			case <-stopped:
 				return
-			case <-time.After(every):
+			case <-time.After(interval):
 				server.Say <- ""
 			}
 		}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -49,7 +49,7 @@
 // A request must not be sent if, during the dial of its connection, its endpoint starts to drain or is removed, the
 // request finishes, or its client disconnects.
 func TestRequestNotSentAfterDial(t *testing.T) {
-	const dialAbandoned = "request finished"
+	const requestFinished = "request finished"
 	draining := endpoint.Entry{ID: "s0", Addr: "127.0.0.1:1", State: endpoint.StateDraining}
 	tests := []struct {
 		name       string
@@ -62,7 +62,7 @@
 		{"removed", func(client *Client, _ *Request, _ func()) {
 			client.table.Apply(endpoint.List{Complete: true})
 		}, balancer.ConnectFailed},
-		{dialAbandoned, func(_ *Client, _ *Request, end func()) { end() }, balancer.NotSent},
+		{requestFinished, func(_ *Client, _ *Request, end func()) { end() }, balancer.NotSent},
 		{"client gone", func(_ *Client, request *Request, _ func()) {
 			request.ClientGone = func() bool { return true }
 		}, balancer.NotSent},
@@ -83,7 +83,7 @@
 				t.Errorf("got result %d, want %d", result, tt.want)
 			}
 			client.CloseIdle("s0")
-			if tt.name != dialAbandoned {
+			if tt.name != requestFinished {
 				testutil.Receive(t, server.Closed) // The connection is closed without a request on it.
 			}
 			if len(server.Received) != 0 {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -55,13 +55,13 @@
 }
 
 func TestIdleTimeoutFromOptions(t *testing.T) {
-	for idleClose, want := range map[time.Duration]time.Duration{
+	for endpointIdleTimeout, want := range map[time.Duration]time.Duration{
 		0:                defaultIdleTimeout,
 		40 * time.Second: 30 * time.Second,
 	} {
-		client := New(Options{EndpointIdleTimeout: idleClose})
+		client := New(Options{EndpointIdleTimeout: endpointIdleTimeout})
 		if got := client.pool.idleTimeout; got != want {
-			t.Errorf("endpoint idle timeout %v: got pool idle timeout %v, want %v", idleClose, got, want)
+			t.Errorf("endpoint idle timeout %v: got pool idle timeout %v, want %v", endpointIdleTimeout, got, want)
 		}
 	}
 }
