--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -40,7 +40,7 @@
 //   - the age by the wall clock of this machine;
 //   - the minimum age that follows from the newest listed start (see minAge), plus SlowStart.listingDelay.
 //
-// If the minimum age confirms only a minority of a complete list as warm, the second age is not used (see
+// If fewer than half of the endpoints of a complete list are warm by their minimum age, the second age is not used (see
 // isMajorityUnconfirmed).
 //
 // All endpoints are assumed to share one clock. The listed start that is furthest ahead of the agent's clock determines
