--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -8,8 +8,8 @@
 	"ashshunt/balancer"
 )
 
-// The time-outs of clients with little time left do not eject endpoints, and the fast responses that alone reach such
-// clients do not count as the usual latency, which is 100 ms here.
+// A client with a short timeout gives no information about endpoints. Its time-outs do not eject them. Only
+// fast responses reach it, and these do not count in the mean latency, which is 100 ms here.
 func TestShortTimeoutsAreIgnored(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.serve(200, idempotent, 100*ms)
@@ -20,7 +20,7 @@
 		endpoint = h.respond(id, responseOf)
 	}
 	if n := h.waves(4, 4, idempotent, 100*ms)["a"]; n != 1 {
-		t.Errorf("after a time-out with little time left there, a got %d of 4 at once, want one", n)
+		t.Errorf("after a time-out of a client with a short timeout, a got %d of 4 concurrent requests, want 1", n)
 	}
 	for i := range 100 {
 		id := fmt.Sprint("fast", i)
@@ -28,17 +28,17 @@
 		h.outcomeAfter(id, balancer.Served, 10*ms)
 	}
 	if h.requestWithin("short", idempotent, 50*ms); len(h.sent["short"]) > 0 {
-		t.Error("50 ms left: sent, as if the fast responses had lowered the mean latency")
+		t.Error("a request with a timeout of 50 ms was sent, want it rejected at a mean latency of 100 ms")
 	}
-	// The mean latency does not hold for ever: nothing is learned from requests that are not sent.
+	// The mean latency expires: requests that are not sent give no new samples.
 	h.now += time.Minute
 	if h.requestWithin("later", idempotent, 50*ms); len(h.sent["later"]) != 1 {
-		t.Error("a minute after the last response: not sent")
+		t.Error("a request with a timeout of 50 ms was not sent a minute after the last response")
 	}
 }
 
-// Where all deadlines are far below the objectives, the time-outs of usual clients count: they find an unresponsive
-// endpoint.
+// Where all deadlines are far shorter than the objectives, time-outs of regular clients do count. They detect
+// an unresponsive endpoint.
 func TestShortDeadlinesAreNotIgnored(t *testing.T) {
 	s := settings()
 	for i := range s.Classes {
@@ -58,6 +58,6 @@
 		h.step(balancer.Outcome{Request: id, Endpoint: "a", Result: balancer.TimedOut, Latency: 100 * ms, Done: true})
 	}
 	if unanswered > 10 {
-		t.Errorf("%d of 60 went to the unresponsive endpoint", unanswered)
+		t.Errorf("%d of 60 requests went to the unresponsive endpoint, want at most 10", unanswered)
 	}
 }
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -8,7 +8,7 @@
 	"ashshunt/balancer"
 )
 
-// An ejected endpoint recovers also where no class is idempotent.
+// An ejected endpoint gets traffic again even if no class is idempotent.
 func TestEjectionEndsWithoutIdempotentClass(t *testing.T) {
 	s := settings()
 	s.Classes = s.Classes[notIdempotent : notIdempotent+1]
@@ -16,11 +16,11 @@
 	h.exchangeUntil("a", 0, faultAtA(response{balancer.ServerError, 20 * ms}, response{balancer.Served, 20 * ms}))
 	h.advance(5 * time.Second)
 	if counts := h.serve(200, 0, 30*ms); counts["a"] == 0 {
-		t.Error("an ejected endpoint never got traffic again")
+		t.Error("the endpoint got none of 200 requests after its ejection, want some")
 	}
 }
 
-// When all endpoints are ejected, first attempts are still sent.
+// First attempts are sent even if all endpoints are ejected.
 func TestSendsWhenAllEjected(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
@@ -29,7 +29,7 @@
 		id := fmt.Sprint("q", i)
 		h.request(id, idempotent)
 		if len(h.sent[id]) != 1 {
-			t.Fatalf("request %d was not sent", i)
+			t.Fatalf("request %d was not sent while all endpoints are ejected", i)
 		}
 		h.outcomeAfter(id, balancer.ServerError, ms)
 	}
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -10,7 +10,7 @@
 	"ashshunt/balancer"
 )
 
-// An endpoint that drains, was removed, or is missing from a complete list gets no request.
+// An endpoint that drains, was removed, or is missing from a complete list gets no requests.
 func TestNoRequestsToDrainingOrRemoved(t *testing.T) {
 	tests := []struct {
 		name string
@@ -28,13 +28,13 @@
 			h := newHarness(t, settings(), 1, endpoints(3))
 			h.step(tt.list)
 			if n := h.serve(100, idempotent, 20*ms)["a"]; n > 0 {
-				t.Errorf("%d requests went there", n)
+				t.Errorf("the endpoint got %d of 100 requests, want none", n)
 			}
 		})
 	}
 }
 
-// An endpoint that begins to drain during the backoff of a request does not get its retry.
+// An endpoint that starts to drain during the backoff of a request does not get the retry.
 func TestDrainingDuringBackoff(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newHarness(t, settings(), seed, endpoints(2))
@@ -44,12 +44,13 @@
 		h.changeList(balancer.Endpoint{ID: other, State: balancer.Draining})
 		h.advance(time.Second)
 		if slices.Contains(h.sent["q"][1:], other) {
-			t.Fatalf("seed %d: a retry went to the draining endpoint", seed)
+			t.Fatalf("seed %d: a retry went to the draining endpoint, want it elsewhere", seed)
 		}
 	}
 }
 
-// An endpoint that was removed and started again under the same ID gets its share of the traffic once it is warm.
+// An endpoint that was removed and started again under the same ID gets its share of the traffic once it is
+// warm.
 func TestReaddedEndpointGetsTraffic(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(2))
 	h.serve(50, idempotent, 20*ms)
@@ -58,11 +59,12 @@
 	h.serve(400, idempotent, 20*ms)
 	h.advance(10 * time.Second)
 	if n := h.serve(200, idempotent, 20*ms)["a"]; n < 50 {
-		t.Errorf("warm again it got %d of 200", n)
+		t.Errorf("the restarted endpoint got %d of 200 requests once warm, want at least 50", n)
 	}
 }
 
-// Endpoints that were removed are dropped once their last attempt has its outcome.
+// The state of a removed endpoint is deleted once its last attempt has its outcome. Otherwise memory would
+// grow with every endpoint ever listed.
 func TestRemovedEndpointsAreDeleted(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(1))
 	for i := range 100 {
@@ -75,11 +77,12 @@
 		h.changeList(balancer.Endpoint{ID: "never listed", State: balancer.Removed})
 	}
 	if n := h.balancer.EndpointCount(); n != 1 {
-		t.Errorf("%d endpoints are kept, want 1", n)
+		t.Errorf("state of %d endpoints is kept, want 1", n)
 	}
 }
 
-// Each endpoint is either observed or in its place among the unobserved ones, whatever the lists and the outcomes are.
+// After any sequence of lists and outcomes, each endpoint is either observed or listed by rank among the
+// unobserved ones.
 func TestEndpointSetInvariants(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -102,7 +105,7 @@
 	}
 }
 
-// randomList is a list, or changes of one, of up to forty endpoints.
+// randomList returns a complete list or changes to one, with up to 40 different endpoints.
 func randomList(rng *rand.Rand, now time.Duration) balancer.EndpointList {
 	list := balancer.EndpointList{Kind: balancer.ListDelta}
 	entries := rng.IntN(4)
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -7,7 +7,8 @@
 	"ashshunt/balancer"
 )
 
-// Attempts in flight at an unresponsive endpoint do not use up the capacity of the others once it is ejected.
+// Once an unresponsive endpoint is ejected, attempts in flight there do not use up the concurrency limit for
+// the other endpoints.
 func TestStalledAttemptsUseNoCapacity(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
@@ -23,10 +24,10 @@
 		}
 	}
 	if len(hanging) < 3 {
-		t.Fatalf("only %v hang", hanging)
+		t.Fatalf("got stalled requests %v, want at least 3", hanging)
 	}
 	h.now += 20 * ms
-	for i := range 18 { // also those that are sent meanwhile
+	for i := range 18 { // includes the requests that are sent in the meantime
 		if id := fmt.Sprint("h", i); len(h.sent[id]) == 1 && h.sent[id][0] != unresponsive {
 			h.outcome(id, balancer.Served, 20*ms)
 		}
@@ -35,15 +36,15 @@
 	h.outcome(hanging[0], balancer.TimedOut, 120*ms)
 	counts := h.burst("q", 40, idempotent)
 	if n := counts[unresponsive]; n > 0 {
-		t.Errorf("%d requests went to the unresponsive endpoint", n)
+		t.Errorf("the unresponsive endpoint got %d of 40 requests, want none", n)
 	}
 	if n := total(counts); n < 8 {
-		t.Errorf("%d in flight on the two that respond, want all of their capacity of 8", n)
+		t.Errorf("got %d attempts in flight at the two responsive endpoints, want at least their limit of 8", n)
 	}
 }
 
-// An attempt at an unresponsive endpoint does not use up the whole limit of an agent with little traffic until its
-// client leaves.
+// An attempt at an unresponsive endpoint does not use up the whole limit of an agent with little traffic
+// until the client disconnects.
 func TestUnresponsiveEndpointTakesNoCapacity(t *testing.T) {
 	s := settings()
 	s.Agents = 5 // this agent's limit: one attempt
@@ -53,7 +54,7 @@
 	h.advance(150 * ms) // 0.35 of the objective, more than six mean latencies
 	h.request("next", idempotent)
 	if sent := h.sent["next"]; len(sent) != 1 || sent[0] == h.firstEndpoint("hanging") {
-		t.Errorf("the next request was sent to %v, want another endpoint than the unresponsive %v", sent,
+		t.Errorf("the next request was sent to %v, want one endpoint other than %v", sent,
 			h.sent["hanging"])
 	}
 }
--- a/balancer/fleetsim_test.go
+++ b/balancer/fleetsim_test.go
@@ -12,15 +12,15 @@
 	"ashshunt/balancer"
 )
 
-// fleetSimulation runs many balancers against endpoints of two cores each, which warm up as slowly as the
-// settings allow.
+// fleetSimulation simulates many balancers and a fleet of endpoints with two cores each. The endpoints warm
+// up as slowly as the settings allow. During the run, the endpoint list changes once.
 type fleetSimulation struct {
 	agentCount, endpointCount int
 	startCount                int           // endpoints that start at the change
 	removeCount               int           // other endpoints that are removed at the change
-	restartAgents             bool          // all agents restart at the change, without state
-	load                      float64       // of the capacity of the endpoints before the change
-	meanWork                  time.Duration // mean of a request, on one core
+	restartAgents             bool          // all agents restart at the change and lose their state
+	load                      float64       // share of the endpoints' capacity before the change
+	meanWork                  time.Duration // mean time that a request takes on one core
 	changeAt, duration        time.Duration
 	settings                  balancer.Settings
 
@@ -30,62 +30,63 @@
 	list      []balancer.Endpoint
 	servers   []*simulatedEndpoint
 	agents    []*simulatedAgent
-	requests  int // requests since the change
-	responses int // responses since the change
+	requests  int // requests that arrived after the change
+	responses int // responses after the change
 }
 
 // simulatedEndpoint serves requests in the order of their arrival.
 type simulatedEndpoint struct {
 	balancer.Endpoint
-	coreFreeAt [2]time.Duration
-	arrivals   []time.Duration // when requests arrived since its start
+	coreFreeAt [2]time.Duration // times at which the cores have served all requests
+	arrivals   []time.Duration  // arrival times of requests since its start
 }
 
-// simulatedAgent is a balancer, and what its agent keeps for it.
+// simulatedAgent is a balancer with the state that the agent keeps for it.
 type simulatedAgent struct {
 	balancer *balancer.Balancer
-	attempts map[string]int // by request
+	attempts map[string]int // number of attempts by request
 }
 
-// scheduledEvent is an event of which an agent will be notified.
+// scheduledEvent is an event that is delivered to an agent's balancer at a time.
 type scheduledEvent struct {
 	at    time.Duration
 	agent *simulatedAgent
 	event balancer.Event
 }
 
-// eventQueue is a heap, the earliest event first.
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int           { return len(q) }
 func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
-// Push is called by heap.Push alone, with a scheduledEvent.
+// Push implements heap.Interface. x must be a scheduledEvent.
 func (q *eventQueue) Push(x any) {
 	event, ok := x.(scheduledEvent)
 	if !ok {
-		panic(fmt.Sprintf("push of a %T", x))
+		panic(fmt.Sprintf("eventQueue.Push: got a %T, want a scheduledEvent", x))
 	}
 	*q = append(*q, event)
 }
 
-// Pop is called by heap.Pop alone.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// popEarliest takes the earliest event out. The queue is not empty.
+// popEarliest removes and returns the earliest event. The queue must not be empty.
 func (q *eventQueue) popEarliest() scheduledEvent {
 	earliest := (*q)[0]
 	heap.Pop(q)
 	return earliest
 }
 
-// runMany plays the simulation several times, since the figures of one run vary by some hundredths. It returns the
-// worst overload of an endpoint that started, and the mean share of the requests after the change that were served.
+// runMany runs the simulation several times, since the results of one run vary by some hundredths. It returns
+// the maximum overload of an endpoint that started, and the mean share of the requests after the change that
+// were served.
 func (f fleetSimulation) runMany(t *testing.T) (worstOverload, servedShare float64) {
 	t.Helper()
 	const runs = 8
@@ -100,7 +101,7 @@
 	return worstOverload, servedShare
 }
 
-// run plays the simulation once.
+// run runs the simulation once.
 func (f *fleetSimulation) run(t *testing.T, seed uint64) {
 	t.Helper()
 	f.rng = rand.New(rand.NewPCG(seed, 2))
@@ -121,7 +122,7 @@
 	}
 }
 
-// deliver notifies an agent of an event, and counts it if it is a response after the change.
+// deliver delivers an event to its agent. It counts responses after the change.
 func (f *fleetSimulation) deliver(next scheduledEvent, change time.Duration) {
 	switch event := next.event.(type) {
 	case balancer.EndpointList:
@@ -129,7 +130,8 @@
 			next.event = f.currentList()
 		}
 	case balancer.Outcome:
-		if event.Result == balancer.Served && f.now >= change { // some of them arrived before
+		// Includes responses to requests from before the change.
+		if event.Result == balancer.Served && f.now >= change {
 			f.responses++
 		}
 	}
@@ -144,7 +146,7 @@
 	}
 }
 
-// addAgents adds the agents and returns the share of the requests that each gets, not normalized.
+// addAgents adds the agents and returns the relative number of requests that each gets.
 func (f *fleetSimulation) addAgents(t *testing.T) []float64 {
 	t.Helper()
 	weights := make([]float64, f.agentCount)
@@ -153,7 +155,7 @@
 		f.agents = append(f.agents, agent)
 		f.startAgent(t, agent, i)
 		f.schedule(f.now, agent, balancer.EndpointList{Kind: balancer.ListCached, Endpoints: f.list})
-		weights[i] = math.Exp(0.8 * f.rng.NormFloat64()) // some get several times the mean
+		weights[i] = math.Exp(0.8 * f.rng.NormFloat64()) // some agents get several times the mean
 	}
 	return weights
 }
@@ -191,7 +193,8 @@
 	}
 }
 
-// applyChange starts and removes endpoints, and notifies the agents.
+// applyChange starts and removes endpoints, restarts the agents if restartAgents is set, and schedules the
+// new endpoint list for each agent.
 func (f *fleetSimulation) applyChange(t *testing.T, at time.Duration) {
 	t.Helper()
 	affected := f.startCount + f.removeCount
@@ -205,7 +208,7 @@
 		if f.restartAgents {
 			f.startAgent(t, agent, i)
 		}
-		// Each agent is notified within a tick or two of the others.
+		// Agents get the list within two ticks of each other.
 		delay := time.Duration(f.rng.Int64N(int64(10 * ms)))
 		f.schedule(at+delay, agent, balancer.EndpointList{Kind: balancer.ListComplete})
 	}
@@ -221,7 +224,7 @@
 	return list
 }
 
-// step notifies an agent's balancer of an event and carries out its actions.
+// step delivers an event to an agent's balancer and carries out the actions that it returns.
 func (f *fleetSimulation) step(agent *simulatedAgent, event balancer.Event) {
 	for _, action := range agent.balancer.Step(f.now, []balancer.Event{event}) {
 		switch action := action.(type) {
@@ -239,7 +242,7 @@
 	}
 }
 
-// serve adds a request to an endpoint's queue and returns its latency.
+// serve adds a request to the queue of an endpoint and returns its latency.
 func (f *fleetSimulation) serve(id string) time.Duration {
 	index := slices.IndexFunc(f.list, func(entry balancer.Endpoint) bool { return entry.ID == id })
 	server := f.servers[index]
@@ -256,13 +259,13 @@
 	return server.coreFreeAt[core] - f.now
 }
 
-// warmUpFraction is the least share of its capacity that an endpoint has at an age.
+// warmUpFraction returns the minimum share of its capacity that an endpoint of the given age has.
 func warmUpFraction(s balancer.Settings, age time.Duration) float64 {
 	return min(1, s.SlowStartMinCapacity+(1-s.SlowStartMinCapacity)*float64(age)/float64(s.SlowStartDuration))
 }
 
-// overload is the most requests that an endpoint got within any overload window of its warm-up, over what the settings
-// allow, with a margin for chance.
+// overload returns the maximum number of requests that an endpoint got within an overload window during its
+// warm-up, over the number that the settings allow. The latter includes a margin for random variation.
 func (f *fleetSimulation) overload(e *simulatedEndpoint) (worst float64) {
 	s := f.settings
 	first := 0
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -9,8 +9,8 @@
 	"ashshunt/balancer"
 )
 
-// newHedgingHarness returns a harness that may hedge, which no limit prevents, and knows the mean latency of a class:
-// 20 ms.
+// newHedgingHarness returns a harness with hedging allowed, no concurrency limit, and a mean latency of 20 ms
+// for the class.
 func newHedgingHarness(t *testing.T, class int) *harness {
 	t.Helper()
 	s := settings()
@@ -20,8 +20,8 @@
 	return h
 }
 
-// A request whose attempt has no response for longer than nearly all take is hedged at another endpoint; the slower
-// attempt is cancelled.
+// A request whose attempt takes longer than nearly all others is hedged at another endpoint. Once one attempt
+// is served, the other is cancelled.
 func TestHedging(t *testing.T) {
 	for _, class := range []int{idempotent, keyedEverywhere} {
 		t.Run(fmt.Sprint("class ", class), func(t *testing.T) {
@@ -29,28 +29,28 @@
 			h.request("q", class)
 			h.advance(15 * ms)
 			if len(h.sent["q"]) != 1 {
-				t.Fatal("hedged after 15 ms")
+				t.Fatal("got a hedge within 15 ms, want none yet")
 			}
 			h.advance(150 * ms)
 			if sent := h.sent["q"]; len(sent) != 2 || sent[0] == sent[1] {
-				t.Fatalf("attempts at %v, want two at different endpoints", sent)
+				t.Fatalf("got attempts at %v, want two at different endpoints", sent)
 			}
 			cancel := balancer.Action(balancer.Cancel{Request: "q", Attempt: 0})
 			if actions := h.outcome("q", balancer.Served, 20*ms); !slices.Contains(actions, cancel) {
-				t.Errorf("the first attempt was not cancelled: %v", actions)
+				t.Errorf("got actions %v, want a Cancel of the first attempt", actions)
 			}
 		})
 	}
 }
 
-// A request that is not idempotent is not hedged.
+// Non-idempotent requests are not hedged.
 func TestNoHedgingUnlessIdempotent(t *testing.T) {
 	h := newHedgingHarness(t, notIdempotent)
 	h.request("q", notIdempotent)
 	for _, wait := range []time.Duration{15 * ms, 150 * ms} {
 		h.advance(wait)
 		if len(h.sent["q"]) != 1 {
-			t.Fatalf("hedged after %v more", wait)
+			t.Fatalf("got a hedge after another %v, want none", wait)
 		}
 	}
 }
--- a/balancer/idempotency_test.go
+++ b/balancer/idempotency_test.go
@@ -8,7 +8,7 @@
 	"ashshunt/balancer"
 )
 
-// A request gets as many attempts as the settings allow.
+// A request gets at most Settings.MaxAttempts attempts.
 func TestAttemptLimit(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 3
@@ -20,13 +20,13 @@
 		actions = append(actions, h.advance(150*ms)...)
 	}
 	if got := finalAnswer("q", actions); len(h.sent["q"]) != 3 || got != "fail" {
-		t.Errorf("attempts %v and answer %q, want 3 and one failure", h.sent["q"], got)
+		t.Errorf("got attempts %v and answer %q, want 3 attempts and one Fail", h.sent["q"], got)
 	}
 }
 
-// A request with an idempotency key that may have run is repeated only within the scope of deduplication.
+// A request with an idempotency key that may have run is repeated only within its deduplication scope.
 func TestDedupScope(t *testing.T) {
-	zone := map[string]int{"a": 0, "b": 0, "c": 1, "d": 1, "e": 2, "f": 2} // and cell
+	zone := map[string]int{"a": 0, "b": 0, "c": 1, "d": 1, "e": 2, "f": 2} // cells are numbered like zones
 	for seed := range uint64(40) {
 		for _, class := range []int{keyedInZone, keyedInCell} {
 			h := newHarness(t, settings(), seed, endpoints(6))
@@ -34,14 +34,15 @@
 			h.outcomeAfter("q", balancer.ServerError, 5*ms)
 			h.advance(200 * ms)
 			if sent := h.sent["q"]; len(sent) != 2 || zone[sent[0]] != zone[sent[1]] {
-				t.Errorf("seed %d class %d: attempts %v, want two in one scope", seed, class, sent)
+				t.Errorf("seed %d, class %d: got attempts %v, want 2 in one scope", seed, class, sent)
 			}
 		}
 	}
 }
 
-// A request with an idempotency key that may have run is repeated only within the window of deduplication. Since a
-// connection may take its timeout to come up, the repeat must be sent earlier by as much.
+// A request with an idempotency key that may have run is repeated only within its deduplication window.
+// Establishing a connection may take up to the connect timeout, so that the repeat must be sent that much
+// earlier.
 func TestDedupWindow(t *testing.T) {
 	tests := []struct {
 		name           string
@@ -61,25 +62,24 @@
 			h.request("q", keyedEverywhere)
 			actions := h.outcomeAfter("q", balancer.ServerError, tt.failedAfter)
 			if got := finalAnswer("q", actions); got != tt.want {
-				t.Errorf("failed after %v: %q, want %q", tt.failedAfter, got, tt.want)
+				t.Errorf("error after %v: got answer %q, want %q", tt.failedAfter, got, tt.want)
 			}
 		})
 	}
 }
 
-// An attempt that never ran sets neither scope nor window.
+// An attempt that never ran sets neither the deduplication scope nor the window.
 func TestNeverRanAttemptSetsNoDedupScope(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(6))
 	h.request("q", keyedInZone)
 	h.outcomeAfter("q", balancer.ConnectFailed, 400*ms)
 	h.advance(200 * ms)
 	if len(h.sent["q"]) != 2 {
-		t.Errorf("attempts %v, want a second one", h.sent["q"])
+		t.Errorf("got attempts %v, want 2", h.sent["q"])
 	}
 }
 
-// Where a rejected attempt may have run, a request that is not idempotent gets no second one and no
-// rejection.
+// If rejected attempts may have run, a non-idempotent request is neither retried nor rejected after one.
 func TestRejectedMayHaveRun(t *testing.T) {
 	for _, mayHaveRun := range []bool{false, true} {
 		t.Run(fmt.Sprint("may have run: ", mayHaveRun), func(t *testing.T) {
@@ -90,16 +90,17 @@
 			actions := h.outcome("q", balancer.Rejected, ms)
 			actions = append(actions, h.advance(400*ms)...)
 			if retried := len(h.sent["q"]) == 2; retried == mayHaveRun {
-				t.Errorf("retried: %v", retried)
+				t.Errorf("got retried: %v, want a retry only if the attempt never ran", retried)
 			}
 			if got := finalAnswer("q", actions); mayHaveRun && got != "fail" {
-				t.Errorf("%q, want fail", got)
+				t.Errorf("got answer %q, want fail", got)
 			}
 		})
 	}
 }
 
-// A repeat of a request with an idempotency key carries the end of its window; what never ran has none.
+// A repeat of a request with an idempotency key carries the end of the deduplication window in NotAfter. A
+// first attempt has no such bound.
 func TestRepeatsCarryDedupWindowEnd(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -127,7 +128,7 @@
 				want = sentAt + settings().Classes[tt.class].DedupWindow
 			}
 			if len(bounds) != 2 || bounds[0] != 0 || bounds[1] != want {
-				t.Errorf("attempts not after %v, want 0 and %v", bounds, want)
+				t.Errorf("got NotAfter %v, want 0 and %v", bounds, want)
 			}
 		})
 	}
--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// A timer is taken once, by the open request whose latest timer it is, or as that for the next Subscribe.
+// A timer is taken once: by the open request whose latest timer it is, or as the timer for the next
+// Subscribe.
 func TestTimerTable(t *testing.T) {
 	timers := newTimerTable()
 	add := func(r *request) int64 {
@@ -36,15 +37,16 @@
 	for _, tt := range tests {
 		isSubscribe, r := timers.takeSubscribe(tt.token), timers.takeRequest(tt.token)
 		if isSubscribe != tt.isSubscribe || r != tt.request {
-			t.Errorf("%s: for Subscribe %v, for the request %v", tt.name, isSubscribe, r)
+			t.Errorf("%s: got subscribe %v and request %v, which differ from the test case", tt.name, isSubscribe, r)
 		}
 	}
 	if len(timers.requests) != 0 {
-		t.Errorf("%d timers are kept", len(timers.requests))
+		t.Errorf("got %d remaining timers, want 0", len(timers.requests))
 	}
 }
 
-// A token bucket starts full, pays only what it holds, takes nothing otherwise, and is refilled up to its capacity.
+// A token bucket starts full and is refilled up to its capacity. It takes no tokens if it holds fewer than
+// requested.
 func TestTokenBucket(t *testing.T) {
 	bucket := newTokenBucket()
 	steps := []struct {
@@ -65,13 +67,14 @@
 			bucket.refill()
 		}
 		if paid := bucket.take(step.cost); paid != step.paid || bucket.tokens != step.left {
-			t.Errorf("%s: paid %v, %v left; want %v and %v", step.name, paid, bucket.tokens, step.paid, step.left)
+			t.Errorf("%s: got taken %v with %v tokens left, want %v and %v",
+				step.name, paid, bucket.tokens, step.paid, step.left)
 		}
 	}
 }
 
-// Requests of one key are next in the order of their arrival, after the quiet period of the one before. A queue is
-// dropped once it is empty and its quiet period is over.
+// Requests with the same key proceed in the order of their arrival, each after the quiet period of the
+// previous one. A queue is removed once it is empty and its quiet period has ended.
 func TestKeyQueues(t *testing.T) {
 	const now, quietUntil = time.Hour, time.Hour + time.Second
 	first, second, third := &request{}, &request{}, &request{}
@@ -80,28 +83,28 @@
 		queues.join(r, "k")
 	}
 	if !first.isNextOfKey(now) || second.isNextOfKey(now) {
-		t.Error("of three requests not the first alone is next")
+		t.Error("of three requests, want the first one and not the second as next")
 	}
-	queues.leave(second, now) // before its turn
+	queues.leave(second, now) // before it is next
 	first.keyQuietUntil = quietUntil
 	if wait := queues.leave(first, now); wait < quietUntil-now {
-		t.Errorf("a wait of %v for a quiet period of %v", wait, quietUntil-now)
+		t.Errorf("got a wait of %v, want at least the quiet period of %v", wait, quietUntil-now)
 	}
 	if queues.expire(quietUntil); third.isNextOfKey(quietUntil-1) || !third.isNextOfKey(quietUntil) {
-		t.Error("the third is not next when the quiet period ends")
+		t.Error("the third request is not next exactly when the quiet period ends")
 	}
 	third.keyQuietUntil = quietUntil + time.Second
 	queues.leave(third, quietUntil)
 	if queues.expire(third.keyQuietUntil - 1); len(queues.byKey) != 1 {
-		t.Errorf("%d queues in the quiet period, want 1", len(queues.byKey))
+		t.Errorf("got %d queues in the quiet period, want 1", len(queues.byKey))
 	}
 	if queues.expire(third.keyQuietUntil); len(queues.byKey)+len(queues.quiet) != 0 {
-		t.Errorf("%d queues after it, want none", len(queues.byKey))
+		t.Errorf("got %d queues after the quiet period, want 0", len(queues.byKey))
 	}
 }
 
-// The limit falls by a factor, at most once in a mean latency and never under the least limit, while latencies are
-// high. It grows while they are low and it binds.
+// While latencies are high, the limit is multiplied by a factor, at most once per mean latency, down to the
+// minimum limit. While latencies are low, it grows if it binds.
 func TestLimitIsAdjusted(t *testing.T) {
 	const start, meanLatency = 20.0, 100 * time.Millisecond
 	fleet := fleetSummary{serving: 5, capacity: 5}
@@ -109,8 +112,8 @@
 		name      string
 		ratio     float64 // latency over objective
 		inFlight  float64
-		step      time.Duration // between responses
-		low, high float64       // bounds of the limit for an endpoint in the end
+		step      time.Duration // time between responses
+		low, high float64       // bounds of the final limit per endpoint
 	}{
 		{"high latency for a moment", 1, 0, 0, start * limitDecreaseFactor, start * limitDecreaseFactor},
 		{"high latency for long", 1, 0, 2 * meanLatency, minLimitPerEndpoint, minLimitPerEndpoint},
@@ -127,13 +130,13 @@
 			limiter.observe(time.Hour+time.Duration(i)*tt.step, meanLatency, tt.ratio, tt.inFlight, fleet)
 		}
 		if got := limiter.perEndpoint; got < tt.low || got > tt.high {
-			t.Errorf("%s: limit %v, want %v to %v", tt.name, got, tt.low, tt.high)
+			t.Errorf("%s: got limit %v, want %v to %v", tt.name, got, tt.low, tt.high)
 		}
 	}
 }
 
-// The throttle closes where this agent's part of the least limit is under one attempt, and the requests sent exceed a
-// multiple of those served on time by the allowance.
+// The throttle closes if this agent's part of the minimum limit is below one attempt, and if the requests
+// sent exceed a multiple of those served on time by at least the allowance.
 func TestIsThrottled(t *testing.T) {
 	tests := []struct {
 		name         string
@@ -149,13 +152,13 @@
 	for _, tt := range tests {
 		limiter, traffic := newConcurrencyLimiter(tt.agents), trafficStats{sent: tt.sent, servedOnTime: tt.onTime}
 		if got := isThrottled(&limiter, &traffic, fleetSummary{serving: 2}); got != tt.want {
-			t.Errorf("%s: throttled %v, want %v", tt.name, got, tt.want)
+			t.Errorf("%s: got throttled %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
 
-// The subset holds the candidates of least weighted rank, in whatever order they are inserted. Each of the others is
-// returned once.
+// The subset holds the candidates of lowest weighted rank, whatever the order of insertion. Each other
+// candidate is returned exactly once.
 func TestCandidateSet(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -169,21 +172,22 @@
 				set.connected = append(set.connected, outside)
 			}
 			if isInside := !isOutside || outside != all[i]; isInside != admitted {
-				t.Errorf("seed %d: admits %v, in the subset: %v", seed, admitted, isInside)
+				t.Errorf("seed %d: admits returned %v, but insertion into the subset: %v", seed, admitted, isInside)
 			}
 		}
 		slices.SortFunc(all, compareWeightedRank)
 		subset := slices.SortedFunc(slices.Values(set.members), compareWeightedRank)
 		if !slices.Equal(subset, all[:min(set.subsetSize, len(all))]) {
-			t.Errorf("seed %d: the subset of %d is %v of %v", seed, set.subsetSize, subset, all)
+			t.Errorf("seed %d: got subset of size %d: %v, want the first of %v", seed, set.subsetSize, subset, all)
 		}
 		if set.mergeConnected(); !slices.Equal(set.members, all) {
-			t.Errorf("seed %d: all candidates are %v, want %v", seed, set.members, all)
+			t.Errorf("seed %d: got members %v, want %v", seed, set.members, all)
 		}
 	}
 }
 
-// The unobserved endpoints are yielded as a plain sort by weighted rank gives them, whatever was added and removed.
+// Unobserved endpoints are yielded in the same order as a sort by weighted rank gives, after any additions
+// and removals.
 func TestUnobservedEndpoints(t *testing.T) {
 	const ownZone, crossZoneDivisor = 1, 3.0
 	zoneFactors := []float64{crossZoneDivisor, 1, crossZoneDivisor}
@@ -207,21 +211,22 @@
 			delete(weightedRanks, ep)
 		}
 		if !slices.Equal(got, want) || len(weightedRanks) > 0 || unobserved.len() != len(want) {
-			t.Errorf("seed %d: weighted ranks %v, want %v; %d endpoints are missing",
+			t.Errorf("seed %d: got weighted ranks %v, want %v; %d endpoints are missing",
 				seed, got, want, len(weightedRanks))
 		}
 	}
 }
 
-// The wait before a poll has full jitter, up to a bound that grows with the agents and with the failures in a row.
+// The delay of a Subscribe has full jitter. Its maximum grows with the number of agents and with consecutive
+// failures.
 func TestSubscriberWaits(t *testing.T) {
 	failures := slices.Repeat([]ListKind{ListFailed}, 20)
 	tests := []struct {
 		name    string
 		agents  int
-		spread  time.Duration // Settings.SubscribeSpread; 0: none
+		spread  time.Duration // Settings.SubscribeSpread; 0: not set
 		lists   []ListKind
-		longest time.Duration // after the last list; 0: no poll
+		longest time.Duration // maximum delay after the last list; 0: no Subscribe
 	}{
 		{"changes", 64, 0, []ListKind{ListDelta}, 0},
 		{"cached list, many agents", 900, 0, []ListKind{ListCached}, 16 * time.Second},
@@ -244,7 +249,7 @@
 		}
 		low, high := slices.Min(waits), slices.Max(waits)
 		if low > tt.longest/10 || high < tt.longest*9/10 || high > tt.longest {
-			t.Errorf("%s: waits from %v to %v, want them from 0 to %v", tt.name, low, high, tt.longest)
+			t.Errorf("%s: got delays from %v to %v, want them uniform from 0 to %v", tt.name, low, high, tt.longest)
 		}
 	}
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -8,7 +8,7 @@
 	"ashshunt/balancer"
 )
 
-// An endpoint that fails fast is always idle; it does not draw the traffic.
+// An endpoint that fails fast is always idle. It is ejected, so that it does not attract the traffic.
 func TestFastFailingEndpointIsEjected(t *testing.T) {
 	h := newHarness(t, settings(), 4, endpoints(6))
 	responseOf := faultAtA(response{balancer.ServerError, ms}, response{balancer.Served, 30 * ms})
@@ -19,17 +19,17 @@
 		}
 	}
 	if failed > 6 {
-		t.Errorf("the failing endpoint got %d of 300", failed)
+		t.Errorf("the failing endpoint got %d of 300 requests, want at most 6", failed)
 	}
-	// Once it has recovered it gets traffic again, at first idempotent requests.
+	// After the ejection it gets traffic again, idempotent requests first.
 	h.advance(20 * time.Second)
 	if counts := h.waves(408, 12, idempotent, 30*ms); counts["a"] < 20 {
-		t.Errorf("after its recovery it got %d of 400", counts["a"])
+		t.Errorf("after the ejection the endpoint got %d of 408 requests, want at least 20", counts["a"])
 	}
 }
 
-// An endpoint that leaves one class without response gets no more of it for a while, and keeps the others:
-// their responses show that the endpoint as a whole is healthy.
+// An endpoint that does not respond to one class is ejected for that class and keeps the others: their
+// responses show that the endpoint as a whole is healthy.
 func TestEjectionForOneClass(t *testing.T) {
 	s := settings()
 	s.Agents, s.MaxAttempts = 400, 1
@@ -55,11 +55,12 @@
 		h.now += 50 * ms
 	}
 	if unanswered > 21 || served < 100 {
-		t.Errorf("%d of 200 of the class had no response, %d of 600 others were served there", unanswered, served)
+		t.Errorf("%d requests of the class had no response, want at most 21; a served %d others, want at least 100",
+			unanswered, served)
 	}
 }
 
-// Errors that come from all endpoints alike eject none, and do not lower the limit.
+// Errors that occur at all endpoints at the same rate do not eject any, and do not decrease the limit.
 func TestNoEjectionForUniformErrors(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.serve(200, notIdempotent, 10*ms)
@@ -67,7 +68,7 @@
 		id := fmt.Sprint("q", i)
 		h.request(id, notIdempotent)
 		if len(h.sent[id]) != 1 {
-			t.Fatalf("request %d was not sent at once", i)
+			t.Fatalf("request %d was not sent immediately", i)
 		}
 		result := balancer.Served
 		if i%20 == 0 {
@@ -75,12 +76,13 @@
 		}
 		h.outcomeAfter(id, result, 10*ms)
 	}
-	if n := total(h.burst("all", 16, notIdempotent)); n != 16 { // the limit of four endpoints
-		t.Errorf("%d at once, want 16: endpoints are left out", n)
+	if n := total(h.burst("all", 16, notIdempotent)); n != 16 { // four attempts per endpoint
+		t.Errorf("%d attempts in flight, want 16 at all four endpoints", n)
 	}
 }
 
-// One broken connection does not tell that an endpoint was restarted, so that it does not warm up; three in a row do.
+// A single broken connection is no sign of a restart, so that the endpoint does not warm up. Three in a row
+// are.
 func TestSingleResetIsNotRestart(t *testing.T) {
 	responseOf := faultAtA(response{balancer.Reset, 10 * ms}, response{balancer.Served, 10 * ms})
 	servedAfter := func(resets int) int {
@@ -93,13 +95,13 @@
 		return h.waves(400, 4, notIdempotent, 10*ms)["a"]
 	}
 	if one, three := servedAfter(1), servedAfter(3); one < 150 || three > one/2 {
-		t.Errorf("a got %d of 400 after one reset, %d after three in a row; want about half, and far less",
+		t.Errorf("a got %d of 400 requests after one reset, %d after three; want 150 or more, and at most half as many",
 			one, three)
 	}
 }
 
-// Of eight endpoints, four of which answer every request with an error, one is ejected at a time, and the
-// others stay in use.
+// Four of eight endpoints answer every request with an error. Only one is ejected at a time, and the others
+// stay in use.
 func TestErrorEjectionsAreBounded(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(8))
 	h.waves(400, 8, notIdempotent, 10*ms)
@@ -112,12 +114,12 @@
 		})
 	}
 	if used := len(h.burst("all", 30, notIdempotent)); used < 7 {
-		t.Errorf("%d of 8 endpoints in use, want all but one", used)
+		t.Errorf("%d of 8 endpoints in use, want at least 7", used)
 	}
 }
 
-// Connections that fail at every endpoint, by a cause of this machine's own, say nothing of the endpoints: requests
-// are served as before as soon as that is over, and no endpoint is treated as restarted.
+// Connections that fail at every endpoint because of a fault of this machine are no evidence about the
+// endpoints. Requests are served as before once the fault has ended, and no endpoint counts as restarted.
 func TestLocalFailuresDoNotAffectEndpoints(t *testing.T) {
 	for _, agents := range []int{1, 900} {
 		t.Run(fmt.Sprint(agents, " agents"), func(t *testing.T) {
@@ -140,13 +142,13 @@
 				}
 			}
 			if served < 95 {
-				t.Errorf("%d of 100 requests were served after the failures", served)
+				t.Errorf("%d of 100 requests were served after the failures, want at least 95", served)
 			}
 		})
 	}
 }
 
-// failLocally submits a request and has each of its attempts fail locally, until there is no further one.
+// failLocally sends a request and lets each of its attempts fail locally, until there is no further attempt.
 func (h *harness) failLocally(id string) {
 	h.t.Helper()
 	h.request(id, notIdempotent)
@@ -157,7 +159,8 @@
 	}
 }
 
-// An endpoint that only this machine cannot reach does not draw the traffic, though it fails fast and is always idle.
+// An endpoint that only this machine cannot reach fails fast and is always idle. It does not attract the
+// traffic.
 func TestLocalFailuresAtOneEndpoint(t *testing.T) {
 	h := newHarness(t, settings(), 4, endpoints(6))
 	failed := 0
@@ -171,6 +174,6 @@
 		h.outcomeAfter(id, balancer.Served, 30*ms)
 	}
 	if failed > 30 {
-		t.Errorf("the endpoint that cannot be reached got %d of 300", failed)
+		t.Errorf("the unreachable endpoint got %d of 300 requests, want at most 30", failed)
 	}
 }
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -8,11 +8,11 @@
 	"ashshunt/balancer"
 )
 
-// Idle endpoints are drawn alike.
+// Idle endpoints of equal weight are drawn with equal probability.
 func TestPickIdleAtRandom(t *testing.T) {
 	for id, n := range fleetShares(t, settings(), endpoints(4)) {
 		if n < 60 || n > 140 {
-			t.Errorf("%s got %d of 400, want about 100", id, n)
+			t.Errorf("%s got %d of 400 requests, want 60 to 140", id, n)
 		}
 	}
 }
@@ -28,31 +28,31 @@
 // An idle endpoint is picked before a busy one.
 func TestPickIdleBeforeBusy(t *testing.T) {
 	if used := len(newConnectedHarness(t).burst("q", 4, idempotent)); used != 4 {
-		t.Errorf("four requests went to %d endpoints, want 4", used)
+		t.Errorf("4 concurrent requests went to %d endpoints, want 4", used)
 	}
 }
 
-// Of busy endpoints the one with the fewest attempts in flight is picked.
+// If all endpoints are busy, the one with the fewest attempts in flight is picked.
 func TestPickFewestInFlight(t *testing.T) {
 	for id, n := range newConnectedHarness(t).burst("q", 12, idempotent) {
 		if n < 2 || n > 4 {
-			t.Errorf("%s has %d in flight of 12 over 4", id, n)
+			t.Errorf("%s has %d of 12 attempts in flight, want 2 to 4", id, n)
 		}
 	}
 }
 
-// A new endpoint counts with the mean load, so that it is not the idle one that draws all requests.
+// A new endpoint is assumed to have the mean load. Otherwise it would count as idle and get all requests.
 func TestPickNewEndpointAtMeanLoad(t *testing.T) {
 	h := newHarness(t, settings(), 2, endpoints(4))
 	h.serve(80, idempotent, 50*ms)
 	h.burst("q", 8, idempotent)
 	h.changeList(balancer.Endpoint{ID: "new"})
 	if n := h.burst("n", 4, idempotent)["new"]; n > 2 {
-		t.Errorf("the new endpoint got %d of 4, want 2 at most", n)
+		t.Errorf("the new endpoint got %d of 4 requests, want at most 2", n)
 	}
 }
 
-// Where crossing zones has a price, endpoints of the agent's own zone are preferred.
+// If crossing zones has a price, endpoints of the agent's own zone are preferred.
 func TestPickOwnZoneWhereCrossingIsPriced(t *testing.T) {
 	s := settings()
 	s.CrossZonePrice = 0.02
@@ -60,11 +60,11 @@
 	h.waves(16, 8, idempotent, 50*ms)
 	counts := h.serve(400, idempotent, 50*ms)
 	if own := counts["a"] + counts["b"]; own < 260 || own == 400 {
-		t.Errorf("own zone got %d of 400, want most but not all", own)
+		t.Errorf("endpoints of the own zone got %d of 400 requests, want 260 to 399", own)
 	}
 }
 
-// An endpoint is picked less the slower it responds.
+// The slower an endpoint responds, the fewer requests it gets.
 func TestPickSlowEndpointsLess(t *testing.T) {
 	h := newHarness(t, settings(), 2, endpoints(4))
 	responseOf := faultAtA(response{balancer.Served, 160 * ms}, response{balancer.Served, 40 * ms})
@@ -75,11 +75,11 @@
 		}
 	}
 	if last300 > 40 {
-		t.Errorf("an endpoint four times slower still got %d of 300", last300)
+		t.Errorf("an endpoint four times as slow got %d of the last 300 requests, want at most 40", last300)
 	}
 }
 
-// A stalled endpoint is recognized by the time that its oldest attempt is in flight, before any outcome.
+// A stalled endpoint is detected by the age of its oldest attempt in flight, before any outcome.
 func TestPickAvoidsStalledEndpoint(t *testing.T) {
 	h := newHarness(t, settings(), 4, endpoints(3))
 	h.serve(60, idempotent, 20*ms)
@@ -92,11 +92,12 @@
 	}
 	h.now += 300 * ms
 	if n := h.burst("q", 6, idempotent)["a"]; n > 0 {
-		t.Errorf("%d of 6 requests went to the stalled endpoint", n)
+		t.Errorf("%d of 6 requests went to the stalled endpoint, want none", n)
 	}
 }
 
-// A time-out says at least how slow an endpoint is: one that serves only light requests does not count as fast.
+// A time-out is a lower bound of the latency. Without it, an endpoint that serves only light requests would
+// count as fast.
 func TestTimeoutsCountAsLatency(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
@@ -107,12 +108,12 @@
 		got += runRoundWithTimeouts(h, round)
 	}
 	if got > 90 {
-		t.Errorf("an endpoint that times out half its requests got %d of 360", got)
+		t.Errorf("an endpoint with time-outs got %d of 360 requests, want at most 90", got)
 	}
 }
 
-// runRoundWithTimeouts plays six requests at once. Endpoint a serves the first that it gets, and the others time
-// out. It returns how many it gets.
+// runRoundWithTimeouts sends six requests at once. Endpoint a serves the first one that it gets, and its
+// others time out. It returns the number of requests sent to a.
 func runRoundWithTimeouts(h *harness, round int) (got int) {
 	prefix := fmt.Sprint("q", round, "-")
 	h.burst(prefix, 6, idempotent)
@@ -137,8 +138,8 @@
 	return got
 }
 
-// Endpoints are drawn by their listed weight, without which agents that see few responses of each endpoint would
-// load large and small ones alike.
+// Endpoints are drawn by their listed weight. Latencies alone do not suffice: an agent that sees few
+// responses of each endpoint would load large and small endpoints equally.
 func TestPickByListedWeight(t *testing.T) {
 	list := endpoints(4)
 	for i, size := range []float64{3, 1, 3, 1} {
@@ -147,11 +148,11 @@
 	counts := fleetShares(t, settings(), list)
 	large, small := counts["a"]+counts["c"], counts["b"]+counts["d"]
 	if large < 2*small || small < 40 {
-		t.Errorf("the large ones got %d and the small ones %d of 400, want about three to one", large, small)
+		t.Errorf("large endpoints got %d and small ones %d of 400 requests, want 40 small or more, and twice as many large", large, small)
 	}
 }
 
-// With cache affinity all agents send a key to the same endpoint.
+// With cache affinity, all agents send a key to the same endpoint.
 func TestCacheAffinityAgreesAcrossAgents(t *testing.T) {
 	s := settings()
 	s.CacheAffinity = true
@@ -168,19 +169,19 @@
 				choice[key] = endpoint
 			}
 			if endpoint != choice[key] {
-				t.Errorf("seed %d: %s went to %s, at another agent to %s", seed, key, endpoint, choice[key])
+				t.Errorf("seed %d: key %s went to %s, want %s as from another agent", seed, key, endpoint, choice[key])
 			}
 			used[endpoint] = true
 			h.outcome(id, balancer.Served, 20*ms)
 		}
 		if len(used) < 6 {
-			t.Errorf("seed %d: 40 keys went to %d endpoints only", seed, len(used))
+			t.Errorf("seed %d: 40 keys went to %d endpoints, want at least 6", seed, len(used))
 		}
 	}
 }
 
-// With cache affinity, connected endpoints come first once attempts over new connections are served on time less
-// often.
+// With cache affinity, connected endpoints are preferred once attempts over new connections are served on
+// time less often than others.
 func TestCacheAffinityPrefersConnectedDuringFaults(t *testing.T) {
 	s := settings()
 	s.CacheAffinity, s.MaxAttempts = true, 1
@@ -194,18 +195,18 @@
 			h.outcome(id, balancer.Served, 20*ms)
 			continue
 		}
-		h.outcome(id, balancer.TimedOut, 100*ms) // as do two in three
+		h.outcome(id, balancer.TimedOut, 100*ms) // two in three endpoints do not respond
 		if i >= 100 {
 			unanswered++
 		}
 	}
 	if unanswered > 15 {
-		t.Errorf("%d of the last 100 went to unresponsive endpoints", unanswered)
+		t.Errorf("%d of the last 100 requests went to unresponsive endpoints, want at most 15", unanswered)
 	}
 }
 
-// Crossing zones weighs by its price, unless too few requests are served on time. Each figure is that of several sets
-// of keys, since the key draws the endpoint.
+// The price of crossing zones reduces the requests that cross, unless too few requests are served on time.
+// The key determines the endpoint, so that each count is the sum over several sets of keys.
 func TestCrossZonePrice(t *testing.T) {
 	const sets, requests = 20, 400
 	countCrossings := func(price float64, latency time.Duration) (crossed int) {
@@ -216,14 +217,16 @@
 	}
 	unpriced, priced := countCrossings(0, 20*ms), countCrossings(0.1, 20*ms)
 	if unpriced < 100*sets || priced > unpriced/4 {
-		t.Errorf("%d of %d crossed without a price, %d with one", unpriced, sets*requests, priced)
+		t.Errorf("%d of %d requests crossed zones without a price, want 2000 or more; %d with one, want 1/4 at most",
+			unpriced, sets*requests, priced)
 	}
 	if late := countCrossings(0.1, 600*ms); late < 5*sets {
-		t.Errorf("%d of %d crossed while all responses were late", late, sets*requests)
+		t.Errorf("%d of %d requests crossed zones while all responses were late, want at least 100",
+			late, sets*requests)
 	}
 }
 
-// countSetCrossings counts the requests of one set of keys that are sent to another zone.
+// countSetCrossings returns the number of requests of one set of keys that are sent to another zone.
 func countSetCrossings(t *testing.T, set, requests int, price float64, latency time.Duration) (crossed int) {
 	t.Helper()
 	s := settings()
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -9,7 +9,8 @@
 	"ashshunt/balancer"
 )
 
-// The result of an attempt decides for each kind of class: a retry at another endpoint, or a final answer.
+// The class and the result of an attempt determine whether the request is retried at another endpoint or gets
+// a final answer.
 func TestRetryByResult(t *testing.T) {
 	const retry = "retry"
 	tests := []struct {
@@ -47,7 +48,7 @@
 			if sent := h.sent["q"]; len(sent) == 2 {
 				got += retry
 				if sent[0] == sent[1] {
-					t.Errorf("both attempts went to %s, which had just failed", sent[0])
+					t.Errorf("both attempts went to %s, want the retry at another endpoint", sent[0])
 				}
 			}
 			if got != tt.want {
@@ -57,48 +58,48 @@
 	}
 }
 
-// The token bucket holds 100 tokens: 20 retries at 5, or 10 at 10 after time-outs. First attempts are sent when it is
-// empty; served requests bring one token each, up to the capacity.
+// The token bucket holds 100 tokens: 20 retries at 5 tokens, or 10 at 10 tokens after time-outs. First
+// attempts are sent even if it is empty. Each served request adds a token, up to the capacity.
 func TestRetryTokenBucket(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 2
 	tests := []struct {
 		name         string
 		result       balancer.Result
-		served       int // requests, after the bucket was emptied
-		wantFull     int // retries that a full bucket pays for
-		wantRefilled int // retries that it pays for after the served requests
+		served       int // requests served after the bucket was emptied
+		wantFull     int // retries that a full bucket allows
+		wantRefilled int // retries that it allows after the served requests
 	}{
 		{"errors cost 5", balancer.ServerError, 4, 20, 0},
-		{"five served pay for a retry", balancer.ServerError, 5, 20, 1},
+		{"five served allow a retry", balancer.ServerError, 5, 20, 1},
 		{"time-outs cost 10", balancer.TimedOut, 9, 10, 0},
-		{"ten served pay for a retry after a time-out", balancer.TimedOut, 10, 10, 1},
+		{"ten served allow a retry after a time-out", balancer.TimedOut, 10, 10, 1},
 		{"capacity", balancer.ServerError, 500, 20, 20},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			h := newHarness(t, s, 5, endpoints(6))
 			if got := h.failRequests(30, tt.result); got != tt.wantFull {
-				t.Errorf("a full bucket paid for %d retries, want %d", got, tt.wantFull)
+				t.Errorf("a full bucket allowed %d retries, want %d", got, tt.wantFull)
 			}
 			h.serve(tt.served, idempotent, 20*ms)
 			h.advance(30 * time.Second)
 			if got := h.failRequests(30, tt.result); got != tt.wantRefilled {
-				t.Errorf("then it paid for %d retries, want %d", got, tt.wantRefilled)
+				t.Errorf("the refilled bucket allowed %d retries, want %d", got, tt.wantRefilled)
 			}
 		})
 	}
 }
 
-// failRequests has n requests fail, the first attempt with the result and its retry with an error, and returns how many
-// were retried.
+// failRequests sends n requests. The first attempt of each has the given result, and its retry fails with an
+// error. It returns the number of requests that were retried.
 func (h *harness) failRequests(n int, result balancer.Result) (retried int) {
 	h.t.Helper()
 	for range n {
 		id := fmt.Sprintf("fail-%d", len(h.sent))
 		h.request(id, idempotent)
 		if len(h.sent[id]) != 1 {
-			h.t.Fatalf("the first attempt of %s was not sent", id)
+			h.t.Fatalf("the first attempt of %s was not sent, want it sent whatever the tokens", id)
 		}
 		h.outcomeAfter(id, result, ms)
 		h.advance(100 * ms)
@@ -106,13 +107,13 @@
 			retried++
 			h.outcomeAfter(id, balancer.ServerError, ms)
 		}
-		h.advance(30 * time.Second) // lets ejections pass
+		h.advance(30 * time.Second) // until ejections have ended
 	}
 	return retried
 }
 
-// Backoff has full jitter: between 0 and a unit (a share of the objective) that doubles with each retry up to a
-// bound.
+// Backoff has full jitter: it is uniform between 0 and a maximum, a share of the objective that doubles with
+// each retry up to a bound.
 func TestBackoff(t *testing.T) {
 	const retries = 6
 	var waits [retries][]time.Duration
@@ -126,15 +127,15 @@
 		bound := unit << min(retry, 3)
 		shortest, longest := slices.Min(waits[retry]), slices.Max(waits[retry])
 		if longest > bound+ms || longest < bound*8/10 {
-			t.Errorf("retry %d waited up to %v, want close to %v and no more", retry, longest, bound)
+			t.Errorf("retry %d: maximum backoff %v, want close to %v and no more", retry, longest, bound)
 		}
 		if shortest > bound/10 {
-			t.Errorf("retry %d waited at least %v, want full jitter from 0", retry, shortest)
+			t.Errorf("retry %d: minimum backoff %v, want close to 0", retry, shortest)
 		}
 	}
 }
 
-// collectBackoffs returns the waits before the retries of one request, a quarter of a millisecond exact.
+// collectBackoffs returns the backoffs of the retries of one request, to a quarter of a millisecond.
 func collectBackoffs(t *testing.T, seed uint64, retries int) (waits []time.Duration) {
 	t.Helper()
 	s := settings()
@@ -148,38 +149,39 @@
 			h.advance(ms / 4)
 		}
 		if len(h.sent["q"]) != retry+2 {
-			t.Fatalf("seed %d: retry %d was not made", seed, retry)
+			t.Fatalf("seed %d: retry %d was not sent", seed, retry)
 		}
 		waits = append(waits, h.now-failedAt)
 	}
 	return waits
 }
 
-// A retry whose backoff would outlast the deadline is not made.
+// A request is not retried if the backoff would end after its deadline.
 func TestNoRetryPastDeadline(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.request("q", idempotent)
 	if actions := h.outcomeAfter("q", balancer.TimedOut, 2000*ms); finalAnswer("q", actions) != "fail" {
-		t.Errorf("at the deadline: %v, want the final answer at once", actions)
+		t.Errorf("time-out at the deadline: got actions %v, want a Fail", actions)
 	}
 }
 
-// Clients that are rejected together do not return together: Retry-After is spread up to the longest that clients
-// heed, and up to the longest backoff: 100 ms. It is given only where clients are shown it.
+// Retry-After has full jitter, so that clients that are rejected together do not return together. Its maximum
+// is the shorter of what clients heed and the maximum backoff, 100 ms here. It is 0 where clients are not
+// sent it.
 func TestRetryAfterIsSpread(t *testing.T) {
 	for _, maxRetryAfter := range []time.Duration{60 * ms, time.Minute} {
 		waits, maxWait := collectRetryAfters(t, true, maxRetryAfter), min(maxRetryAfter, 100*ms)
 		low, high := slices.Min(waits), slices.Max(waits)
 		if low < 0 || low > maxWait/4 || high > maxWait || high < maxWait*3/4 {
-			t.Errorf("Retry-After from %v to %v, want it spread from 0 to %v", low, high, maxWait)
+			t.Errorf("Retry-After between %v and %v, want it uniform between 0 and %v", low, high, maxWait)
 		}
 	}
 	if high := slices.Max(collectRetryAfters(t, false, time.Minute)); high != 0 {
-		t.Errorf("Retry-After of %v for clients that are not shown it", high)
+		t.Errorf("got Retry-After %v with SendRetryAfter off, want 0", high)
 	}
 }
 
-// collectRetryAfters returns the Retry-After of 50 rejections.
+// collectRetryAfters returns the Retry-After values of 50 rejections.
 func collectRetryAfters(t *testing.T, sendRetryAfter bool, maxRetryAfter time.Duration) (waits []time.Duration) {
 	t.Helper()
 	s := settings()
@@ -196,7 +198,7 @@
 		h.now += 5 * ms
 	}
 	if len(waits) != 50 {
-		t.Fatalf("%d rejections, want 50", len(waits))
+		t.Fatalf("got %d rejections, want 50", len(waits))
 	}
 	return waits
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -8,28 +8,28 @@
 	"ashshunt/balancer"
 )
 
-// An endpoint that warms up gets no more than its warm-up fraction times what a warm one serves, and its full share
+// An endpoint that warms up gets at most its warm-up fraction of what a warm one serves, and its full share
 // once it is warm.
 func TestSlowStartShare(t *testing.T) {
 	list := endpoints(5)
-	list[0].StartedAt = time.Hour // the harness's clock starts here
+	list[0].StartedAt = time.Hour // the time at which the harness starts
 	h := newHarness(t, settings(), 9, list)
-	counts := h.waves(1000, 10, idempotent, 20*ms) // the first 4 s of 10: fractions of 0.2 to 0.52
+	counts := h.waves(1000, 10, idempotent, 20*ms) // the first 4 s of 10 s: warm-up fractions of 0.2 to 0.52
 	if warm := (1000 - counts["a"]) / 4; float64(counts["a"]) > 0.52*float64(warm)+2 {
-		t.Errorf("the warming endpoint got %d against %d for a warm one", counts["a"], warm)
+		t.Errorf("the warming endpoint got %d requests, want at most 0.52 of the %d of a warm one", counts["a"], warm)
 	}
 	if counts["a"] == 0 {
-		t.Error("the warming endpoint got nothing")
+		t.Error("the warming endpoint got 0 of 1000 requests, want some")
 	}
 	h.advance(10 * time.Second)
 	if n := h.waves(200, 10, idempotent, 20*ms)["a"]; n < 25 {
-		t.Errorf("once warm it got %d of 200", n)
+		t.Errorf("once warm the endpoint got %d of 200 requests, want at least 25", n)
 	}
 }
 
-// While its agents have queues, an endpoint that warms up gets more than its warm-up fraction of what a warm one
-// serves, and stays well below the allowed multiple of it: in the mean of twenty balancers, since that of one varies
-// widely.
+// While requests queue at the agent, an endpoint that warms up gets more than its warm-up fraction of what a
+// warm one serves, and stays well below the overload multiple of it. The share is the mean over 20 balancers,
+// since that of one varies widely.
 func TestSlowStartShareUnderOverload(t *testing.T) {
 	const balancers = 20
 	sum := 0.0
@@ -37,12 +37,12 @@
 		sum += shareUnderOverload(t, seed)
 	}
 	if share := sum / balancers; share < 0.28 || share > 0.28*2.5 {
-		t.Errorf("the warming endpoint served %.2f of a warm one's work", share)
+		t.Errorf("the warming endpoint served %.2f of what a warm one did, want 0.28 to 0.70", share)
 	}
 }
 
-// shareUnderOverload is what an endpoint serves in the first two seconds of its slow start, over what a warm one
-// serves then. Its warm-up fraction is 0.28 in the mean.
+// shareUnderOverload returns what an endpoint serves in the first two seconds of its slow start, over what a
+// warm one serves in that time. The mean warm-up fraction is 0.28.
 func shareUnderOverload(t *testing.T, seed uint64) float64 {
 	t.Helper()
 	list := endpoints(5)
@@ -60,23 +60,23 @@
 	return o.served["a"] / warm
 }
 
-// overloadedAgent is an agent that gets more requests than its endpoints serve.
+// overloadedAgent is an agent that gets more requests than its endpoints can serve.
 type overloadedAgent struct {
 	*harness
-	warming  string             // the endpoint that warms up; "": none does
-	inFlight []string           // requests, oldest first
-	served   map[string]float64 // requests by endpoint
+	warming  string             // endpoint that warms up; "": none
+	inFlight []string           // IDs of requests, oldest first
+	served   map[string]float64 // number of requests served, by endpoint
 }
 
-// recordSends keeps the requests that are being sent.
+// recordSends adds the requests that are sent by the actions.
 func (o *overloadedAgent) recordSends(actions []balancer.Action) {
 	for _, send := range sendsOf(actions) {
 		o.inFlight = append(o.inFlight, send.Request)
 	}
 }
 
-// run plays steps of 5 ms. In each, the endpoint that warms up responds to all its requests, the others together to
-// the oldest one of all, if it is theirs, and two new requests arrive.
+// run simulates steps of 5 ms. In each step two requests arrive. The endpoint that warms up serves all its
+// requests, and the other endpoints together serve the oldest request in flight, if it is at one of them.
 func (o *overloadedAgent) run(steps int) {
 	for range steps {
 		o.recordSends(o.advance(5 * ms))
@@ -103,7 +103,7 @@
 	o.recordSends(o.outcome(id, balancer.Served, latency))
 }
 
-// A heavy request, which alone could overload it, does not go to an endpoint that warms up.
+// A heavy request could overload an endpoint that warms up by itself, and is not sent there.
 func TestWarmingEndpointGetsNoHeavyRequest(t *testing.T) {
 	h := newHarness(t, settings(), 9, endpoints(3))
 	send := func(id string, work time.Duration) (endpoint string) {
@@ -115,22 +115,22 @@
 		send(fmt.Sprint("before", i), 20*ms)
 	}
 	h.changeList(balancer.Endpoint{ID: "new", StartedAt: h.now})
-	h.burst("busy", 6, idempotent) // the warm ones are not idle
+	h.burst("busy", 6, idempotent) // makes the warm endpoints busy
 	light := 0
 	for i := range 100 {
 		if send(fmt.Sprint("light", i), 20*ms) == "new" {
 			light++
 		}
 		if i%10 == 0 && send(fmt.Sprint("heavy", i), 300*ms) == "new" {
-			t.Fatalf("heavy request %d went to the warming endpoint", i)
+			t.Fatalf("heavy request %d went to the warming endpoint, want a warm one", i)
 		}
 	}
 	if light == 0 {
-		t.Error("the warming endpoint got no light request either")
+		t.Error("the warming endpoint got 0 of 100 light requests, want some")
 	}
 }
 
-// An endpoint that was restarted before the list says so warms up.
+// An endpoint that restarts before the list reports it warms up.
 func TestRestartedEndpointWarmsUp(t *testing.T) {
 	h := newHarness(t, settings(), 3, endpoints(3))
 	h.serve(60, idempotent, 20*ms)
@@ -138,11 +138,12 @@
 	h.exchangeUntil("a", idempotent, responseOf)
 	h.advance(2 * time.Second)
 	if n := h.waves(300, 6, idempotent, 20*ms)["a"]; n == 0 || n > 52 {
-		t.Errorf("after its return it got %d of 300, want a warming endpoint's share", n)
+		t.Errorf("the restarted endpoint got %d of 300 requests, want 1 to 52", n)
 	}
 }
 
-// While most of a fleet warms up, what it cannot serve yet does not go to the warm endpoints, nor all to one.
+// While most endpoints of a fleet warm up, requests that they cannot serve yet do not overload the warm
+// endpoints, and do not all go to one of them.
 func TestGrowthDoesNotOverloadWarmEndpoints(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.serve(100, idempotent, 50*ms)
@@ -156,16 +157,16 @@
 	for _, entry := range grown[:4] {
 		n := counts[entry.ID]
 		sum += n
-		if n > 18 { // three mean shares of six
-			t.Errorf("%s holds %d in flight", entry.ID, n)
+		if n > 18 { // three mean shares of six attempts
+			t.Errorf("%s has %d attempts in flight, want at most 18", entry.ID, n)
 		}
 	}
 	if sum > 60 {
-		t.Errorf("the four warm endpoints hold %d in flight", sum)
+		t.Errorf("the four warm endpoints have %d attempts in flight, want at most 60", sum)
 	}
 }
 
-// A new endpoint does not get a request from every agent with little traffic at once.
+// Agents with little traffic do not all send their next request to a new endpoint at the same time.
 func TestNewEndpointIsNotFlooded(t *testing.T) {
 	agents := 0
 	for seed := uint64(1); seed <= 100; seed++ {
@@ -180,11 +181,12 @@
 		}
 	}
 	if agents > 50 {
-		t.Errorf("%d of 100 agents sent to the new endpoint within 20 ms", agents)
+		t.Errorf("%d of 100 agents sent to the new endpoint within 20 ms, want at most 50", agents)
 	}
 }
 
-// With no warm endpoint to go by, requests are still sent.
+// Requests are sent even if no endpoint is warm, so that there is no traffic to warm endpoints to derive a
+// rate from.
 func TestAllEndpointsWarmingUp(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.serve(100, notIdempotent, 10*ms)
@@ -193,7 +195,7 @@
 		list[i].StartedAt = h.now
 	}
 	h.replaceList(list...)
-	h.advance(3 * time.Second) // what was served before counts no longer
+	h.advance(3 * time.Second) // the traffic served before has decayed
 	sent := 0
 	for i := range 50 {
 		id := fmt.Sprint("q", i)
@@ -205,28 +207,28 @@
 		}
 	}
 	if sent < 25 {
-		t.Errorf("%d of 50 sent to a fleet that all warms up", sent)
+		t.Errorf("%d of 50 requests were sent while all endpoints warm up, want at least 25", sent)
 	}
 }
 
-// All agents together do not overload endpoints that warm up, though none sends much, nor leave them idle while the
-// others are crowded.
+// All agents together do not overload endpoints that warm up, even if each agent sends little. They do not
+// leave these endpoints idle either while the other endpoints are overloaded.
 func TestSlowStartAcrossAgents(t *testing.T) {
 	tests := []struct {
 		name           string
-		startedShare   float64 // of the endpoints; at least one starts
-		removedShare   float64
+		startedShare   float64 // share of the endpoints; at least one starts
+		removedShare   float64 // share of the endpoints
 		restartAgents  bool
-		minServedShare float64 // of the requests
+		minServedShare float64 // minimum share of the requests that are served
 	}{
 		{"one joins", 0, 0, false, 0.95},
 		{"six in ten are replaced", 0.6, 0, false, 0.7},
 		{"one joins while six in ten are removed", 0, 0.6, false, 0.5},
 		{"one joins and all agents are restarted", 0, 0, true, 0.95},
 		{"all are restarted", 1, 0, false, 0.3},
-		{"all are restarted, and all agents", 1, 0, true, 0.3},
-		{"one is left, which starts", 0, 1, false, 0},
-		{"one is left, which starts, and all agents are restarted", 0, 1, true, 0},
+		{"all are restarted, all agents too", 1, 0, true, 0.3},
+		{"one remains and starts", 0, 1, false, 0},
+		{"one remains and starts, all agents are restarted", 0, 1, true, 0},
 	}
 	for _, tt := range tests {
 		for _, agents := range []int{1, 3, 20, 30, 350} {
@@ -238,17 +240,19 @@
 				f.restartAgents = tt.restartAgents
 				overload, servedShare := f.runMany(t)
 				if overload > 1 {
-					t.Errorf("a warming endpoint got %.2f times what the settings allow", overload)
+					t.Errorf("a warming endpoint got %.2f times the load that the settings allow, want at most 1",
+						overload)
 				}
 				if servedShare < tt.minServedShare {
-					t.Errorf("%.2f of the requests were served, want %.2f", servedShare, tt.minServedShare)
+					t.Errorf("%.2f of the requests were served, want at least %.2f", servedShare, tt.minServedShare)
 				}
 			})
 		}
 	}
 }
 
-// newFleetSimulation returns the simulation of TestSlowStartByAllAgentsTogether before its change is chosen.
+// newFleetSimulation returns the simulation of TestSlowStartAcrossAgents without the change of the endpoint
+// list.
 func newFleetSimulation(agents int) fleetSimulation {
 	f := fleetSimulation{agentCount: agents, endpointCount: 30, load: 0.7, meanWork: 60 * ms, changeAt: 4 * time.Second,
 		duration: 10 * time.Second}
@@ -261,7 +265,7 @@
 	return f
 }
 
-// A start in the future, as a clock that is off gives it, counts from now on.
+// A start time in the future, which is caused by a clock that is off, is replaced by the current time.
 func TestFutureStartTime(t *testing.T) {
 	s := settings()
 	h := newHarness(t, s, 1, endpoints(4))
@@ -269,6 +273,6 @@
 	h.changeList(balancer.Endpoint{ID: "a", StartedAt: h.now + time.Hour})
 	h.advance(s.SlowStartDuration)
 	if counts := h.waves(400, 4, idempotent, 30*ms); counts["a"] < 50 {
-		t.Errorf("after its slow start it got %d of 400", counts["a"])
+		t.Errorf("after its slow start the endpoint got %d of 400 requests, want at least 50", counts["a"])
 	}
 }
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -7,7 +7,7 @@
 	"ashshunt/balancer"
 )
 
-// countSubscribes counts the Subscribe actions.
+// countSubscribes returns the number of Subscribe actions.
 func countSubscribes(actions []balancer.Action) (n int) {
 	for _, action := range actions {
 		if _, ok := action.(balancer.Subscribe); ok {
@@ -17,8 +17,8 @@
 	return n
 }
 
-// A cached list and each failure are followed by one poll, in time; a complete list ends that. Each agent waits for a
-// time of its own.
+// A cached list and each failure are followed by one Subscribe within Settings.PollWithin. None follows a
+// complete list. Each agent draws its own delay.
 func TestSubscribe(t *testing.T) {
 	s := settings()
 	s.Subscribe = true
@@ -27,48 +27,48 @@
 		h := newHarness(t, s, seed, endpoints(2))
 		waits[h.timers[0].at-h.now] = true
 		if n := countSubscribes(h.advance(s.PollWithin / 10)); n != 1 {
-			t.Fatalf("polled %d times at the start, want once", n)
+			t.Fatalf("got %d Subscribe actions after the cached list, want 1", n)
 		}
 		for range 8 {
 			h.step(balancer.EndpointList{Kind: balancer.ListFailed})
 			if n := countSubscribes(h.advance(s.PollWithin / 2)); n != 1 {
-				t.Fatalf("polled %d times after a failure, want once", n)
+				t.Fatalf("got %d Subscribe actions after a failure, want 1", n)
 			}
 		}
 		h.replaceList(endpoints(2)...)
 		if n := countSubscribes(h.advance(time.Minute)); n != 0 {
-			t.Errorf("polled %d times while subscribed", n)
+			t.Errorf("got %d Subscribe actions while subscribed, want 0", n)
 		}
 	}
 	if len(waits) < 9 {
-		t.Errorf("10 agents poll after only %d different waits", len(waits))
+		t.Errorf("10 agents have %d different delays, want at least 9", len(waits))
 	}
 }
 
-// Where the list comes without a subscription there are no polls.
+// If Settings.Subscribe is off, there are no Subscribe actions.
 func TestNoSubscribeUnlessConfigured(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(2))
 	actions := h.step(balancer.EndpointList{Kind: balancer.ListFailed})
 	if n := countSubscribes(append(actions, h.advance(time.Minute)...)); n != 0 {
-		t.Errorf("polled %d times", n)
+		t.Errorf("got %d Subscribe actions, want 0", n)
 	}
 }
 
-// discoveryService is a discovery of fixed capacity: calls are served one after the other, also those whose callers
-// have given up, and a full queue rejects calls.
+// discoveryService is a discovery service of fixed capacity. It serves calls one after the other, including
+// those whose callers have timed out, and rejects calls if its queue is full.
 type discoveryService struct {
-	serviceTime   time.Duration // of a call
-	callerTimeout time.Duration
-	maxQueue      time.Duration // the longest that the queue may get
-	freeAt        time.Duration // when all that has been accepted is done
+	serviceTime   time.Duration // time to serve a call
+	callerTimeout time.Duration // time after which callers give up
+	maxQueue      time.Duration // maximum waiting time in the queue
+	freeAt        time.Duration // time at which all accepted calls are served
 }
 
-// newDiscoveryService returns a service that is idle.
+// newDiscoveryService returns an idle service.
 func newDiscoveryService(serviceTime time.Duration) *discoveryService {
 	return &discoveryService{serviceTime: serviceTime, callerTimeout: 2 * time.Second, maxQueue: 5 * time.Second}
 }
 
-// call returns when a call made now is answered, and whether with the list.
+// call returns the time at which a call made now is answered, and whether the answer is the list.
 func (d *discoveryService) call(now time.Duration) (at time.Duration, ok bool) {
 	d.freeAt = max(d.freeAt, now)
 	if d.freeAt-now > d.maxQueue {
@@ -81,16 +81,16 @@
 	return d.freeAt, true
 }
 
-// subscribingAgent is an agent that polls a discovery service.
+// subscribingAgent is an agent that subscribes at a discovery service.
 type subscribingAgent struct {
 	*harness
-	answerAt    time.Duration // of the call in flight; 0: there is none
-	willSucceed bool          // the call in flight will bring the list
+	answerAt    time.Duration // time of the answer to the call in flight; 0: no call
+	willSucceed bool          // the answer to the call in flight is the list
 	hasList     bool          // the latest answer was the list
-	calls       int
+	calls       int           // calls made
 }
 
-// advanceTo moves the clock, and takes in an answer and makes a call that are due by then.
+// advanceTo moves the clock, handles an answer that is due and makes the calls that the balancer asks for.
 func (a *subscribingAgent) advanceTo(now time.Duration, discovery *discoveryService, failure balancer.ListKind) {
 	actions := a.advance(now - a.now)
 	if a.answerAt > 0 && a.answerAt <= a.now {
@@ -107,8 +107,8 @@
 	}
 }
 
-// startAndSubscribe starts agents at one moment and returns how many have the list after the span, and how many calls
-// that took. spread is the SubscribeSpread setting; 0: there is none.
+// startAndSubscribe starts agents at the same time and returns how many have the list after the span, and the
+// number of calls that they made. spread is the SubscribeSpread setting; 0: not set.
 func startAndSubscribe(
 	t *testing.T, agents int, spread time.Duration, discovery *discoveryService, span time.Duration,
 ) (withList, calls int) {
@@ -138,8 +138,8 @@
 	return withList, calls
 }
 
-// Agents that start together, as at a release, do not overload a discovery of little capacity, which would work on
-// calls whose callers have given up, and serve none.
+// Agents that start at the same time, for example after a release, do not overload a discovery service of low
+// capacity. If they did, it would spend its time on calls whose callers have timed out, and serve none.
 func TestAgentsStartingTogether(t *testing.T) {
 	pollWithin := settings().PollWithin
 	tests := []struct {
@@ -157,18 +157,20 @@
 		{"very large fleet with little time", 300, 16 * ms, 1500 * ms, 4 * pollWithin, 0},
 		// Few agents have no reason to wait, and their cached lists may be stale.
 		{"few agents", 4, 60 * ms, 0, pollWithin / 16, 0},
-		// Agents whose watches break together have their lists in time, with one call each, from a discovery that can
-		// serve them in that time: 1.5 s of waits and 2 s of queue after the 2.5 s in which a silent watch is detected.
+		// Agents whose watches break at the same time get their lists in time, with one call each, from a
+		// discovery service that can serve them in that time: 1.5 s of delay and 2 s of queue, after the 2.5
+		// s in which a silent watch is detected.
 		{"watches that break together", 350, 9 * ms, 1500 * ms, 3500 * ms, 350},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			withList, calls := startAndSubscribe(t, tt.agents, tt.spread, newDiscoveryService(tt.serviceTime), tt.span)
 			if withList < tt.agents {
-				t.Errorf("%d of %d have the list after %v and %d calls", withList, tt.agents, tt.span, calls)
+				t.Errorf("%d of %d agents have the list after %v and %d calls, want all",
+					withList, tt.agents, tt.span, calls)
 			}
 			if tt.maxCalls > 0 && calls > tt.maxCalls {
-				t.Errorf("%d calls, want %d at most", calls, tt.maxCalls)
+				t.Errorf("got %d calls, want at most %d", calls, tt.maxCalls)
 			}
 		})
 	}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -8,29 +8,30 @@
 	"ashshunt/balancer"
 )
 
-// An agent with little traffic uses a few endpoints, one with more traffic as many as it needs: agents that each
-// connect to every endpoint would fill its connection table.
+// An agent with little traffic uses few endpoints, and one with more traffic as many as it needs. If each
+// agent connected to every endpoint, the connection tables of the endpoints would fill up.
 func TestSubsetGrowsWithTraffic(t *testing.T) {
 	s := settings()
 	s.IdleClose = time.Minute
 	h := newHarness(t, s, 2, endpoints(20))
 	if used := len(h.serve(300, idempotent, 20*ms)); used != 2 {
-		t.Errorf("one request at a time used %d endpoints, want 2", used)
+		t.Errorf("one request at a time: %d endpoints used, want 2", used)
 	}
 	if used := len(h.burst("q", 12, idempotent)); used < 6 || used > 9 {
-		t.Errorf("twelve at once used %d endpoints, want about two on each", used)
+		t.Errorf("12 requests at once: %d endpoints used, want 6 to 9", used)
 	}
 	for i := range 12 {
 		h.outcome(fmt.Sprint("q", i), balancer.Served, 20*ms)
 	}
-	h.now += 2 * time.Minute // all connections have closed; the next few open new ones
-	// What it learns of their latencies may move one in and one out.
+	// All connections have closed, and the next requests open new ones.
+	h.now += 2 * time.Minute
+	// The latencies measured in the meantime may have replaced an endpoint of the subset.
 	if used := len(h.serve(300, idempotent, 20*ms)); used > 3 {
-		t.Errorf("after its connections closed it used %d endpoints, want about 2", used)
+		t.Errorf("after all connections closed: %d endpoints used, want at most 3", used)
 	}
 }
 
-// An endpoint that rejects requests leaves the subset, so that an agent comes to use others.
+// An endpoint that rejects requests leaves the subset, so that the agent uses other endpoints.
 func TestRejectingEndpointLeavesSubset(t *testing.T) {
 	h := newHarness(t, settings(), 5, endpoints(20))
 	first := h.serve(40, idempotent, 20*ms)
@@ -51,12 +52,12 @@
 		}
 	}
 	if stayed > 8 {
-		t.Errorf("%d of 40 still go to the two that rejected requests", stayed)
+		t.Errorf("%d of 40 requests went to the endpoints that rejected requests, want at most 8", stayed)
 	}
 }
 
-// An endpoint that gave no response leaves the subset; one that answered with an error still has a good
-// connection, and returns to the subset after its ejection.
+// An endpoint that gave no response leaves the subset. One that answered with an error keeps its connection,
+// and returns to the subset after its ejection.
 func TestSubsetAfterFailure(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -77,15 +78,15 @@
 			h.step(balancer.Abandoned{Request: "q"})
 			h.advance(2 * time.Second)
 			if n := h.serve(60, idempotent, 20*ms)[failed]; n > 0 != tt.stays {
-				t.Errorf("it got %d of 60, want some: %v", n, tt.stays)
+				t.Errorf("the endpoint got %d of 60 requests, want any: %v", n, tt.stays)
 			}
 		})
 	}
 }
 
-// Agents do not stay with the endpoints that they are connected to while others join, or a zone returns: new
-// endpoints get their share of all agents' traffic once they are warm. The figures are those of a few fleets, since
-// that of one varies by a fifth.
+// Endpoints that are added to the list, for example when a zone returns, get their share of the traffic of
+// all agents once they are warm, although agents prefer endpoints that they are connected to. The counts are
+// sums over several fleets, since those of one fleet vary by a fifth.
 func TestAddedEndpointsGetTheirShare(t *testing.T) {
 	const fleets, agents, added, requests = 5, 80, 20, 40
 	served, idle, maxUsed := 0, 0, 0
@@ -106,21 +107,22 @@
 			}
 		}
 	}
-	// A third of the endpoints; agents are slow to leave those that they know.
+	// A third of the endpoints are new. Agents are slow to leave those that they are connected to.
 	if all := requests * agents * fleets; served < all/8 || served > all/2 || idle > 10*fleets {
-		t.Errorf("20 new endpoints of 60 got %d of %d requests, and %d of %d none", served, all, idle, added*fleets)
+		t.Errorf("20 new endpoints of 60 got %d of %d requests, want 1/8 to 1/2; %d of %d got none, want at most half",
+			served, all, idle, added*fleets)
 	}
 	if maxUsed > 8 {
-		t.Errorf("an agent with little traffic used %d endpoints, want a few: each takes only so many connections",
+		t.Errorf("an agent with little traffic used %d endpoints, want at most 8",
 			maxUsed)
 	}
 }
 
-// addedID is the ID of an endpoint that joins.
+// addedID returns the ID of an added endpoint.
 func addedID(i int) string { return fmt.Sprint("new", i) }
 
-// servedAfterAddition has an agent serve some requests with 40 endpoints, then others join and get warm. It returns how
-// many of so many further requests each endpoint gets.
+// servedAfterAddition has an agent serve requests with 40 endpoints, adds further endpoints and waits until
+// they are warm. It returns how many of the following requests each endpoint gets.
 func servedAfterAddition(t *testing.T, agents int, seed uint64, added, requests int) map[string]int {
 	t.Helper()
 	s := settings()
--- a/balancer/unobserved_test.go
+++ b/balancer/unobserved_test.go
@@ -7,7 +7,7 @@
 	"ashshunt/balancer"
 )
 
-// Where all endpoints that have been observed are busy, an agent draws further ones by their size.
+// If all observed endpoints are busy, further endpoints are drawn by their size.
 func TestUnobservedAreDrawnBySize(t *testing.T) {
 	const small, large = 1, 4
 	var list []balancer.Endpoint
@@ -20,7 +20,7 @@
 	counts := map[float64]int{}
 	for seed := range uint64(60) {
 		h := newHarness(t, settings(), seed, list)
-		for i := range 40 { // none is answered
+		for i := range 40 { // no request gets a response
 			id := fmt.Sprint("q", i)
 			if h.request(id, idempotent); len(h.sent[id]) == 1 && i >= 10 && i < 20 {
 				counts[sizes[h.sent[id][0]]]++
@@ -28,6 +28,7 @@
 		}
 	}
 	if counts[large] < 2*counts[small] {
-		t.Errorf("endpoints of four times the size got %d requests, the others %d", counts[large], counts[small])
+		t.Errorf("large endpoints got %d requests and small ones %d, want a ratio of at least 2",
+			counts[large], counts[small])
 	}
 }
