--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -17,14 +17,14 @@
 	h.now += ms
 	h.burst("h", 18, idempotent)
 	unresponsive := h.firstEndpoint("h0")
-	var hanging []string
+	var stalled []string
 	for i := range 18 {
 		if id := fmt.Sprint("h", i); len(h.sent[id]) == 1 && h.sent[id][0] == unresponsive {
-			hanging = append(hanging, id)
+			stalled = append(stalled, id)
 		}
 	}
-	if len(hanging) < 3 {
-		t.Fatalf("got stalled requests %v, want at least 3", hanging)
+	if len(stalled) < 3 {
+		t.Fatalf("got stalled requests %v, want at least 3", stalled)
 	}
 	h.now += 20 * ms
 	for i := range 18 { // includes the requests that are sent in the meantime
@@ -33,7 +33,7 @@
 		}
 	}
 	h.now += 100 * ms
-	h.outcome(hanging[0], balancer.TimedOut, 120*ms)
+	h.outcome(stalled[0], balancer.TimedOut, 120*ms)
 	counts := h.burst("q", 40, idempotent)
 	if n := counts[unresponsive]; n > 0 {
 		t.Errorf("the unresponsive endpoint got %d of 40 requests, want none", n)
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -47,10 +47,10 @@
 func TestNoHedgingUnlessIdempotent(t *testing.T) {
 	h := newHedgingHarness(t, notIdempotent)
 	h.request("q", notIdempotent)
-	for _, wait := range []time.Duration{15 * ms, 150 * ms} {
-		h.advance(wait)
+	for _, interval := range []time.Duration{15 * ms, 150 * ms} {
+		h.advance(interval)
 		if len(h.sent["q"]) != 1 {
-			t.Fatalf("got a hedge after another %v, want none", wait)
+			t.Fatalf("got a hedge after another %v, want none", interval)
 		}
 	}
 }
--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -53,7 +53,7 @@
 		name       string
 		refills    int
 		cost, left float64 // tokens
-		paid       bool
+		taken      bool
 	}{
 		{"new", 0, 5, retryTokenCapacity - 5, true},
 		{"refilled up to the capacity", 50, 0, retryTokenCapacity, true},
@@ -66,9 +66,9 @@
 		for range step.refills {
 			bucket.refill()
 		}
-		if paid := bucket.take(step.cost); paid != step.paid || bucket.tokens != step.left {
+		if taken := bucket.take(step.cost); taken != step.taken || bucket.tokens != step.left {
 			t.Errorf("%s: got taken %v with %v tokens left, want %v and %v",
-				step.name, paid, bucket.tokens, step.paid, step.left)
+				step.name, taken, bucket.tokens, step.taken, step.left)
 		}
 	}
 }
@@ -219,14 +219,14 @@
 
 // The delay of a Subscribe has full jitter. Its maximum grows with the number of agents and with consecutive
 // failures.
-func TestSubscriberWaits(t *testing.T) {
+func TestSubscriberDelays(t *testing.T) {
 	failures := slices.Repeat([]ListKind{ListFailed}, 20)
 	tests := []struct {
-		name    string
-		agents  int
-		spread  time.Duration // Settings.SubscribeSpread; 0: not set
-		lists   []ListKind
-		longest time.Duration // maximum delay after the last list; 0: no Subscribe
+		name     string
+		agents   int
+		spread   time.Duration // Settings.SubscribeSpread; 0: not set
+		lists    []ListKind
+		maxDelay time.Duration // maximum delay after the last list; 0: no Subscribe
 	}{
 		{"changes", 64, 0, []ListKind{ListDelta}, 0},
 		{"cached list, many agents", 900, 0, []ListKind{ListCached}, 16 * time.Second},
@@ -240,16 +240,16 @@
 		settings := Settings{Agents: tt.agents, Subscribe: true, PollWithin: 64 * time.Second,
 			SubscribeSpread: tt.spread, RefusedSubscribeSpread: 2 * tt.spread}
 		rng := rand.New(rand.NewPCG(1, 9))
-		waits := make([]time.Duration, 300)
-		for i := range waits {
+		delays := make([]time.Duration, 300)
+		for i := range delays {
 			s := subscriber{settings: &settings, rng: rng}
 			for _, kind := range tt.lists {
-				waits[i], _ = s.handleList(kind)
+				delays[i], _ = s.handleList(kind)
 			}
 		}
-		low, high := slices.Min(waits), slices.Max(waits)
-		if low > tt.longest/10 || high < tt.longest*9/10 || high > tt.longest {
-			t.Errorf("%s: got delays from %v to %v, want them uniform from 0 to %v", tt.name, low, high, tt.longest)
+		low, high := slices.Min(delays), slices.Max(delays)
+		if low > tt.maxDelay/10 || high < tt.maxDelay*9/10 || high > tt.maxDelay {
+			t.Errorf("%s: got delays from %v to %v, want them uniform from 0 to %v", tt.name, low, high, tt.maxDelay)
 		}
 	}
 }
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -103,39 +103,39 @@
 	s.MaxAttempts = 1
 	h := newHarness(t, s, 3, endpoints(3))
 	h.serve(60, idempotent, 20*ms)
-	got := 0
+	sentToA := 0
 	for round := range 60 {
-		got += runRoundWithTimeouts(h, round)
+		sentToA += runRoundWithTimeouts(h, round)
 	}
-	if got > 90 {
-		t.Errorf("an endpoint with time-outs got %d of 360 requests, want at most 90", got)
+	if sentToA > 90 {
+		t.Errorf("an endpoint with time-outs got %d of 360 requests, want at most 90", sentToA)
 	}
 }
 
 // runRoundWithTimeouts sends six requests at once. Endpoint a serves the first one that it gets, and its
 // others time out. It returns the number of requests sent to a.
-func runRoundWithTimeouts(h *harness, round int) (got int) {
+func runRoundWithTimeouts(h *harness, round int) (sentToA int) {
 	prefix := fmt.Sprint("q", round, "-")
 	h.burst(prefix, 6, idempotent)
 	h.now += 20 * ms
-	var hanging []string
+	var stalled []string
 	for i := range 6 {
 		id := fmt.Sprint(prefix, i)
 		if h.firstEndpoint(id) == "a" {
-			got++
-			if got > 1 {
-				hanging = append(hanging, id)
+			sentToA++
+			if sentToA > 1 {
+				stalled = append(stalled, id)
 				continue
 			}
 		}
 		h.outcome(id, balancer.Served, 20*ms)
 	}
 	h.now += 60 * ms
-	for _, id := range hanging {
+	for _, id := range stalled {
 		h.outcome(id, balancer.TimedOut, 80*ms)
 	}
 	h.now += 20 * ms
-	return got
+	return sentToA
 }
 
 // Endpoints are drawn by their listed weight. Latencies alone do not suffice: an agent that sees few
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -116,27 +116,27 @@
 // each retry up to a bound.
 func TestBackoff(t *testing.T) {
 	const retries = 6
-	var waits [retries][]time.Duration
+	var backoffs [retries][]time.Duration
 	for seed := range uint64(300) {
 		for retry, wait := range collectBackoffs(t, seed, retries) {
-			waits[retry] = append(waits[retry], wait)
+			backoffs[retry] = append(backoffs[retry], wait)
 		}
 	}
 	unit := settings().Classes[idempotent].Objective / 32
 	for retry := range retries {
 		bound := unit << min(retry, 3)
-		shortest, longest := slices.Min(waits[retry]), slices.Max(waits[retry])
-		if longest > bound+ms || longest < bound*8/10 {
-			t.Errorf("retry %d: maximum backoff %v, want close to %v and no more", retry, longest, bound)
+		minBackoff, maxBackoff := slices.Min(backoffs[retry]), slices.Max(backoffs[retry])
+		if maxBackoff > bound+ms || maxBackoff < bound*8/10 {
+			t.Errorf("retry %d: maximum backoff %v, want close to %v and no more", retry, maxBackoff, bound)
 		}
-		if shortest > bound/10 {
-			t.Errorf("retry %d: minimum backoff %v, want close to 0", retry, shortest)
+		if minBackoff > bound/10 {
+			t.Errorf("retry %d: minimum backoff %v, want close to 0", retry, minBackoff)
 		}
 	}
 }
 
 // collectBackoffs returns the backoffs of the retries of one request, to a quarter of a millisecond.
-func collectBackoffs(t *testing.T, seed uint64, retries int) (waits []time.Duration) {
+func collectBackoffs(t *testing.T, seed uint64, retries int) (backoffs []time.Duration) {
 	t.Helper()
 	s := settings()
 	s.MaxAttempts = retries + 1
@@ -151,9 +151,9 @@
 		if len(h.sent["q"]) != retry+2 {
 			t.Fatalf("seed %d: retry %d was not sent", seed, retry)
 		}
-		waits = append(waits, h.now-failedAt)
+		backoffs = append(backoffs, h.now-failedAt)
 	}
-	return waits
+	return backoffs
 }
 
 // A request is not retried if the backoff would end after its deadline.
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -147,14 +147,14 @@
 func TestGrowthDoesNotOverloadWarmEndpoints(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.serve(100, idempotent, 50*ms)
-	grown := endpoints(20)
-	for i := range grown[4:] {
-		grown[4+i].StartedAt = h.now
+	list := endpoints(20)
+	for i := range list[4:] {
+		list[4+i].StartedAt = h.now
 	}
-	h.replaceList(grown...)
+	h.replaceList(list...)
 	counts := h.burst("q", 300, idempotent)
 	sum := 0
-	for _, entry := range grown[:4] {
+	for _, entry := range list[:4] {
 		n := counts[entry.ID]
 		sum += n
 		if n > 18 { // three mean shares of six attempts
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -22,10 +22,10 @@
 func TestSubscribe(t *testing.T) {
 	s := settings()
 	s.Subscribe = true
-	waits := map[time.Duration]bool{}
+	delays := map[time.Duration]bool{}
 	for seed := range uint64(10) {
 		h := newHarness(t, s, seed, endpoints(2))
-		waits[h.timers[0].at-h.now] = true
+		delays[h.timers[0].at-h.now] = true
 		if n := countSubscribes(h.advance(s.PollWithin / 10)); n != 1 {
 			t.Fatalf("got %d Subscribe actions after the cached list, want 1", n)
 		}
@@ -40,8 +40,8 @@
 			t.Errorf("got %d Subscribe actions while subscribed, want 0", n)
 		}
 	}
-	if len(waits) < 9 {
-		t.Errorf("10 agents have %d different delays, want at least 9", len(waits))
+	if len(delays) < 9 {
+		t.Errorf("10 agents have %d different delays, want at least 9", len(delays))
 	}
 }
 
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -45,14 +45,14 @@
 		}
 		h.outcome(id, balancer.Served, 20*ms)
 	}
-	stayed := 0
+	sentToRejecting := 0
 	for endpoint, n := range h.serve(40, idempotent, 20*ms) {
 		if first[endpoint] > 0 {
-			stayed += n
+			sentToRejecting += n
 		}
 	}
-	if stayed > 8 {
-		t.Errorf("%d of 40 requests went to the endpoints that rejected requests, want at most 8", stayed)
+	if sentToRejecting > 8 {
+		t.Errorf("%d of 40 requests went to the endpoints that rejected requests, want at most 8", sentToRejecting)
 	}
 }
 
@@ -60,9 +60,9 @@
 // and returns to the subset after its ejection.
 func TestSubsetAfterFailure(t *testing.T) {
 	tests := []struct {
-		name   string
-		result balancer.Result
-		stays  bool
+		name         string
+		result       balancer.Result
+		wantInSubset bool
 	}{
 		{"server error", balancer.ServerError, true},
 		{"time-out", balancer.TimedOut, false},
@@ -77,8 +77,8 @@
 			h.outcomeAfter("q", tt.result, ms)
 			h.step(balancer.Abandoned{Request: "q"})
 			h.advance(2 * time.Second)
-			if n := h.serve(60, idempotent, 20*ms)[failed]; n > 0 != tt.stays {
-				t.Errorf("the endpoint got %d of 60 requests, want any: %v", n, tt.stays)
+			if n := h.serve(60, idempotent, 20*ms)[failed]; n > 0 != tt.wantInSubset {
+				t.Errorf("the endpoint got %d of 60 requests, want any: %v", n, tt.wantInSubset)
 			}
 		})
 	}
@@ -89,7 +89,7 @@
 // sums over several fleets, since those of one fleet vary by a fifth.
 func TestAddedEndpointsGetTheirShare(t *testing.T) {
 	const fleets, agents, added, requests = 5, 80, 20, 40
-	served, idle, maxUsed := 0, 0, 0
+	served, unused, maxUsed := 0, 0, 0
 	for fleet := range uint64(fleets) {
 		counts := map[string]int{}
 		for i := range uint64(agents) {
@@ -103,14 +103,14 @@
 			n := counts[addedID(i)]
 			served += n
 			if n == 0 {
-				idle++
+				unused++
 			}
 		}
 	}
 	// A third of the endpoints are new. Agents are slow to leave those that they are connected to.
-	if all := requests * agents * fleets; served < all/8 || served > all/2 || idle > 10*fleets {
+	if all := requests * agents * fleets; served < all/8 || served > all/2 || unused > 10*fleets {
 		t.Errorf("20 new endpoints of 60 got %d of %d requests, want 1/8 to 1/2; %d of %d got none, want at most half",
-			served, all, idle, added*fleets)
+			served, all, unused, added*fleets)
 	}
 	if maxUsed > 8 {
 		t.Errorf("an agent with little traffic used %d endpoints, want at most 8",
