--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -167,12 +167,12 @@
 		for i := range all {
 			all[i] = candidate{endpoint: &endpoint{}, weightedRank: rng.Float64()}
 			admitted := set.admits(all[i].weightedRank)
-			outside, isOutside := set.insert(all[i])
-			if isOutside {
-				set.connected = append(set.connected, outside)
+			excluded, isExcluded := set.insert(all[i])
+			if isExcluded {
+				set.connected = append(set.connected, excluded)
 			}
-			if isInside := !isOutside || outside != all[i]; isInside != admitted {
-				t.Errorf("seed %d: admits returned %v, but insertion into the subset: %v", seed, admitted, isInside)
+			if isInSubset := !isExcluded || excluded != all[i]; isInSubset != admitted {
+				t.Errorf("seed %d: admits returned %v, but insertion into the subset: %v", seed, admitted, isInSubset)
 			}
 		}
 		slices.SortFunc(all, compareWeightedRank)
