--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -39,7 +39,8 @@
 	// maxFallbackDraws bounds the draws of one fallback endpoint. A draw fails if rejection sampling rejects
 	// the endpoint or if the rules do not allow the attempt there.
 	maxFallbackDraws = 50
-	// uniformBits is the number of random bits in a float64 in [0, 1), and hashBits that in a hash.
+	// uniformBits is the number of random bits in a float64 in [0, 1). hashBits is the number of bits in a
+	// hash.
 	uniformBits = 53
 	hashBits    = 64
 )
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -68,7 +68,7 @@
 	served   map[string]float64 // number of requests served, by endpoint
 }
 
-// recordSends adds the requests that are sent by the actions.
+// recordSends appends the requests of the Send actions to inFlight.
 func (o *overloadedAgent) recordSends(actions []balancer.Action) {
 	for _, send := range sendsOf(actions) {
 		o.inFlight = append(o.inFlight, send.Request)
@@ -103,7 +103,7 @@
 	o.recordSends(o.outcome(id, balancer.Served, latency))
 }
 
-// A heavy request could overload an endpoint that warms up by itself, and is not sent there.
+// A heavy request is not sent to an endpoint that warms up: that request alone could overload it.
 func TestWarmingEndpointGetsNoHeavyRequest(t *testing.T) {
 	h := newHarness(t, settings(), 9, endpoints(3))
 	send := func(id string, work time.Duration) (endpoint string) {
@@ -130,7 +130,7 @@
 	}
 }
 
-// An endpoint that restarts before the list reports it warms up.
+// An endpoint warms up after a restart that the list has not reported yet.
 func TestRestartedEndpointWarmsUp(t *testing.T) {
 	h := newHarness(t, settings(), 3, endpoints(3))
 	h.serve(60, idempotent, 20*ms)
@@ -185,8 +185,8 @@
 	}
 }
 
-// Requests are sent even if no endpoint is warm, so that there is no traffic to warm endpoints to derive a
-// rate from.
+// Requests are sent even if no endpoint is warm. There is then no traffic to warm endpoints from which a rate
+// could be derived.
 func TestAllEndpointsWarmingUp(t *testing.T) {
 	h := newHarness(t, settings(), 1, endpoints(4))
 	h.serve(100, notIdempotent, 10*ms)
@@ -265,7 +265,7 @@
 	return f
 }
 
-// A start time in the future, which is caused by a clock that is off, is replaced by the current time.
+// A start time in the future, for example from a clock that is off, is replaced by the current time.
 func TestFutureStartTime(t *testing.T) {
 	s := settings()
 	h := newHarness(t, s, 1, endpoints(4))
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -113,8 +113,7 @@
 			served, all, unused, added*fleets)
 	}
 	if maxUsed > 8 {
-		t.Errorf("an agent with little traffic used %d endpoints, want at most 8",
-			maxUsed)
+		t.Errorf("an agent with little traffic used %d endpoints, want at most 8", maxUsed)
 	}
 }
 
