--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -157,9 +157,9 @@
 		{"very large fleet with little time", 300, 16 * ms, 1500 * ms, 4 * pollWithin, 0},
 		// Few agents have no reason to wait, and their cached lists may be stale.
 		{"few agents", 4, 60 * ms, 0, pollWithin / 16, 0},
-		// Agents whose watches break at the same time get their lists in time, with one call each, from a
-		// discovery service that can serve them in that time: 1.5 s of delay and 2 s of queue, after the 2.5
-		// s in which a silent watch is detected.
+		// Agents whose watches break at the same time get their lists with one call each, from a discovery
+		// service that can serve them in the time allowed: 1.5 s of delay and 2 s of queue, after the 2.5 s
+		// in which a silent watch is detected.
 		{"watches that break together", 350, 9 * ms, 1500 * ms, 3500 * ms, 350},
 	}
 	for _, tt := range tests {
