--- a/cmd/ashshunt/descriptors_test.go
+++ b/cmd/ashshunt/descriptors_test.go
@@ -21,7 +21,7 @@
 
 // Idle clients must not take all descriptors while discovery is down, whether they have sent a request or not: the
 // next watch, the endpoints and the next client still get theirs.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
+func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	tests := []struct{ name, limits string }{
 		{"limit in the configuration", fmt.Sprintf(`"limits":{"sockets":%d},`, descriptorLimit)},
 		{"limit of the system alone", ""},
@@ -43,12 +43,12 @@
 			file.write(t, configText(discovery, tt.limits, 3000))
 			limited := exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, descriptorLimit), os.Args[0])
 			process := startCommand(t, file, limited)
-			addr := process.addr(t)
+			addr := process.waitForAddr(t)
 			go process.discardLog() // until the agent ends
 			stop := startIdleClients(addr, 3*descriptorLimit)
 			defer stop()
 			discoveryUp.Store(true)
-			expectServed(t, addr)
+			waitForServed(t, addr)
 		})
 	}
 }
@@ -102,8 +102,8 @@
 	}
 }
 
-// expectServed sends requests until one is served.
-func expectServed(t *testing.T, addr net.Addr) {
+// waitForServed sends requests until one is served.
+func waitForServed(t *testing.T, addr net.Addr) {
 	t.Helper()
 	const firstNumber = 1000 // beyond those of the idle clients
 	for number, end := firstNumber, time.Now().Add(testutil.Timeout); ; number++ {
--- a/cmd/ashshunt/faults_test.go
+++ b/cmd/ashshunt/faults_test.go
@@ -53,7 +53,7 @@
 }
 
 // An agent whose log is closed by its reader, or is not read any more, goes on.
-func TestBrokenLog(t *testing.T) {
+func TestUnreadableLogDoesNotStopAgent(t *testing.T) {
 	tests := []struct {
 		name   string
 		closed bool // otherwise it is full
@@ -68,8 +68,8 @@
 			file := newConfigFile(t)
 			file.write(t, configText(first, "", 300))
 			process, pipe := startWithLogPipe(t, file)
-			addr := process.addr(t)
-			expectWatch(t, firstWatches, "follow=1&since=0")
+			addr := process.waitForAddr(t)
+			waitForWatch(t, firstWatches, "follow=1&since=0")
 			if tt.closed {
 				pipe.close()
 			} else {
@@ -77,7 +77,7 @@
 			}
 			file.write(t, configText(second, "", 300))
 			process.signal(t, syscall.SIGHUP)
-			expectWatch(t, secondWatches, "follow=1")
+			waitForWatch(t, secondWatches, "follow=1")
 			client := testutil.Dial(t, addr, requestText(1, 250))
 			if status := testutil.ReadStatus(t, client); status != http.StatusServiceUnavailable {
 				t.Errorf("status %d, want 503 since there is no endpoint", status)
@@ -91,7 +91,7 @@
 }
 
 // A signal to reload is not lost when the file can't be read for a moment, or is incomplete.
-func TestReloadOnceTheFileCanBeRead(t *testing.T) {
+func TestReloadRetriesUnreadableFile(t *testing.T) {
 	tests := []struct {
 		name, text string
 		missing    bool
@@ -107,41 +107,41 @@
 			file := newConfigFile(t)
 			file.write(t, configText(first, "", 300))
 			process := startAgent(t, file)
-			expectWatch(t, firstWatches, "follow=1&since=0")
+			waitForWatch(t, firstWatches, "follow=1&since=0")
 			if tt.missing {
 				file.remove(t)
 			} else {
 				file.write(t, tt.text)
 			}
 			process.signal(t, syscall.SIGHUP)
-			process.expectLine(t, "invalid configuration, keeping the old one")
+			process.waitForLogLine(t, "invalid configuration, keeping the old one")
 			file.write(t, configText(second, "", 300))
-			expectWatch(t, secondWatches, "follow=1")
+			waitForWatch(t, secondWatches, "follow=1")
 		})
 	}
 }
 
 // An address that can't be listened on for a moment does not end the start.
-func TestStartOnceItCanListen(t *testing.T) {
+func TestStartRetriesListen(t *testing.T) {
 	listener := testutil.Listen(t)
 	file := newConfigFile(t)
 	listen := fmt.Sprintf(`"listen":%q`, listener.Addr())
 	file.write(t, strings.Replace(configText("127.0.0.1:1", "", 300), `"listen":"127.0.0.1:0"`, listen, 1))
 	process := startAgent(t, file)
-	process.expectLine(t, "listen failed")
+	process.waitForLogLine(t, "listen failed")
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	process.addr(t)
+	process.waitForAddr(t)
 }
 
 // A configuration that is being written as the agent starts does not end the start.
-func TestStartOnceTheFileIsComplete(t *testing.T) {
+func TestStartRetriesIncompleteFile(t *testing.T) {
 	file := newConfigFile(t)
 	text := configText("127.0.0.1:1", "", 300)
 	file.write(t, text[:len(text)/2])
 	process := startAgent(t, file)
-	process.expectLine(t, "configuration can't be read")
+	process.waitForLogLine(t, "configuration can't be read")
 	file.write(t, text)
-	process.addr(t)
+	process.waitForAddr(t)
 }
--- a/cmd/ashshunt/helpers_test.go
+++ b/cmd/ashshunt/helpers_test.go
@@ -17,12 +17,12 @@
 	"ashshunt/internal/testutil"
 )
 
-// processVariable has the test program run the agent instead of the tests.
-const processVariable = "ASHSHUNT_TEST_PROCESS"
+// processEnvVar has the test program run the agent instead of the tests.
+const processEnvVar = "ASHSHUNT_TEST_PROCESS"
 
 // TestMain lets a test run the agent as a process of its own, which it may send signals that end a process.
 func TestMain(m *testing.M) {
-	if os.Getenv(processVariable) != "" {
+	if os.Getenv(processEnvVar) != "" {
 		main()
 		return
 	}
@@ -89,8 +89,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// expectWatch waits for a watch and checks its query.
-func expectWatch(t *testing.T, watches <-chan string, want string) {
+// waitForWatch waits for a watch and checks its query.
+func waitForWatch(t *testing.T, watches <-chan string, want string) {
 	t.Helper()
 	if query := testutil.Receive(t, watches); query != want {
 		t.Errorf("watched with %q, want %q", query, want)
@@ -122,7 +122,7 @@
 // startWithLog starts a command that executes the agent. Its log can be read from a reader.
 func startWithLog(t *testing.T, config configFile, command *exec.Cmd, log io.Reader) agentProcess {
 	t.Helper()
-	command.Env = append(os.Environ(), processVariable+"=1", "GW_CONFIG="+string(config))
+	command.Env = append(os.Environ(), processEnvVar+"=1", "GW_CONFIG="+string(config))
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -138,8 +138,8 @@
 	}
 }
 
-// expectLine waits for a line of the log that contains a text, and returns it.
-func (p agentProcess) expectLine(t *testing.T, text string) string {
+// waitForLogLine waits for a line of the log that contains a text, and returns it.
+func (p agentProcess) waitForLogLine(t *testing.T, text string) string {
 	t.Helper()
 	for p.log.Scan() {
 		if strings.Contains(p.log.Text(), text) {
@@ -156,10 +156,10 @@
 	}
 }
 
-// addr waits until the agent serves, and returns the address that it listens on.
-func (p agentProcess) addr(t *testing.T) net.Addr {
+// waitForAddr waits until the agent serves, and returns the address that it listens on.
+func (p agentProcess) waitForAddr(t *testing.T) net.Addr {
 	t.Helper()
-	_, text, _ := strings.Cut(p.expectLine(t, "msg=serving"), "listen=")
+	_, text, _ := strings.Cut(p.waitForLogLine(t, "msg=serving"), "listen=")
 	addr, err := net.ResolveTCPAddr("tcp", strings.TrimSpace(text))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/ashshunt/signals_test.go
+++ b/cmd/ashshunt/signals_test.go
@@ -38,17 +38,17 @@
 	t.Setenv(configEnvVar, string(file))
 	ended := make(chan error, 1)
 	go func() { ended <- run(io.Discard) }()
-	expectWatch(t, firstWatches, "follow=1&since=3")
+	waitForWatch(t, firstWatches, "follow=1&since=3")
 	file.write(t, "{")
 	signalSelf(t, syscall.SIGHUP)
 	writeConfig(second)
 	for range 5 {
 		signalSelf(t, syscall.SIGHUP)
 	}
-	expectWatch(t, secondWatches, "follow=1")
+	waitForWatch(t, secondWatches, "follow=1")
 	writeConfig(first)
 	signalSelf(t, syscall.SIGHUP)
-	expectWatch(t, firstWatches, "follow=1")
+	waitForWatch(t, firstWatches, "follow=1")
 	signalSelf(t, syscall.SIGTERM)
 	if err := testutil.Receive(t, ended); err != nil {
 		t.Error(err)
@@ -60,7 +60,7 @@
 
 // A SIGTERM that comes before the agent serves ends it with status 0. The start waits for a configuration that is not
 // complete as the signals come.
-func TestSignalsRightAfterTheStart(t *testing.T) {
+func TestSignalsDuringStart(t *testing.T) {
 	file := newConfigFile(t)
 	if err := syscall.Mkfifo(string(file), 0o600); err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 
 // Signals that come during a shutdown change nothing for the requests in flight: neither a new configuration, valid or
 // not, nor a second SIGTERM.
-func TestSignalsDuringAShutdown(t *testing.T) {
+func TestSignalsDuringShutdown(t *testing.T) {
 	listener := testutil.Listen(t)
 	first, _ := newDiscovery(t)
 	second, watches := newDiscovery(t)
@@ -98,7 +98,7 @@
 	}
 	file.write(t, config(first))
 	process := startAgent(t, file)
-	client := testutil.Dial(t, process.addr(t), requestText(1, 15000))
+	client := testutil.Dial(t, process.waitForAddr(t), requestText(1, 15000))
 	server, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -108,16 +108,16 @@
 		t.Fatal(err)
 	}
 	process.signal(t, syscall.SIGTERM)
-	process.expectLine(t, `msg="shutting down"`)
+	process.waitForLogLine(t, `msg="shutting down"`)
 	invalidSettings := strings.Replace(config(second), `"Balancers":1`, `"Balancers":0`, 1)
 	for _, invalid := range []string{"{", invalidSettings} {
 		file.write(t, invalid)
 		process.signal(t, syscall.SIGHUP)
-		process.expectLine(t, "invalid configuration, keeping the old one")
+		process.waitForLogLine(t, "invalid configuration, keeping the old one")
 	}
 	file.write(t, config(second))
 	process.signal(t, syscall.SIGHUP)
-	expectWatch(t, watches, "follow=1")
+	waitForWatch(t, watches, "follow=1")
 	process.signal(t, syscall.SIGTERM)
 	testutil.Respond(server, http.StatusOK, "", "done")
 	response := testutil.ReadResponse(t, bufio.NewReader(client))
--- a/cmd/ashshunt/soak_client_test.go
+++ b/cmd/ashshunt/soak_client_test.go
@@ -18,12 +18,12 @@
 const (
 	// connectTimeout bounds the connects of clients.
 	connectTimeout = time.Second
-	// responseWait is how long after its deadline a client still waits for a response.
-	responseWait = 3 * time.Second
-	// incompleteLimit is the time in which the agent must end a connection whose request does not come.
-	incompleteLimit = 3 * time.Second
-	// incompleteWait is how long a client waits for that end.
-	incompleteWait = 10 * time.Second
+	// responseTimeout is how long after its deadline a client still waits for a response.
+	responseTimeout = 3 * time.Second
+	// maxIncompleteDuration is the time in which the agent must end a connection whose request does not come.
+	maxIncompleteDuration = 3 * time.Second
+	// incompleteTimeout is how long a client waits for that end.
+	incompleteTimeout = 10 * time.Second
 )
 
 // lastRequestNumber counts the requests of all runs, since they share the space of IDs.
@@ -31,10 +31,10 @@
 
 // soakClient sends requests one after the other and keeps its connection as long as it stays open.
 type soakClient struct {
-	soak *soak
-	conn net.Conn // nil: none
-	in   *bufio.Reader
-	used bool // the connection has had a request
+	soak     *soak
+	conn     net.Conn // nil: none
+	in       *bufio.Reader
+	connUsed bool // the connection has had a request
 }
 
 func newSoakClient(s *soak) *soakClient { return &soakClient{soak: s} }
@@ -46,23 +46,23 @@
 		case <-c.soak.stopped:
 			c.disconnect()
 			return
-		case <-time.After(c.pause()):
+		case <-time.After(c.drawPause()):
 		}
 		if c.connect() {
-			c.send(c.newRequest())
+			c.send(c.drawRequest())
 		}
 	}
 }
 
-// pause is the time before the next request. During a shutdown, what is still open is used up to the kill.
-func (c *soakClient) pause() time.Duration {
+// drawPause is the time before the next request. During a shutdown, what is still open is used up to the kill.
+func (c *soakClient) drawPause() time.Duration {
 	rng := c.soak.rng
-	usual := rng.between(0, 60*time.Millisecond)
+	usual := rng.drawDuration(0, 60*time.Millisecond)
 	if !c.soak.clientsMayConnect() {
-		return rng.between(0, 5*time.Millisecond)
+		return rng.drawDuration(0, 5*time.Millisecond)
 	}
-	if rng.chance(0.03) { // rests on its connection
-		return rng.between(time.Second, 2500*time.Millisecond)
+	if rng.drawBool(0.03) { // rests on its connection
+		return rng.drawDuration(time.Second, 2500*time.Millisecond)
 	}
 	return usual
 }
@@ -79,7 +79,7 @@
 	if err != nil {
 		return false // no request was accepted
 	}
-	c.conn, c.in, c.used = conn, bufio.NewReader(conn), false
+	c.conn, c.in, c.connUsed = conn, bufio.NewReader(conn), false
 	return true
 }
 
@@ -90,16 +90,16 @@
 	}
 }
 
-// newRequest draws a request for the current connection.
-func (c *soakClient) newRequest() (*soakRequest, soakClass) {
+// drawRequest draws a request for the current connection.
+func (c *soakClient) drawRequest() (*soakRequest, soakClass) {
 	rng := c.soak.rng
-	class := c.soak.classes[rng.below(len(c.soak.classes))]
+	class := c.soak.classes[rng.drawInt(len(c.soak.classes))]
 	request := &soakRequest{
 		class:            class.name,
-		reusedConnection: c.used,
-		bodyLength:       rng.below(2000),
+		reusedConnection: c.connUsed,
+		bodyLength:       rng.drawInt(2000),
 	}
-	shareOfDeadline := 0.7 + 0.3*rng.float()
+	shareOfDeadline := 0.7 + 0.3*rng.drawFloat()
 	request.timeout = time.Duration(shareOfDeadline * float64(class.deadline)).Truncate(time.Millisecond)
 	request.id = testutil.NthID(int(lastRequestNumber.Add(1)))
 	return request, class
@@ -109,9 +109,9 @@
 func (r *soakRequest) text(class soakClass) string {
 	method, headers, body := http.MethodPost, "", strings.Repeat("x", r.bodyLength)
 	switch class.idempotency {
-	case wordIdempotent:
+	case semanticsIdempotent:
 		method, body = http.MethodGet, ""
-	case wordWithKey:
+	case semanticsIdempotentWithKey:
 		headers = "Idempotency-Key: k" + r.id + "\r\n"
 	}
 	if body != "" {
@@ -124,63 +124,63 @@
 // send sends a request and reports to the judge what came of it.
 func (c *soakClient) send(request *soakRequest, class soakClass) {
 	rng := c.soak.rng
-	c.used = true
+	c.connUsed = true
 	text := request.text(class)
-	if rng.chance(0.02) {
-		c.sendIncomplete(c.beginning(text))
+	if rng.drawBool(0.02) {
+		c.sendIncomplete(c.drawPrefix(text))
 		return
 	}
 	if !c.write(request, text) {
 		c.disconnect()
 		return
 	}
-	if rng.chance(0.08) { // leaves before the response
-		time.Sleep(rng.between(0, request.timeout))
+	if rng.drawBool(0.08) { // leaves before the response
+		time.Sleep(rng.drawDuration(0, request.timeout))
 		request.disconnectedAt = time.Now()
 		c.disconnect()
 		return
 	}
-	c.awaitResponse(request)
+	c.waitForResponse(request)
 }
 
-// beginning draws a part of a text that lacks at least its last byte.
-func (c *soakClient) beginning(text string) string { return text[:1+c.soak.rng.below(len(text)-2)] }
+// drawPrefix draws a part of a text that lacks at least its last byte.
+func (c *soakClient) drawPrefix(text string) string { return text[:1+c.soak.rng.drawInt(len(text)-2)] }
 
 // write writes a request, in two pieces at times, and reports whether it could be written whole.
 func (c *soakClient) write(request *soakRequest, text string) bool {
-	rng, judge := c.soak.rng, c.soak.judge
+	rng, verifier := c.soak.rng, c.soak.verifier
 	request.firstByteAt = time.Now()
-	if rng.chance(0.2) {
-		first := c.beginning(text)
+	if rng.drawBool(0.2) {
+		first := c.drawPrefix(text)
 		if _, err := io.WriteString(c.conn, first); err != nil {
 			return false
 		}
-		time.Sleep(rng.between(0, 400*time.Millisecond))
+		time.Sleep(rng.drawDuration(0, 400*time.Millisecond))
 		text = text[len(first):]
 	}
-	judge.sending(request)
+	verifier.recordSendStart(request)
 	if _, err := io.WriteString(c.conn, text); err != nil {
-		judge.notSent(request)
+		verifier.recordSendFailure(request)
 		return false
 	}
-	judge.sent(request)
+	verifier.recordSent(request)
 	return true
 }
 
-// awaitResponse reads the response and reports it, or the end of the connection, to the judge.
-func (c *soakClient) awaitResponse(request *soakRequest) {
-	_ = c.conn.SetReadDeadline(request.sentAt.Add(request.timeout + responseWait)) // fails as the read will
+// waitForResponse reads the response and reports it, or the end of the connection, to the judge.
+func (c *soakClient) waitForResponse(request *soakRequest) {
+	_ = c.conn.SetReadDeadline(request.sentAt.Add(request.timeout + responseTimeout)) // fails as the read will
 	response, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		c.disconnect()
-		c.soak.judge.closed(request, errors.Is(err, os.ErrDeadlineExceeded))
+		c.soak.verifier.recordClose(request, errors.Is(err, os.ErrDeadlineExceeded))
 		return
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		c.soak.judge.violated(ruleResponse, fmt.Sprintf("%s: half a response: %v", request.id, err))
+		c.soak.verifier.recordViolation(ruleResponse, fmt.Sprintf("%s: half a response: %v", request.id, err))
 	}
-	c.soak.judge.responded(request, response.StatusCode, string(body))
+	c.soak.verifier.recordResponse(request, response.StatusCode, string(body))
 	if response.Close {
 		c.disconnect()
 	}
@@ -192,13 +192,13 @@
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		return
 	}
-	begin := time.Now()
-	_ = c.conn.SetReadDeadline(begin.Add(incompleteWait)) // fails as the read will
+	startedAt := time.Now()
+	_ = c.conn.SetReadDeadline(startedAt.Add(incompleteTimeout)) // fails as the read will
 	if _, err := c.in.ReadByte(); errors.Is(err, os.ErrDeadlineExceeded) {
-		c.soak.judge.violated(ruleIncomplete, fmt.Sprintf("%q is kept for over %v", text, incompleteWait))
+		c.soak.verifier.recordViolation(ruleIncomplete, fmt.Sprintf("%q is kept for over %v", text, incompleteTimeout))
 	}
-	if took := time.Since(begin); took > incompleteLimit+c.soak.judge.slack {
-		c.soak.judge.violated(ruleIncomplete, fmt.Sprintf("%q is kept for %v", text, took))
+	if elapsed := time.Since(startedAt); elapsed > maxIncompleteDuration+c.soak.verifier.slack {
+		c.soak.verifier.recordViolation(ruleIncomplete, fmt.Sprintf("%q is kept for %v", text, elapsed))
 	}
 }
 
@@ -208,7 +208,7 @@
 		select {
 		case <-s.stopped:
 			return
-		case <-time.After(s.rng.between(10*time.Millisecond, 100*time.Millisecond)):
+		case <-time.After(s.rng.drawDuration(10*time.Millisecond, 100*time.Millisecond)):
 		}
 		if !s.clientsMayConnect() {
 			continue
@@ -217,7 +217,7 @@
 		if err != nil {
 			continue
 		}
-		idleUntil := time.Now().Add(s.rng.between(time.Second, 4*time.Second))
+		idleUntil := time.Now().Add(s.rng.drawDuration(time.Second, 4*time.Second))
 		_ = conn.SetReadDeadline(idleUntil) // fails as the read will
 		_, _ = conn.Read(make([]byte, 1))   // however it ends
 		_ = conn.Close()
--- a/cmd/ashshunt/soak_discovery_test.go
+++ b/cmd/ashshunt/soak_discovery_test.go
@@ -37,10 +37,10 @@
 }
 
 const (
-	// propagationTime is when a change counts as notified at the latest.
-	propagationTime = 6 * time.Second
-	// movedWatchTime is how long the watches of an address go on after discovery has moved.
-	movedWatchTime = 1500 * time.Millisecond
+	// maxNotifyDelay is when a change counts as notified at the latest.
+	maxNotifyDelay = 6 * time.Second
+	// movedWatchDuration is how long the watches of an address go on after discovery has moved.
+	movedWatchDuration = 1500 * time.Millisecond
 	// heartbeatInterval is the time between two lines of a watch without changes.
 	heartbeatInterval = 2 * time.Second
 	// watchCapacity is how many changes a watch that is not read may be behind.
@@ -51,16 +51,16 @@
 type soakDiscovery struct {
 	addrs [2]string
 
-	mu       sync.Mutex // protects what follows
-	current  int        // position of the address in use
-	version  int
-	entries  []soakEntry
-	watches  map[*soakWatch]bool
-	drainsAt map[string]time.Time // when the agent counts as notified that an endpoint drains
+	mu              sync.Mutex // protects what follows
+	currentIndex    int        // position of the address in use
+	version         int
+	entries         []soakEntry
+	watches         map[*soakWatch]bool
+	drainNotifiedAt map[string]time.Time // when the agent counts as notified that an endpoint drains
 }
 
 func newSoakDiscovery(s *soak) *soakDiscovery {
-	d := &soakDiscovery{watches: map[*soakWatch]bool{}, drainsAt: map[string]time.Time{}}
+	d := &soakDiscovery{watches: map[*soakWatch]bool{}, drainNotifiedAt: map[string]time.Time{}}
 	for i := range d.addrs {
 		d.addrs[i] = serveHTTP(s.t, func(w http.ResponseWriter, r *http.Request) { d.serveWatch(w, r, i) })
 	}
@@ -70,7 +70,7 @@
 func (d *soakDiscovery) currentAddr() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.addrs[d.current]
+	return d.addrs[d.currentIndex]
 }
 
 // completeList returns the endpoint list as discovery writes it.
@@ -80,13 +80,13 @@
 	return soakList{Version: d.version, Full: true, Servers: d.entries}.json()
 }
 
-// move switches to the other address. The open watches go on for a while.
-func (d *soakDiscovery) move() {
+// switchAddr switches to the other address. The open watches go on for a while.
+func (d *soakDiscovery) switchAddr() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.current = 1 - d.current
+	d.currentIndex = 1 - d.currentIndex
 	for w := range d.watches {
-		time.AfterFunc(movedWatchTime, w.end)
+		time.AfterFunc(movedWatchDuration, w.stop)
 	}
 }
 
@@ -98,13 +98,13 @@
 		if silent {
 			w.silent = true
 		} else {
-			w.end()
+			w.stop()
 		}
 	}
 }
 
-// change lists an entry, or another state of it.
-func (d *soakDiscovery) change(entry soakEntry) {
+// publish lists an entry, or another state of it.
+func (d *soakDiscovery) publish(entry soakEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
@@ -119,80 +119,80 @@
 
 // drain lists an endpoint as draining.
 func (d *soakDiscovery) drain(id string) {
-	entry := d.startDrain(id)
+	entry := d.recordDrain(id)
 	entry.State = "DRAINING"
-	d.change(entry)
+	d.publish(entry)
 }
 
-// startDrain notes when the agent counts as notified, and returns the entry of the endpoint.
-func (d *soakDiscovery) startDrain(id string) (entry soakEntry) {
+// recordDrain notes when the agent counts as notified, and returns the entry of the endpoint.
+func (d *soakDiscovery) recordDrain(id string) (entry soakEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if i := slices.IndexFunc(d.entries, func(e soakEntry) bool { return e.ID == id }); i >= 0 {
 		entry = d.entries[i]
 	}
-	d.drainsAt[id] = time.Now().Add(propagationTime)
+	d.drainNotifiedAt[id] = time.Now().Add(maxNotifyDelay)
 	return entry
 }
 
-// restarted notes that a new process has the current list in its configuration.
-func (d *soakDiscovery) restarted() {
+// recordRestart notes that a new process has the current list in its configuration.
+func (d *soakDiscovery) recordRestart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id := range d.drainsAt {
-		d.notifyLocked(id)
+	for id := range d.drainNotifiedAt {
+		d.recordNotifiedLocked(id)
 	}
 }
 
-// delivered notes that a list was written to the agent.
-func (d *soakDiscovery) delivered(list soakList) {
+// recordDelivery notes that a list was written to the agent.
+func (d *soakDiscovery) recordDelivery(list soakList) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range list.Servers {
-		if _, drains := d.drainsAt[e.ID]; drains && e.State != "SERVING" {
-			d.notifyLocked(e.ID)
+		if _, drains := d.drainNotifiedAt[e.ID]; drains && e.State != "SERVING" {
+			d.recordNotifiedLocked(e.ID)
 		}
 	}
 }
 
-// notifyLocked counts the agent as notified by now that an endpoint drains. The caller holds the mutex.
-func (d *soakDiscovery) notifyLocked(id string) {
-	if now := time.Now(); now.Before(d.drainsAt[id]) {
-		d.drainsAt[id] = now
+// recordNotifiedLocked counts the agent as notified by now that an endpoint drains. The caller holds the mutex.
+func (d *soakDiscovery) recordNotifiedLocked(id string) {
+	if now := time.Now(); now.Before(d.drainNotifiedAt[id]) {
+		d.drainNotifiedAt[id] = now
 	}
 }
 
-// notifiedOfDrain is when the agent counts as notified that an endpoint drains; zero: it does not.
-func (d *soakDiscovery) notifiedOfDrain(id string) time.Time {
+// drainNotificationTime is when the agent counts as notified that an endpoint drains; zero: it does not.
+func (d *soakDiscovery) drainNotificationTime(id string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.drainsAt[id]
+	return d.drainNotifiedAt[id]
 }
 
 // soakWatch is an open watch.
 type soakWatch struct {
 	changes chan soakList
 	silent  bool          // protected by soakDiscovery.mu
-	ended   chan struct{} // closed to end it
+	stopped chan struct{} // closed to end it
 	once    sync.Once     // closes ended
 }
 
-func (w *soakWatch) end() { w.once.Do(func() { close(w.ended) }) }
+func (w *soakWatch) stop() { w.once.Do(func() { close(w.stopped) }) }
 
-// openWatch adds a watch, whose first list is the complete one. It returns nil at an address that is not in use.
-func (d *soakDiscovery) openWatch(address int) *soakWatch {
+// addWatch adds a watch, whose first list is the complete one. It returns nil at an address that is not in use.
+func (d *soakDiscovery) addWatch(addrIndex int) *soakWatch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if address != d.current {
+	if addrIndex != d.currentIndex {
 		return nil
 	}
-	watch := &soakWatch{changes: make(chan soakList, watchCapacity), ended: make(chan struct{})}
+	watch := &soakWatch{changes: make(chan soakList, watchCapacity), stopped: make(chan struct{})}
 	watch.changes <- soakList{Version: d.version, Full: true, Servers: slices.Clone(d.entries)}
 	d.watches[watch] = true
 	return watch
 }
 
-func (d *soakDiscovery) closeWatch(watch *soakWatch) {
+func (d *soakDiscovery) removeWatch(watch *soakWatch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.watches, watch)
@@ -205,20 +205,20 @@
 }
 
 // serveWatch responds to a watch with the complete list and the changes after it.
-func (d *soakDiscovery) serveWatch(w http.ResponseWriter, r *http.Request, address int) {
-	watch := d.openWatch(address)
+func (d *soakDiscovery) serveWatch(w http.ResponseWriter, r *http.Request, addrIndex int) {
+	watch := d.addWatch(addrIndex)
 	if watch == nil {
 		panic(http.ErrAbortHandler)
 	}
-	defer d.closeWatch(watch)
+	defer d.removeWatch(watch)
 	for {
 		line := ""
 		select {
 		case list := <-watch.changes:
 			line = list.json()
-			d.delivered(list)
+			d.recordDelivery(list)
 		case <-time.After(heartbeatInterval):
-		case <-watch.ended:
+		case <-watch.stopped:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			return
--- a/cmd/ashshunt/soak_endpoint_test.go
+++ b/cmd/ashshunt/soak_endpoint_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// fail has the endpoint fail for some time. An earlier fault ends.
-func (e *soakEndpoint) fail(fault endpointFault, duration time.Duration) {
+// injectFault has the endpoint injectFault for some time. An earlier fault ends.
+func (e *soakEndpoint) injectFault(fault endpointFault, duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault, e.faultUntil = fault, time.Now().Add(duration)
@@ -77,35 +77,35 @@
 // handle responds to a request. Its attempt is in flight until the response begins, or the agent closes the connection.
 func (e *soakEndpoint) handle(conn net.Conn, request *http.Request, _ []byte) bool {
 	id := request.Header.Get("X-Call-Id")
-	timeLeftMs, err := strconv.Atoi(request.Header.Get("X-Budget-Ms"))
+	timeoutMs, err := strconv.Atoi(request.Header.Get("X-Budget-Ms"))
 	if err != nil {
-		e.soak.judge.violated(ruleAttempt, "no X-Budget-Ms: "+err.Error())
+		e.soak.verifier.recordViolation(ruleAttempt, "no X-Budget-Ms: "+err.Error())
 	}
 	fault := e.currentFault()
 	attempt := &soakAttempt{
-		endpoint: e.id,
-		cell:     e.cell,
-		begin:    time.Now(),
-		timeLeft: time.Duration(timeLeftMs) * time.Millisecond,
-		ran:      fault != faultReject,
+		endpoint:   e.id,
+		cell:       e.cell,
+		startedAt:  time.Now(),
+		timeout:    time.Duration(timeoutMs) * time.Millisecond,
+		mayHaveRun: fault != faultReject,
 	}
-	e.soak.judge.attempted(id, attempt, e.soak.discovery.notifiedOfDrain(e.id))
-	closed := closesWithin(conn, e.serviceTime(fault))
-	e.soak.judge.ended(attempt)
+	e.soak.verifier.recordAttemptStart(id, attempt, e.soak.discovery.drainNotificationTime(e.id))
+	closed := waitForClose(conn, e.drawServiceTime(fault))
+	e.soak.verifier.recordAttemptFinish(attempt)
 	if closed {
 		return false
 	}
 	return respond(conn, fault, id)
 }
 
-// serviceTime is the time until the response.
-func (e *soakEndpoint) serviceTime(fault endpointFault) time.Duration {
-	usual := e.soak.rng.between(2*time.Millisecond, 20*time.Millisecond)
+// drawServiceTime is the time until the response.
+func (e *soakEndpoint) drawServiceTime(fault endpointFault) time.Duration {
+	usual := e.soak.rng.drawDuration(2*time.Millisecond, 20*time.Millisecond)
 	switch fault {
 	case faultHang:
 		return time.Hour
 	case faultSlow:
-		return e.soak.rng.between(50*time.Millisecond, 400*time.Millisecond)
+		return e.soak.rng.drawDuration(50*time.Millisecond, 400*time.Millisecond)
 	case faultNone, faultError, faultReject, faultReset, faultNoLength:
 	}
 	return usual
@@ -139,8 +139,8 @@
 	_ = tcp.SetLinger(0) // fails on a connection that has ended
 }
 
-// closesWithin waits and reports whether the other side closes the connection meanwhile.
-func closesWithin(conn net.Conn, wait time.Duration) bool {
+// waitForClose waits and reports whether the other side closes the connection meanwhile.
+func waitForClose(conn net.Conn, wait time.Duration) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(wait)) // fails on a connection that has ended, as the read will
 	_, err := conn.Read(make([]byte, 1))
 	_ = conn.SetReadDeadline(time.Time{})
--- a/cmd/ashshunt/soak_judge_test.go
+++ b/cmd/ashshunt/soak_judge_test.go
@@ -14,26 +14,26 @@
 
 // The rules of a run.
 const (
-	ruleResponse   rule = "lost"           // a request gets its response, in time, and is not forwarded without need
-	ruleDuplicate  rule = "duplicate"      // a request is repeated only as its class allows
-	ruleAttempt    rule = "attempt"        // an attempt is a client's request
-	ruleDrain      rule = "drain"          // a draining endpoint gets no attempt
-	ruleTimeLeft   rule = "budget"         // an attempt has no more time than its client
-	ruleIncomplete rule = "half a request" // a connection whose request does not come is closed
-	ruleLog        rule = "log"            // there is no internal error
-	ruleCrash      rule = "crash"          // the agent exits with status 0, or is killed
+	ruleResponse       rule = "lost"           // a request gets its response, in time, and is not forwarded without need
+	ruleDuplicate      rule = "duplicate"      // a request is repeated only as its class allows
+	ruleAttempt        rule = "attempt"        // an attempt is a client's request
+	ruleDrain          rule = "drain"          // a draining endpoint gets no attempt
+	ruleAttemptTimeout rule = "budget"         // an attempt has no more time than its client
+	ruleIncomplete     rule = "half a request" // a connection whose request does not come is closed
+	ruleLog            rule = "log"            // there is no internal error
+	ruleCrash          rule = "crash"          // the agent exits with status 0, or is killed
 )
 
 const (
 	strictSlack = 50 * time.Millisecond // of each time of the protocol
 	looseSlack  = 3 * time.Second       // on a busy machine: what never happens is still found
 
-	// lateResponse is how long after its deadline a response only earns nothing.
-	lateResponse = 500 * time.Millisecond
-	// timeLeftSlack is how much more time than its client has an attempt may state.
-	timeLeftSlack = 150 * time.Millisecond
-	// drainGrace is how long after the notice a draining endpoint may still get attempts.
-	drainGrace = 2 * time.Second
+	// maxResponseDelay is how long after its deadline a response only earns nothing.
+	maxResponseDelay = 500 * time.Millisecond
+	// attemptTimeoutSlack is how much more time than its client has an attempt may state.
+	attemptTimeoutSlack = 150 * time.Millisecond
+	// drainGraceDuration is how long after the notice a draining endpoint may still get attempts.
+	drainGraceDuration = 2 * time.Second
 )
 
 // soakRequest is a request and what came of it.
@@ -57,15 +57,15 @@
 
 // soakAttempt is a request as an endpoint got it.
 type soakAttempt struct {
-	endpoint   string
-	cell       int
-	begin, end time.Time     // end is zero while it is in flight
-	timeLeft   time.Duration // of the client, as X-Budget-Ms states it
-	ran        bool
+	endpoint              string
+	cell                  int
+	startedAt, finishedAt time.Time     // end is zero while it is in flight
+	timeout               time.Duration // of the client, as X-Budget-Ms states it
+	mayHaveRun            bool
 }
 
-// soakJudge records what happens in a run and checks it against the rules.
-type soakJudge struct {
+// soakVerifier records what happens in a run and checks it against the rules.
+type soakVerifier struct {
 	t       *testing.T
 	classes map[string]soakClass
 	strict  bool // slack is strictSlack; the agent is killed
@@ -77,9 +77,9 @@
 	violations []string
 }
 
-func newSoakJudge(t *testing.T, classes []soakClass, strict bool) *soakJudge {
+func newSoakVerifier(t *testing.T, classes []soakClass, strict bool) *soakVerifier {
 	t.Helper()
-	j := &soakJudge{
+	v := &soakVerifier{
 		t:        t,
 		classes:  map[string]soakClass{},
 		strict:   strict,
@@ -87,110 +87,110 @@
 		requests: map[string]*soakRequest{},
 	}
 	if strict {
-		j.slack = strictSlack
+		v.slack = strictSlack
 	}
 	for _, c := range classes {
-		j.classes[c.name] = c
+		v.classes[c.name] = c
 	}
-	return j
+	return v
 }
 
-// violated records that a rule was not kept.
-func (j *soakJudge) violated(violated rule, details string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.violatedLocked(violated, details)
+// recordViolation records that a rule was not kept.
+func (v *soakVerifier) recordViolation(violated rule, details string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.recordViolationLocked(violated, details)
 }
 
-// violatedLocked is violated for callers that hold the mutex.
-func (j *soakJudge) violatedLocked(violated rule, details string) {
-	j.violations = append(j.violations, string(violated)+": "+details)
+// recordViolationLocked is violated for callers that hold the mutex.
+func (v *soakVerifier) recordViolationLocked(violated rule, details string) {
+	v.violations = append(v.violations, string(violated)+": "+details)
 }
 
-// logged records a line of the agent's log with an internal error. On a busy machine that may be a late response.
-func (j *soakJudge) logged(line string) {
-	if j.strict || !strings.Contains(line, "no final answer by the deadline") {
-		j.violated(ruleLog, line)
+// recordLogLine records a line of the agent's log with an internal error. On a busy machine that may be a late response.
+func (v *soakVerifier) recordLogLine(line string) {
+	if v.strict || !strings.Contains(line, "no final answer by the deadline") {
+		v.recordViolation(ruleLog, line)
 	}
 }
 
-// killed records that the agent was killed.
-func (j *soakJudge) killed(at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.kills = append(j.kills, at)
+// recordKill records that the agent was recordKill.
+func (v *soakVerifier) recordKill(at time.Time) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.kills = append(v.kills, at)
 }
 
-// sending records that the last part of a request is about to be written.
-func (j *soakJudge) sending(r *soakRequest) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// recordSendStart records that the last part of a request is about to be written.
+func (v *soakVerifier) recordSendStart(r *soakRequest) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	r.sentAt = time.Now()
-	j.requests[r.id] = r
+	v.requests[r.id] = r
 }
 
-// sent records that a request has been written whole. An attempt may have begun meanwhile.
-func (j *soakJudge) sent(r *soakRequest) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// recordSent records that a request has been written whole. An attempt may have begun meanwhile.
+func (v *soakVerifier) recordSent(r *soakRequest) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	r.sentAt = time.Now()
 }
 
-// notSent drops a request that could not be written whole.
-func (j *soakJudge) notSent(r *soakRequest) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// recordSendFailure drops a request that could not be written whole.
+func (v *soakVerifier) recordSendFailure(r *soakRequest) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	if len(r.attempts) > 0 {
-		j.violatedLocked(ruleResponse, r.id+": forwarded, though it could not be written whole")
+		v.recordViolationLocked(ruleResponse, r.id+": forwarded, though it could not be written whole")
 	}
-	delete(j.requests, r.id)
+	delete(v.requests, r.id)
 }
 
-// responded records the response to a request.
-func (j *soakJudge) responded(r *soakRequest, status int, body string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// recordResponse records the response to a request.
+func (v *soakVerifier) recordResponse(r *soakRequest, status int, body string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	r.respondedAt, r.status = time.Now(), status
 	if status == http.StatusOK && body != "did "+r.id {
-		j.violatedLocked(ruleResponse, fmt.Sprintf("%s: served with %q", r.id, body))
+		v.recordViolationLocked(ruleResponse, fmt.Sprintf("%s: served with %q", r.id, body))
 	}
-	if late := r.respondedAt.Sub(r.sentAt) - r.timeout; late > lateResponse+j.slack {
-		j.violatedLocked(ruleResponse, fmt.Sprintf("%s: a response %v after its deadline", r.id, late))
+	if late := r.respondedAt.Sub(r.sentAt) - r.timeout; late > maxResponseDelay+v.slack {
+		v.recordViolationLocked(ruleResponse, fmt.Sprintf("%s: a response %v after its deadline", r.id, late))
 	}
 }
 
-// closed records that a connection ended without a response, or that the client stopped waiting for one.
-func (j *soakJudge) closed(r *soakRequest, timedOut bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// recordClose records that a connection ended without a response, or that the client stopped waiting for one.
+func (v *soakVerifier) recordClose(r *soakRequest, timedOut bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	r.closed, r.closedAt = true, time.Now()
 	if timedOut {
-		j.violatedLocked(ruleResponse, r.id+": no response")
+		v.recordViolationLocked(ruleResponse, r.id+": no response")
 	}
 }
 
-// attempted records an attempt. drainsSince is when the agent was notified that its endpoint drains, or zero.
-func (j *soakJudge) attempted(id string, a *soakAttempt, drainsSince time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.requests[id]
+// recordAttemptStart records an attempt. drainsSince is when the agent was notified that its endpoint drains, or zero.
+func (v *soakVerifier) recordAttemptStart(id string, a *soakAttempt, drainNotifiedAt time.Time) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	r := v.requests[id]
 	if r == nil {
-		j.violatedLocked(ruleAttempt, id+" was never sent by a client")
+		v.recordViolationLocked(ruleAttempt, id+" was never sent by a client")
 		return
 	}
-	if late := a.begin.Sub(drainsSince); !drainsSince.IsZero() && late > drainGrace+j.slack {
-		j.violatedLocked(ruleDrain, fmt.Sprintf("%s: %v after the notice", id, late))
+	if late := a.startedAt.Sub(drainNotifiedAt); !drainNotifiedAt.IsZero() && late > drainGraceDuration+v.slack {
+		v.recordViolationLocked(ruleDrain, fmt.Sprintf("%s: %v after the notice", id, late))
 	}
-	timeLeft := r.sentAt.Add(r.timeout).Sub(a.begin)
-	if a.timeLeft > timeLeft+timeLeftSlack+j.slack {
-		j.violatedLocked(ruleTimeLeft, fmt.Sprintf("%s: states %v with %v left", id, a.timeLeft, timeLeft))
+	requestTimeLeft := r.sentAt.Add(r.timeout).Sub(a.startedAt)
+	if a.timeout > requestTimeLeft+attemptTimeoutSlack+v.slack {
+		v.recordViolationLocked(ruleAttemptTimeout, fmt.Sprintf("%s: states %v with %v left", id, a.timeout, requestTimeLeft))
 	}
 	r.attempts = append(r.attempts, a)
 }
 
-// ended records the end of an attempt.
-func (j *soakJudge) ended(a *soakAttempt) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	a.end = time.Now()
+// recordAttemptFinish records the end of an attempt.
+func (v *soakVerifier) recordAttemptFinish(a *soakAttempt) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	a.finishedAt = time.Now()
 }
--- a/cmd/ashshunt/soak_random_test.go
+++ b/cmd/ashshunt/soak_random_test.go
@@ -18,20 +18,20 @@
 	return &lockedRand{rng: rand.New(rand.NewPCG(uint64(seed), stream))}
 }
 
-// float draws a number from [0, 1).
-func (r *lockedRand) float() float64 {
+// drawFloat draws a number from [0, 1).
+func (r *lockedRand) drawFloat() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.Float64()
 }
 
-// below draws a whole number from [0, bound).
-func (r *lockedRand) below(bound int) int { return int(r.float() * float64(bound)) }
+// drawInt draws a whole number from [0, bound).
+func (r *lockedRand) drawInt(bound int) int { return int(r.drawFloat() * float64(bound)) }
 
-// between draws a time from [low, high).
-func (r *lockedRand) between(low, high time.Duration) time.Duration {
-	return low + time.Duration(r.float()*float64(high-low))
+// drawDuration draws a time from [low, high).
+func (r *lockedRand) drawDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(r.drawFloat()*float64(high-low))
 }
 
-// chance is true with a probability.
-func (r *lockedRand) chance(probability float64) bool { return r.float() < probability }
+// drawBool is true with a probability.
+func (r *lockedRand) drawBool(probability float64) bool { return r.drawFloat() < probability }
--- a/cmd/ashshunt/soak_test.go
+++ b/cmd/ashshunt/soak_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// soakSeedsVariable names the seeds that TestSoak runs, as "FROM-TO"; without it, the four of CI are run.
-	soakSeedsVariable = "ASHSHUNT_SOAK_SEEDS"
-	// soakStrictVariable has TestSoak kill the agent at the earliest time and judge times by the protocol's slack, for
+	// soakSeedsEnvVar names the seeds that TestSoak runs, as "FROM-TO"; without it, the four of CI are run.
+	soakSeedsEnvVar = "ASHSHUNT_SOAK_SEEDS"
+	// soakStrictEnvVar has TestSoak kill the agent at the earliest time and judge times by the protocol's slack, for
 	// which the machine must not be busy. Without it, an agent that shuts down may take its time, and only what never
 	// happens, or happens too often, is an error.
-	soakStrictVariable = "ASHSHUNT_SOAK_STRICT"
+	soakStrictEnvVar = "ASHSHUNT_SOAK_STRICT"
 )
 
 const (
@@ -28,8 +28,8 @@
 )
 
 const (
-	// acceptPeriod is how long after SIGTERM clients still connect.
-	acceptPeriod = 400 * time.Millisecond
+	// acceptDuration is how long after SIGTERM clients still connect.
+	acceptDuration = 400 * time.Millisecond
 	// killDelay is how long after SIGTERM and the longest deadline the agent may be killed.
 	killDelay = 700 * time.Millisecond
 	// maxDeadline bounds the part of the longest deadline in that time.
@@ -40,9 +40,9 @@
 // open, up to a kill at the earliest time that the protocol allows, while endpoints and discovery fail in many ways.
 func TestSoak(t *testing.T) {
 	from, to := 1, 4
-	if seeds := os.Getenv(soakSeedsVariable); seeds != "" {
+	if seeds := os.Getenv(soakSeedsEnvVar); seeds != "" {
 		if _, err := fmt.Sscanf(seeds, "%d-%d", &from, &to); err != nil {
-			t.Fatalf("%s: %v", soakSeedsVariable, err)
+			t.Fatalf("%s: %v", soakSeedsEnvVar, err)
 		}
 	}
 	for seed := from; seed <= to; seed++ {
@@ -55,13 +55,13 @@
 
 // The words of the settings for kinds of idempotency and scopes of deduplication.
 const (
-	wordIdempotent    = "repeatable"
-	wordWithKey       = "by_key"
-	wordNotIdempotent = "once"
+	semanticsIdempotent        = "repeatable"
+	semanticsIdempotentWithKey = "by_key"
+	semanticsNotIdempotent     = "once"
 
-	wordEverywhere = "all"
-	wordInZone     = "zone"
-	wordInCell     = "cell"
+	dedupEverywhere = "all"
+	dedupInZone     = "zone"
+	dedupInCell     = "cell"
 )
 
 // soakClass is a class of requests.
@@ -78,7 +78,7 @@
 	idleClients bool // there are soakIdleClients, and few descriptors
 	listen      string
 	file        configFile
-	judge       *soakJudge
+	verifier    *soakVerifier
 	discovery   *soakDiscovery
 	endpoints   []*soakEndpoint // owned by the goroutine of faults once it runs
 	stopped     chan struct{}   // closed at the end of the run
@@ -90,11 +90,11 @@
 func newSoak(t *testing.T, seed int) *soak {
 	t.Helper()
 	rng := newLockedRand(seed)
-	longest := rng.between(50*time.Millisecond, 250*time.Millisecond)
-	if rng.chance(0.5) {
-		longest = rng.between(400*time.Millisecond, 2*time.Second)
+	longest := rng.drawDuration(50*time.Millisecond, 250*time.Millisecond)
+	if rng.drawBool(0.5) {
+		longest = rng.drawDuration(400*time.Millisecond, 2*time.Second)
 	}
-	scopes := []string{wordEverywhere, wordInZone, wordInCell}
+	scopes := []string{dedupEverywhere, dedupInZone, dedupInCell}
 	s := &soak{
 		t:           t,
 		rng:         rng,
@@ -102,13 +102,13 @@
 		file:        newConfigFile(t),
 		stopped:     make(chan struct{}),
 		classes: []soakClass{
-			{name: "look", idempotency: wordIdempotent, deadline: longest},
-			{name: "hold", idempotency: wordWithKey, dedupScope: scopes[seed%3], deadline: longest * 4 / 5,
-				dedupWindow: rng.between(200*time.Millisecond, 900*time.Millisecond)},
-			{name: "settle", idempotency: wordNotIdempotent, deadline: longest * 2 / 3},
+			{name: "look", idempotency: semanticsIdempotent, deadline: longest},
+			{name: "hold", idempotency: semanticsIdempotentWithKey, dedupScope: scopes[seed%3], deadline: longest * 4 / 5,
+				dedupWindow: rng.drawDuration(200*time.Millisecond, 900*time.Millisecond)},
+			{name: "settle", idempotency: semanticsNotIdempotent, deadline: longest * 2 / 3},
 		},
 	}
-	s.judge = newSoakJudge(t, s.classes, os.Getenv(soakStrictVariable) != "")
+	s.verifier = newSoakVerifier(t, s.classes, os.Getenv(soakStrictEnvVar) != "")
 	s.discovery = newSoakDiscovery(s)
 	for i := range soakEndpoints {
 		s.addEndpoint(fmt.Sprint("s", i), 0)
@@ -169,53 +169,53 @@
 
 // run runs the agent's processes, then judges all requests.
 func (s *soak) run() {
-	var others sync.WaitGroup
+	var workers sync.WaitGroup
 	for range soakClients {
-		others.Go(func() { newSoakClient(s).run() })
+		workers.Go(func() { newSoakClient(s).run() })
 	}
 	if s.idleClients {
 		for range soakIdleClients {
-			others.Go(s.runIdleClient)
+			workers.Go(s.runIdleClient)
 		}
 	}
-	others.Go(s.runFaults)
+	workers.Go(s.runFaults)
 	for incarnation := range soakIncarnations {
 		s.runAgent(incarnation)
 	}
 	s.setMayConnect(false)
 	close(s.stopped)
-	others.Wait()
-	s.judge.verdict()
+	workers.Wait()
+	s.verifier.verify()
 }
 
 // runAgent runs one process of the agent from its start to its end.
 func (s *soak) runAgent(incarnation int) {
 	s.writeConfig()
-	s.discovery.restarted()
+	s.discovery.recordRestart()
 	process := startAgent(s.t, s.file)
-	process.addr(s.t)
-	logEnded := s.watchLog(process)
+	process.waitForAddr(s.t)
+	logEnded := s.recordInternalErrors(process)
 	s.setMayConnect(true)
 
-	time.Sleep(s.rng.between(1200*time.Millisecond, 2*time.Second))
-	for range s.rng.below(4) { // reloads in a row
+	time.Sleep(s.rng.drawDuration(1200*time.Millisecond, 2*time.Second))
+	for range s.rng.drawInt(4) { // reloads in a row
 		s.reload(process)
 	}
-	time.Sleep(s.rng.between(500*time.Millisecond, 2*time.Second))
+	time.Sleep(s.rng.drawDuration(500*time.Millisecond, 2*time.Second))
 
-	s.shutDown(process)
+	s.stopAgent(process)
 	<-logEnded
-	s.awaitExit(process, incarnation)
+	s.waitForExit(process, incarnation)
 }
 
-// watchLog passes internal errors of the agent to the judge until the log ends, which closes the channel.
-func (s *soak) watchLog(process agentProcess) (ended <-chan struct{}) {
+// recordInternalErrors passes internal errors of the agent to the judge until the log ends, which closes the channel.
+func (s *soak) recordInternalErrors(process agentProcess) (ended <-chan struct{}) {
 	logEnded := make(chan struct{})
 	go func() {
 		defer close(logEnded)
 		for process.log.Scan() {
 			if line := process.log.Text(); strings.Contains(line, "internal error") || strings.Contains(line, "panic") {
-				s.judge.logged(line)
+				s.verifier.recordLogLine(line)
 			}
 		}
 	}()
@@ -224,37 +224,37 @@
 
 // reload has the agent read a configuration that may name another discovery. The file may be half-written at first.
 func (s *soak) reload(process agentProcess) {
-	if s.rng.chance(0.5) {
-		s.discovery.move()
+	if s.rng.drawBool(0.5) {
+		s.discovery.switchAddr()
 	}
-	if s.rng.chance(0.3) {
+	if s.rng.drawBool(0.3) {
 		s.file.write(s.t, `{"name":"n1",`)
 		_ = process.Process.Signal(syscall.SIGHUP) // it may have ended
-		time.Sleep(s.rng.between(0, 50*time.Millisecond))
+		time.Sleep(s.rng.drawDuration(0, 50*time.Millisecond))
 	}
 	s.writeConfig()
 	_ = process.Process.Signal(syscall.SIGHUP)
-	time.Sleep(s.rng.between(0, 100*time.Millisecond))
+	time.Sleep(s.rng.drawDuration(0, 100*time.Millisecond))
 }
 
-// shutDown sends SIGTERM, and further signals in half of the cases. If the judge is strict, the agent is killed at the
+// stopAgent sends SIGTERM, and further signals in half of the cases. If the judge is strict, the agent is killed at the
 // earliest time that the protocol allows.
-func (s *soak) shutDown(process agentProcess) {
-	if !s.judge.strict { // no client is still connecting as the listener closes, however busy the machine is
+func (s *soak) stopAgent(process agentProcess) {
+	if !s.verifier.strict { // no client is still connecting as the listener closes, however busy the machine is
 		s.setMayConnect(false)
 		time.Sleep(200 * time.Millisecond)
 	}
 	terminatedAt := time.Now()
 	process.signal(s.t, syscall.SIGTERM)
-	time.AfterFunc(acceptPeriod, func() { s.setMayConnect(false) })
-	if s.rng.chance(0.5) {
-		time.Sleep(s.rng.between(0, 200*time.Millisecond))
+	time.AfterFunc(acceptDuration, func() { s.setMayConnect(false) })
+	if s.rng.drawBool(0.5) {
+		time.Sleep(s.rng.drawDuration(0, 200*time.Millisecond))
 		_ = process.Process.Signal(syscall.SIGTERM) // it may have ended
 		s.reload(process)
 	}
-	if s.judge.strict {
+	if s.verifier.strict {
 		time.Sleep(time.Until(terminatedAt.Add(s.longestDeadline() + killDelay)))
-		s.judge.killed(time.Now())
+		s.verifier.recordKill(time.Now())
 		_ = process.Process.Kill() // it may have ended
 	}
 }
@@ -268,13 +268,13 @@
 	return min(longest, maxDeadline)
 }
 
-// awaitExit waits for the agent's end, which must be an exit with status 0 or a kill.
-func (s *soak) awaitExit(process agentProcess, incarnation int) {
+// waitForExit waits for the agent's end, which must be an exit with status 0 or a kill.
+func (s *soak) waitForExit(process agentProcess, incarnation int) {
 	err := process.Wait()
 	status, ok := process.ProcessState.Sys().(syscall.WaitStatus)
 	killed := ok && status.Signaled()
 	if err != nil && !killed {
-		s.judge.violated(ruleCrash, fmt.Sprintf("incarnation %d: %v", incarnation, err))
+		s.verifier.recordViolation(ruleCrash, fmt.Sprintf("incarnation %d: %v", incarnation, err))
 	}
 }
 
@@ -284,7 +284,7 @@
 		select {
 		case <-s.stopped:
 			return
-		case <-time.After(s.rng.between(100*time.Millisecond, 700*time.Millisecond)):
+		case <-time.After(s.rng.drawDuration(100*time.Millisecond, 700*time.Millisecond)):
 			s.injectFault(fmt.Sprint("s", number))
 		}
 	}
@@ -293,26 +293,26 @@
 // injectFault causes one fault. newID is for an endpoint that may be started.
 func (s *soak) injectFault(newID string) {
 	serving := s.endpoints[len(s.endpoints)-soakEndpoints:]
-	endpoint := serving[s.rng.below(len(serving))]
-	if s.rng.chance(0.15) {
-		s.discovery.breakWatches(s.rng.chance(0.5))
+	endpoint := serving[s.rng.drawInt(len(serving))]
+	if s.rng.drawBool(0.15) {
+		s.discovery.breakWatches(s.rng.drawBool(0.5))
 		return
 	}
-	if s.rng.chance(0.15) {
+	if s.rng.drawBool(0.15) {
 		oldest := serving[0]
 		s.discovery.drain(oldest.id)
 		s.addEndpoint(newID, time.Now().UnixMilli())
 		return
 	}
-	fault := endpointFault(s.rng.below(faultCount))
-	endpoint.fail(fault, s.rng.between(200*time.Millisecond, 1500*time.Millisecond))
+	fault := endpointFault(s.rng.drawInt(faultCount))
+	endpoint.injectFault(fault, s.rng.drawDuration(200*time.Millisecond, 1500*time.Millisecond))
 }
 
 // addEndpoint starts an endpoint and lists it.
 func (s *soak) addEndpoint(id string, startedMs int64) {
 	e := newSoakEndpoint(s, id, len(s.endpoints)%2)
 	s.endpoints = append(s.endpoints, e)
-	s.discovery.change(soakEntry{
+	s.discovery.publish(soakEntry{
 		ID:        id,
 		Addr:      e.server.Addr(),
 		Zone:      "a",
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -181,12 +181,12 @@
 // Where a request waits for a backoff or a timer, the module learns of the disconnect however it came, nothing goes out
 // for the request, and no response is made up.
 func TestDisconnectDuringBackoff(t *testing.T) {
-	for _, way := range disconnectMethods {
-		t.Run(way.name, func(t *testing.T) {
+	for _, method := range disconnectMethods {
+		t.Run(method.name, func(t *testing.T) {
 			t.Parallel()
 			s := startSendAfterDisconnect(t)
 			client := s.submit(t)
-			way.disconnect(t, client)
+			method.disconnect(t, client)
 			s.waitForLateSend(t)
 			select {
 			case outcome := <-s.outcomes:
@@ -205,8 +205,8 @@
 
 // A request does not go out from a busy loop that has yet to learn of the disconnect.
 func TestDisconnectWhileLoopIsBusy(t *testing.T) {
-	for _, way := range disconnectMethods {
-		t.Run(way.name, func(t *testing.T) {
+	for _, method := range disconnectMethods {
+		t.Run(method.name, func(t *testing.T) {
 			t.Parallel()
 			server := testutil.NewServer(t, testutil.Echo)
 			busy, gate, recorder := make(chan struct{}), make(chan struct{}), newRequestRecorder()
@@ -220,7 +220,7 @@
 			a, _ := startScripted(t, newConfig(t, server), module)
 			client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 			testutil.Receive(t, busy)
-			way.disconnect(t, client)
+			method.disconnect(t, client)
 			// The loop is held, and nothing else is in its table.
 			testutil.WaitFor(t, "the disconnect", a.loop.requests.find(id).upstream.ClientGone)
 			close(gate)
@@ -231,8 +231,8 @@
 
 // A request does not go out on a connection that came up after its client had disconnected.
 func TestDisconnectDuringDial(t *testing.T) {
-	for _, way := range disconnectMethods {
-		t.Run(way.name, func(t *testing.T) {
+	for _, method := range disconnectMethods {
+		t.Run(method.name, func(t *testing.T) {
 			t.Parallel()
 			server := testutil.NewServer(t, testutil.Echo)
 			dialling, gate := make(chan struct{}, 10), make(chan struct{})
@@ -250,7 +250,7 @@
 			})
 			client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 			testutil.Receive(t, dialling)
-			way.disconnect(t, client)
+			method.disconnect(t, client)
 			testutil.Receive(t, recorder.abandoned)
 			close(gate)
 			if outcome := testutil.Receive(t, recorder.outcomes); outcome.Result != balancer.NotSent || !outcome.Done {
@@ -263,8 +263,8 @@
 
 // The request of a client that disconnected while its connection waited to be accepted is not forwarded.
 func TestDisconnectBeforeAccept(t *testing.T) {
-	for _, way := range disconnectMethods {
-		t.Run(way.name, func(t *testing.T) {
+	for _, method := range disconnectMethods {
+		t.Run(method.name, func(t *testing.T) {
 			t.Parallel()
 			gate := make(chan struct{})
 			server := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
@@ -277,7 +277,7 @@
 			first := testutil.Dial(t, a.Addr(), testutil.RawGet(testutil.NthID(1)))
 			testutil.Receive(t, server.Received)
 			second := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
-			way.disconnect(t, second) // which its system passes on at once, to a connection that the agent has not accepted yet
+			method.disconnect(t, second) // which its system passes on at once, to a connection that the agent has not accepted yet
 			close(gate)
 			if status := testutil.ReadStatus(t, first); status != http.StatusOK {
 				t.Errorf("first request: status %d", status)
@@ -297,10 +297,10 @@
 
 // A request whose body is over the limit and stops is not forwarded, however its client disconnects.
 func TestDisconnectDuringOversizedBody(t *testing.T) {
-	for _, way := range disconnectMethods {
-		t.Run(way.name, func(t *testing.T) {
+	for _, method := range disconnectMethods {
+		t.Run(method.name, func(t *testing.T) {
 			t.Parallel()
-			expectIncompleteNotForwarded(t, 3000000, way)
+			expectIncompleteNotForwarded(t, 3000000, method)
 		})
 	}
 }
@@ -308,25 +308,25 @@
 // A request whose body is within the limit and stops is not forwarded either: its body is read, but never whole.
 func TestDisconnectDuringBody(t *testing.T) {
 	const bodyLength = 60000 // more than follows at the disconnect, but for the flood, which would complete the body
-	for _, way := range disconnectMethods {
-		if len(way.trailing) >= bodyLength {
+	for _, method := range disconnectMethods {
+		if len(method.trailing) >= bodyLength {
 			continue
 		}
-		t.Run(way.name, func(t *testing.T) {
+		t.Run(method.name, func(t *testing.T) {
 			t.Parallel()
-			expectIncompleteNotForwarded(t, bodyLength, way)
+			expectIncompleteNotForwarded(t, bodyLength, method)
 		})
 	}
 }
 
 // expectIncompleteNotForwarded sends the head of a request with the beginning of its body, disconnects, and expects
 // that just the next client's request is forwarded.
-func expectIncompleteNotForwarded(t *testing.T, bodyLength int, way disconnectMethod) {
+func expectIncompleteNotForwarded(t *testing.T, bodyLength int, method disconnectMethod) {
 	t.Helper()
 	server := testutil.NewServer(t, testutil.Echo)
 	a := startAgent(t, newConfig(t, server))
 	head := testutil.RawPost(id, fmt.Sprintf("Content-Length: %d\r\n", bodyLength))
-	way.disconnect(t, testutil.Dial(t, a.Addr(), head+"half"))
+	method.disconnect(t, testutil.Dial(t, a.Addr(), head+"half"))
 	if status := requestStatus(t, a, "GET", "/look", testutil.NthID(1), "7000"); status != http.StatusOK {
 		t.Errorf("next request: status %d", status)
 	}
@@ -337,8 +337,8 @@
 
 // An attempt in flight as its client disconnects is neither retried nor kept.
 func TestDisconnectWithAttemptInFlight(t *testing.T) {
-	for _, way := range disconnectMethods {
-		t.Run(way.name, func(t *testing.T) {
+	for _, method := range disconnectMethods {
+		t.Run(method.name, func(t *testing.T) {
 			t.Parallel()
 			gate := make(chan struct{})
 			server := testutil.NewServer(t, func(conn net.Conn, _ *http.Request, _ []byte) bool {
@@ -352,7 +352,7 @@
 			})
 			client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 			testutil.Receive(t, server.Received)
-			way.disconnect(t, client)
+			method.disconnect(t, client)
 			testutil.Receive(t, recorder.abandoned)
 			close(gate)
 			outcome := testutil.Receive(t, recorder.outcomes)
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// resetAll breaks the connections of all open requests.
-func (p *holdingPair) resetAll() {
+// closeConnections breaks the connections of all open requests.
+func (p *holdingPair) closeConnections() {
 	for _, server := range p.servers {
 		close(server.finish)
 	}
@@ -85,7 +85,7 @@
 func TestBrokenConnectionsWithOpenRequests(t *testing.T) {
 	t.Parallel()
 	p := newHoldingPair(t)
-	defer p.resetAll()
+	defer p.closeConnections()
 	for range 7 {
 		p.send(t)
 	}
