--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,25 +1,26 @@
-// Package clock provides the monotonic clock on which the decision module runs.
+// Package clock provides the monotonic clock of the decision module.
 package clock
 
 import "time"
 
-// Clock is a monotonic clock whose zero is a day before it was made. The decision module reads a start time of 0 as
-// "long ago", and an endpoint that started before this agent must have a time above that.
+// Clock is a monotonic clock. It reads initialReading at its creation, not 0: the decision module interprets a start
+// time of 0 as long ago, and the start times of endpoints that started before this agent must be above 0.
 type Clock struct {
-	createdAt time.Time // when the clock was made
+	createdAt time.Time // the instant at which the clock reads initialReading
 }
 
-// initialReading is the clock's value when it is made.
+// initialReading is the clock's reading at its creation.
 const initialReading = 24 * time.Hour
 
-// New returns a clock that is made now.
+// New returns a clock that reads initialReading now.
 func New() Clock { return Clock{createdAt: time.Now()} }
 
-// FromTime is the clock's value at t.
+// FromTime converts t to a reading of the clock.
 func (c Clock) FromTime(t time.Time) time.Duration { return initialReading + t.Sub(c.createdAt) }
 
-// Now is the clock's value now.
+// Now returns the current reading of the clock.
 func (c Clock) Now() time.Duration { return c.FromTime(time.Now()) }
 
-// ToTime is the time at a value of the clock. Its monotonic reading keeps deadlines independent of the wall clock.
+// ToTime converts a reading of the clock to a time. The result has a monotonic clock reading, so that deadlines derived
+// from it do not depend on the wall clock.
 func (c Clock) ToTime(at time.Duration) time.Time { return c.createdAt.Add(at - initialReading) }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry repeats operations that fail transiently, with exponential backoff. The agent uses it for its start.
+// Package retry retries operations after transient failures, with exponential backoff. The agent uses it at startup.
 package retry
 
 import (
@@ -9,31 +9,33 @@
 )
 
 const (
-	// initialBackoff is the wait after the first failure. Each wait is retryBackoffFactor times the one before, up
-	// to maxRetryBackoff.
+	// initialBackoff is the backoff after the first failure. Each further failure multiplies the backoff by
+	// backoffMultiplier, up to maxBackoff.
 	initialBackoff    = 5 * time.Millisecond
 	backoffMultiplier = 2
 	maxBackoff        = 200 * time.Millisecond
 )
 
-// permanentErrnos are the errors of system calls that do not pass by themselves: a name or a permission is wrong.
-var permanentErrnos = []syscall.Errno{syscall.ENOENT, syscall.ENOTDIR, syscall.EISDIR, syscall.ELOOP, syscall.ENAMETOOLONG,
-	syscall.EACCES, syscall.EPERM, syscall.EINVAL, syscall.EAFNOSUPPORT, syscall.EPROTONOSUPPORT}
+// permanentErrnos lists the system call errors that are not retried: they mean a wrong name, address or permission,
+// which a retry does not change.
+var permanentErrnos = []syscall.Errno{syscall.ENOENT, syscall.ENOTDIR, syscall.EISDIR, syscall.ELOOP,
+	syscall.ENAMETOOLONG, syscall.EACCES, syscall.EPERM, syscall.EINVAL, syscall.EAFNOSUPPORT, syscall.EPROTONOSUPPORT}
 
-// IsTransient reports whether an error comes from a system call and may pass by itself.
+// IsTransient reports whether err is a system call error that is not in permanentErrnos.
 func IsTransient(err error) bool {
 	var cause syscall.Errno
 	return errors.As(err, &cause) && !slices.Contains(permanentErrnos, cause)
 }
 
-// Policy says which failures are retried.
+// Policy determines which failures are retried, and for how long.
 type Policy struct {
-	MaxElapsedTime time.Duration    // after which no retry begins
-	IsTransient    func(error) bool // reports whether an error may pass by itself
-	OnRetry        func(error)      // is called with each error that is retried
+	MaxElapsedTime time.Duration    // no retry starts later than this after the first call
+	IsTransient    func(error) bool // reports whether an error may be retried
+	OnRetry        func(error)      // called with the error before each retry
 }
 
-// Do calls operation until it succeeds or the policy allows no retry. It returns the last result as it is.
+// Do calls operation until it succeeds or the policy allows no further retry. It returns the result of the last call
+// unchanged.
 func Do[T any](policy Policy, operation func() (T, error)) (T, error) {
 	deadline := time.Now().Add(policy.MaxElapsedTime)
 	for backoff := initialBackoff; ; backoff = min(backoffMultiplier*backoff, maxBackoff) {
--- a/internal/telemetry/doc.go
+++ b/internal/telemetry/doc.go
@@ -1,2 +1,3 @@
-// Package telemetry is the agent's log: its messages and attribute keys, its rate limit and its writer.
+// Package telemetry defines the messages and attribute keys of the agent's log, its rate limit and its asynchronous
+// writer.
 package telemetry
--- a/internal/telemetry/messages.go
+++ b/internal/telemetry/messages.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// The messages of the agent's log lines. docs/OPERATIONS.md says what each means and what to do about it.
+// The messages of the agent's log. docs/OPERATIONS.md documents their meaning and the operator's response.
 const (
 	MsgServing                  = "serving"
 	MsgListenFailed             = "listen failed"
@@ -25,23 +25,23 @@
 	MsgNoFinalAnswer            = "internal error: no final answer by the deadline"
 )
 
-// The keys of attributes that several log lines have. The same thing has the same key in every line.
+// The keys of attributes that several messages share.
 const (
 	KeyRequest   = "id"
 	KeyEndpoint  = "endpoint"
 	KeyDiscovery = "discovery"
 	KeyError     = "err"
-	KeyDropped   = "dropped_before" // the number of lines that the rate limit dropped right before this one
+	KeyDropped   = "dropped_before" // the number of lines dropped by the rate limit since the previous line
 )
 
-// Request is the attribute for the ID of a client's request.
+// Request returns the attribute for the ID of a client's request.
 func Request(id string) slog.Attr { return slog.String(KeyRequest, id) }
 
-// Endpoint is the attribute for the ID of an endpoint.
+// Endpoint returns the attribute for the ID of an endpoint.
 func Endpoint(id string) slog.Attr { return slog.String(KeyEndpoint, id) }
 
-// Discovery is the attribute for the address of discovery.
+// Discovery returns the attribute for the address of discovery.
 func Discovery(addr string) slog.Attr { return slog.String(KeyDiscovery, addr) }
 
-// Err is the attribute for the error that a line reports.
+// Err returns the attribute for an error.
 func Err(err error) slog.Attr { return slog.Any(KeyError, err) }
--- a/internal/telemetry/ratelimit.go
+++ b/internal/telemetry/ratelimit.go
@@ -7,16 +7,18 @@
 	"time"
 )
 
-// maxLinesPerSecond bounds the log, since clients and endpoints determine by what they send how much there is to log.
+// maxLinesPerSecond is the rate limit of the log. The volume of the log depends on what clients and endpoints send, so
+// that it needs a limit.
 const maxLinesPerSecond = 20
 
-// RateLimited returns a handler that passes at most linesPerSecond lines on to h and drops the rest. The next line that
-// passes has an attribute KeyDropped with their number. Lines that a Writer drops behind it are not counted.
+// RateLimited returns a handler that passes at most maxLinesPerSecond lines per second to h and drops the rest. The
+// next line that passes has the attribute KeyDropped with the number of dropped lines. Lines that a Writer drops later
+// are not counted.
 func RateLimited(h slog.Handler) slog.Handler {
 	return rateLimited{Handler: h, limiter: &lineLimiter{now: time.Now}}
 }
 
-// rateLimited is a handler whose derived handlers share one limiter.
+// rateLimited is the handler returned by RateLimited. The handlers derived from it share its limiter.
 type rateLimited struct {
 	slog.Handler
 	limiter *lineLimiter
@@ -44,17 +46,19 @@
 	return rateLimited{Handler: h.Handler.WithGroup(name), limiter: h.limiter}
 }
 
-// lineLimiter counts the lines of the current second, which starts with its first line. It is safe for concurrent use.
+// lineLimiter is a fixed-window rate limiter. A window of one second starts with the first line after the end of the
+// previous window. lineLimiter is safe for concurrent use.
 type lineLimiter struct {
 	now func() time.Time
 
-	mu              sync.Mutex // protects what follows
+	mu              sync.Mutex // protects the fields below
 	windowStartedAt time.Time
-	linesInWindow   int
-	dropped         int // since the last line that passed
+	linesInWindow   int // including dropped lines
+	dropped         int // lines dropped since the last line that passed
 }
 
-// allow reports whether a line may pass, and how many were dropped since the last one that did.
+// allow records a line and reports whether it may pass. If it may, dropped is the number of lines dropped since the
+// previous line that passed.
 func (l *lineLimiter) allow() (allowed bool, dropped int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// maxBufferedLines is how many lines may wait for their reader before further ones are dropped.
+// maxBufferedLines is the number of lines that a Writer buffers. It drops further lines until the buffer has space.
 const maxBufferedLines = 256
 
-// Writer writes lines asynchronously, on a goroutine of its own, so that logging never waits for the reader of the log.
-// Lines that the reader does not take in time are dropped.
+// Writer writes lines asynchronously, so that logging does not block while the reader of the log is slow. It drops
+// lines that do not fit into its buffer.
 type Writer struct {
 	lines chan []byte
-	flush chan chan struct{}
+	flush chan chan struct{} // requests from Flush; the channel inside is closed once the buffered lines are written
 }
 
-// NewWriter returns a writer whose lines go to w. Its goroutine runs as long as the process.
+// NewWriter returns a writer that writes lines to w on a new goroutine. The goroutine is never stopped.
 func NewWriter(w io.Writer) *Writer {
 	writer := &Writer{lines: make(chan []byte, maxBufferedLines), flush: make(chan chan struct{})}
 	go writer.run(w)
 	return writer
 }
 
-// Write implements io.Writer. It never fails: the log itself has nowhere to report an error.
+// Write implements io.Writer. It never fails, since an error of the log could not be reported.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- bytes.Clone(line):
@@ -32,7 +32,7 @@
 	return len(line), nil
 }
 
-// Flush waits until all lines so far are written, or until the timeout.
+// Flush blocks until all lines buffered so far are written, or until the timeout.
 func (w *Writer) Flush(timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -48,7 +48,7 @@
 	}
 }
 
-// run writes the lines to out, in their order. It ignores errors: the next line may get through.
+// run writes the buffered lines to out in order. It ignores write errors, since a later write may succeed.
 func (w *Writer) run(out io.Writer) {
 	for {
 		select {
--- a/internal/testutil/client.go
+++ b/internal/testutil/client.go
@@ -11,24 +11,24 @@
 	"time"
 )
 
-// RequestID is a well-formed X-Call-Id.
+// RequestID is a valid X-Call-Id.
 const RequestID = "00000000000000a1"
 
-// NthID returns a well-formed X-Call-Id, a different one for each number.
+// NthID returns a valid X-Call-Id that is unique to number.
 func NthID(number int) string { return fmt.Sprintf("%016x", number) }
 
-// RawGet returns the text of a request of the idempotent class of Settings.
+// RawGet returns a complete GET request of the idempotent class of SettingsJSON, as sent on the wire.
 func RawGet(id string) string {
 	return "GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 7000\r\n\r\n"
 }
 
-// RawPost returns the head of a request of the class of Settings that is not idempotent, with further header lines, each
-// terminated by CRLF.
+// RawPost returns the head of a POST request of the non-idempotent class of SettingsJSON, as sent on the wire. headers
+// holds additional header lines, each terminated by CRLF.
 func RawPost(id, headers string) string {
 	return "POST /settle HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 7000\r\n" + headers + "\r\n"
 }
 
-// Dial opens a connection and writes text to it. The connection is closed when the test ends.
+// Dial opens a connection with a deadline of Timeout and writes text to it. The end of the test closes the connection.
 func Dial(t *testing.T, addr net.Addr, text string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr.String())
@@ -39,7 +39,7 @@
 	if err := conn.SetDeadline(time.Now().Add(Timeout)); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(conn, text) // fails where the other side closes early, which is for the test to judge
+	_, _ = io.WriteString(conn, text) // fails if the peer closes the connection early, which some tests expect
 	return conn
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// ReadResponse reads one response, body included, from a connection that may bring more.
+// ReadResponse reads one response including its body. Subsequent responses stay in the reader.
 func ReadResponse(t *testing.T, in *bufio.Reader) *http.Response {
 	t.Helper()
 	response, err := http.ReadResponse(in, nil)
@@ -64,14 +64,15 @@
 	return response
 }
 
-// ReadStatus reads one response from a connection and returns its status. What comes behind the response is lost.
+// ReadStatus reads one response from a connection and returns its status. It may discard data that follows the
+// response.
 func ReadStatus(t *testing.T, conn net.Conn) int {
 	t.Helper()
 	return ReadResponse(t, bufio.NewReader(conn)).StatusCode
 }
 
-// Do sends a request on a connection of its own and returns the response and its body. headers holds names and
-// values in turn.
+// Do sends a request on a new connection and returns the response and its body. headers holds alternating names and
+// values.
 func Do(t *testing.T, addr net.Addr, method, path, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+addr.String()+path, strings.NewReader(body))
--- a/internal/testutil/config.go
+++ b/internal/testutil/config.go
@@ -8,7 +8,7 @@
 	"ashshunt/internal/config"
 )
 
-// SettingsJSON is a settings object with one class of each kind of idempotency, and wide time bounds.
+// SettingsJSON is a settings object with one class of each kind of idempotency and long deadlines.
 const SettingsJSON = `{"Balancers":1,"Me":0,"TickMs":1,"Dcs":["dc"],"Kinds":["std"],"MembershipMode":"subscribe",
  "Profiles":[
   {"Name":"look","AimMs":5000,"DeadlineMs":8000,"Worth":1,"Semantics":"repeatable"},
@@ -18,12 +18,13 @@
   "IdleCloseMs":60000},
  "Contract":{"ColdFrom":0.5,"AskWithinMs":640,"DrainGraceMs":250,"RampTimeMs":1000,"FallMs":1000,"FallMultiple":2}}`
 
-// configFormat takes the address of discovery, the known entries of the endpoint list and the settings object.
+// configFormat is the format of a configuration file. Its arguments are the address of discovery, the entries of the
+// cached endpoint list and the settings object.
 const configFormat = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
  "limits":{"memory_mb":192,"sockets":1024},"known":{"version":1,"full":true,"servers":[%s]},"settings":%s}`
 
-// Config returns an agent's configuration with Settings, an address of discovery, and the entries of the endpoint list
-// that the agent knows at its start.
+// Config returns an agent's configuration with SettingsJSON, the given address of discovery and the given entries of
+// the cached endpoint list.
 func Config(t *testing.T, discovery string, entries ...string) *config.Config {
 	t.Helper()
 	c, err := config.Parse([]byte(fmt.Sprintf(configFormat, discovery, strings.Join(entries, ","), SettingsJSON)))
@@ -33,7 +34,7 @@
 	return c
 }
 
-// EntryJSON returns one entry of the endpoint list as discovery writes it.
+// EntryJSON returns one entry of the endpoint list in the JSON format of discovery.
 func EntryJSON(id, addr, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"dc","kind":"std","cell":1,"state":%q,"weight":1,"started_ms":0}`,
 		id, addr, state)
--- a/internal/testutil/doc.go
+++ b/internal/testutil/doc.go
@@ -1,3 +1,3 @@
-// Package testutil has what the tests of several packages share: stand-ins for endpoints, discovery and clients, a log
-// that can be read, and waits.
+// Package testutil provides helpers shared by the tests of several packages: fake endpoints, a fake discovery service,
+// HTTP clients, an in-memory log and waits with a timeout.
 package testutil
--- a/internal/testutil/listen.go
+++ b/internal/testutil/listen.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// eventBuffer is how many events of a stand-in fit into a channel before the test takes one.
+// eventBuffer is the capacity of the channels on which fake services report events to the test.
 const eventBuffer = 100
 
-// Listen listens on a loopback port that the system chooses, until the test ends.
+// Listen listens on a loopback port chosen by the system until the test ends.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // a test may have closed it
+	t.Cleanup(func() { _ = listener.Close() }) // fails if the test has closed it
 	return listener
 }
--- a/internal/testutil/log.go
+++ b/internal/testutil/log.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Log holds what was logged. Tests may read it while it is written.
+// Log is an in-memory log. It is safe for concurrent use.
 type Log struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -23,10 +23,10 @@
 	return l.buffer.Write(p)
 }
 
-// Contains reports whether text has been logged.
+// Contains reports whether the log contains text.
 func (l *Log) Contains(text string) bool { return strings.Contains(l.String(), text) }
 
-// String returns all that was logged so far.
+// String returns the contents of the log.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testutil/server.go
+++ b/internal/testutil/server.go
@@ -9,19 +9,19 @@
 	"testing"
 )
 
-// handlerFunc writes the response to a request and reports whether the connection stays open.
+// handlerFunc writes the response to a request and reports whether the server keeps the connection open.
 type handlerFunc = func(conn net.Conn, request *http.Request, body []byte) bool
 
-// Server is a stand-in for an endpoint. It passes each complete request to a function.
+// Server is a fake endpoint. It passes each complete request to a handler function.
 type Server struct {
 	net.Listener
 	handle   handlerFunc
-	Received chan *http.Request // the requests that came; RemoteAddr tells their connections apart
-	Closed   chan struct{}      // has a value for each connection that the other side has closed
+	Received chan *http.Request // receives each complete request; RemoteAddr identifies its connection
+	Closed   chan struct{}      // receives a value when a connection ends before its next request head is read
 }
 
-// NewServer starts a server whose requests are answered by handle. It accepts connections until the test ends, or
-// closes it.
+// NewServer starts a server that answers requests with handle. It accepts connections until it is closed, at the latest
+// when the test ends.
 func NewServer(t *testing.T, handle func(net.Conn, *http.Request, []byte) bool) *Server {
 	t.Helper()
 	s := &Server{
@@ -72,7 +72,7 @@
 
 // Respond writes a response with further header lines, each terminated by CRLF.
 func Respond(conn net.Conn, status int, headers, body string) {
-	// An error means that the other side has gone, which it may.
+	// An error means that the peer has disconnected, which tests allow.
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 }
 
@@ -82,8 +82,8 @@
 	return true
 }
 
-// Hang does not respond. It returns when the other side closes the connection.
+// Hang does not respond. It returns when the peer closes the connection.
 func Hang(conn net.Conn, _ *http.Request, _ []byte) bool {
-	_, _ = io.Copy(io.Discard, conn) // however it ends
+	_, _ = io.Copy(io.Discard, conn) // returns when the connection ends, with or without an error
 	return false
 }
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Timeout bounds waits for what must happen; only something broken takes so long.
+// Timeout limits each wait for an event that the test requires. It is long enough for a busy machine.
 const Timeout = 20 * time.Second
 
-// pollInterval is the time between two checks of a condition that no event announces.
+// pollInterval is the time between two evaluations of a condition by WaitFor.
 const pollInterval = time.Millisecond
 
-// Receive takes one value from a channel, and fails the test if none comes.
+// Receive receives one value from a channel. It fails the test if there is none within Timeout.
 func Receive[T any](t *testing.T, c <-chan T) (value T) {
 	t.Helper()
 	select {
@@ -22,7 +22,7 @@
 	return value
 }
 
-// WaitFor waits for a condition that no event announces; what names it if the test fails.
+// WaitFor polls a condition until it holds. It fails the test after Timeout with a message that contains what.
 func WaitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !ok(); time.Sleep(pollInterval) {
