--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -22,7 +22,7 @@
 	attemptCtx, cancel := context.WithCancel(ctx)
 	outcome := balancer.Outcome{
 		Request:  action.Request,
-		Attempt:  r.recordAttemptStart(cancel),
+		Attempt:  r.addAttempt(cancel),
 		Endpoint: action.Endpoint,
 		Result:   balancer.NotSent,
 	}
@@ -80,7 +80,7 @@
 // handleOutcome notes the outcome of an attempt and passes it to the decision module. The first response that was
 // served goes to the client at once, without a decision.
 func (l *eventLoop) handleOutcome(r *openRequest, outcome balancer.Outcome, body []byte) {
-	r.recordAttemptFinish(outcome.Attempt, l.settings.MayHaveRun(outcome.Result))
+	r.finishAttempt(outcome.Attempt, l.settings.MayHaveRun(outcome.Result))
 	if outcome.Result == balancer.Served && !r.isFinished() {
 		l.answer(r, frontend.Response{Status: http.StatusOK, Body: body})
 	}
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -69,15 +69,15 @@
 // mayHaveRun reports whether some attempt may have run, or may still.
 func (r *openRequest) mayHaveRun() bool { return r.finishedMayHaveRun || r.inFlight > 0 }
 
-// recordAttemptStart notes an attempt and returns its number.
-func (r *openRequest) recordAttemptStart(cancel context.CancelFunc) (number int) {
+// addAttempt notes an attempt and returns its number.
+func (r *openRequest) addAttempt(cancel context.CancelFunc) (number int) {
 	r.attemptCancels = append(r.attemptCancels, cancel)
 	r.inFlight++
 	return len(r.attemptCancels) - 1
 }
 
-// recordAttemptFinish notes the end of an attempt.
-func (r *openRequest) recordAttemptFinish(number int, mayHaveRun bool) {
+// finishAttempt notes the end of an attempt.
+func (r *openRequest) finishAttempt(number int, mayHaveRun bool) {
 	r.cancelAttempt(number)
 	r.attemptCancels[number] = nil
 	r.inFlight--
--- a/internal/agent/openrequest_test.go
+++ b/internal/agent/openrequest_test.go
@@ -14,7 +14,7 @@
 	inbound.Event = balancer.Request{ID: id}
 	r := newOpenRequest(inbound)
 	table.add(r)
-	r.recordAttemptStart(func() {})
+	r.addAttempt(func() {})
 	return r
 }
 
@@ -43,7 +43,7 @@
 		if r.upstream.Lifetime.Err() == nil {
 			t.Errorf("%s: its attempt is not told", test.name)
 		}
-		r.recordAttemptFinish(0, false)
+		r.finishAttempt(0, false)
 		table.removeIfComplete(r)
 		if r.phase != phaseRemoved || table.find(id) != nil {
 			t.Errorf("%s, its attempt has ended: phase %d", test.name, r.phase)
@@ -59,7 +59,7 @@
 		if !r.mayHaveRun() {
 			t.Error("an attempt in flight can't run")
 		}
-		r.recordAttemptFinish(0, mayHaveRun)
+		r.finishAttempt(0, mayHaveRun)
 		if r.mayHaveRun() != mayHaveRun {
 			t.Errorf("may run %v after an attempt that may have run: %v", r.mayHaveRun(), mayHaveRun)
 		}
