--- a/cmd/ashshunt-sim/host.go
+++ b/cmd/ashshunt-sim/host.go
@@ -9,14 +9,14 @@
 	"ashshunt/internal/simwire"
 )
 
-// decisionModule is an instance of the decision module: a *balancer.Balancer, except in tests.
+// decisionModule converts events to actions. It is a *balancer.Balancer, except in tests.
 type decisionModule interface {
 	Step(now time.Duration, events []balancer.Event) []balancer.Action
 }
 
-// host owns the instances of the simulated agents.
+// host runs one instance of the decision module for each simulated agent.
 type host struct {
-	instances map[int]decisionModule // by the agent's number
+	instances map[int]decisionModule // by agent number
 	out       *simwire.Writer
 }
 
@@ -24,12 +24,12 @@
 	return &host{instances: map[int]decisionModule{}, out: out}
 }
 
-// notOpenError reports an event for an agent that has no instance.
+// notOpenError is the error for an event of an agent that has no instance.
 type notOpenError struct{ agent int }
 
 func (e *notOpenError) Error() string { return fmt.Sprintf("instance %d is not open", e.agent) }
 
-// handleBatch gives each instance its events of the batch and writes the actions of all of them.
+// handleBatch steps each instance with its events of the batch and writes the reply with all their actions.
 func (h *host) handleBatch(batch *simwire.Batch) error {
 	queue := newEventQueue()
 	for _, event := range batch.Events {
@@ -46,11 +46,11 @@
 	return h.out.End()
 }
 
-// handleEvent opens or retires an instance, or queues the event for it.
+// handleEvent opens or retires an instance, or queues the event for its instance.
 func (h *host) handleEvent(now time.Duration, event simwire.InstanceEvent, queue *eventQueue) error {
 	switch {
 	case event.Open != nil:
-		// Events of the same batch for the instance that this one replaces are a step of their own.
+		// Events of the same batch for the replaced instance are handled in a separate step before it.
 		if err := h.step(event.Agent, now, queue); err != nil {
 			return err
 		}
@@ -58,7 +58,7 @@
 	case h.instances[event.Agent] == nil:
 		return &simwire.LineError{Line: event.Line, Err: &notOpenError{agent: event.Agent}}
 	case event.Retire:
-		queue.take(event.Agent) // the instance was killed before it could act on these
+		queue.take(event.Agent) // discards the events that the retired instance has not handled
 		delete(h.instances, event.Agent)
 	default:
 		queue.add(event.Agent, event.Event)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// open starts an instance in place of the one that the agent may have had.
+// open creates an instance. It replaces the agent's previous instance, if any.
 func (h *host) open(event simwire.InstanceEvent) error {
 	instance, err := balancer.New(event.Open.Settings, event.Open.Seed)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// step gives an instance the events that are queued for it, if any, and writes its actions.
+// step steps an instance with its queued events and writes its actions. Without events it does nothing.
 func (h *host) step(agent int, now time.Duration, queue *eventQueue) error {
 	events := queue.take(agent)
 	if len(events) == 0 {
@@ -89,7 +89,7 @@
 	return h.out.Actions(agent, actions)
 }
 
-// stepWithRecover steps an instance. A panic of the decision module becomes an error.
+// stepWithRecover steps an instance and converts a panic of the decision module to an error.
 func stepWithRecover(instance decisionModule, now time.Duration, events []balancer.Event) (actions []balancer.Action,
 	err error) {
 	defer func() {
@@ -100,9 +100,9 @@
 	return instance.Step(now, events), nil
 }
 
-// eventQueue holds the events of one batch until the instances take them.
+// eventQueue holds the events of a batch until the instances are stepped with them.
 type eventQueue struct {
-	agents []int // those named in the batch, in the order of their first event
+	agents []int // agents of the batch, in the order of their first event
 	events map[int][]balancer.Event
 }
 
@@ -110,7 +110,7 @@
 	return &eventQueue{events: map[int][]balancer.Event{}}
 }
 
-// addAgent notes that the batch names an agent.
+// addAgent adds an agent of the batch, unless it has been added before.
 func (q *eventQueue) addAgent(agent int) {
 	if _, known := q.events[agent]; !known {
 		q.agents = append(q.agents, agent)
@@ -118,12 +118,12 @@
 	}
 }
 
-// add queues an event for a registered agent.
+// add queues an event for an agent that addAgent has added.
 func (q *eventQueue) add(agent int, event balancer.Event) {
 	q.events[agent] = append(q.events[agent], event)
 }
 
-// take removes and returns the events that are queued for a registered agent.
+// take removes and returns the queued events of an agent that addAgent has added.
 func (q *eventQueue) take(agent int) []balancer.Event {
 	events := q.events[agent]
 	q.events[agent] = nil
--- a/cmd/ashshunt-sim/main.go
+++ b/cmd/ashshunt-sim/main.go
@@ -1,5 +1,5 @@
-// Command ashshunt-sim connects the decision module to the simulator: it reads batches of events on standard input and
-// writes one reply to each batch on standard output. It hosts one balancer for each simulated agent.
+// Command ashshunt-sim connects the decision module to the simulator: it reads batches of events from standard input
+// and writes a reply to each batch to standard output. It runs one balancer for each simulated agent.
 package main
 
 import (
@@ -12,10 +12,11 @@
 	"ashshunt/internal/simwire"
 )
 
-// gcPercent lets the heap grow to nine times what is live: it is small, and most garbage is short-lived.
+// gcPercent allows the heap to grow to nine times the live heap, for few collections: the live heap is small, and most
+// garbage is short-lived.
 const gcPercent = 800
 
-// exitFailure is the exit status after input that is malformed or output that can't be written.
+// exitFailure is the exit status after malformed input or a write error.
 const exitFailure = 1
 
 func main() {
@@ -26,7 +27,7 @@
 	}
 }
 
-// run replies to batches until the input ends.
+// run replies to batches until the end of the input.
 func run(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
 	host := newHost(simwire.NewWriter(out))
--- a/cmd/ashshunt/main.go
+++ b/cmd/ashshunt/main.go
@@ -1,4 +1,4 @@
-// Command ashshunt is the agent: a client-side load balancer that runs beside one application.
+// Command ashshunt is the agent: a client-side load balancer that runs as a sidecar of one application.
 package main
 
 import (
@@ -23,23 +23,23 @@
 // configEnvVar is the environment variable that names the configuration file.
 const configEnvVar = "GW_CONFIG"
 
-// exitFailure is the exit status of an agent that did not start, or that failed.
+// exitFailure is the exit status of an agent that failed to start or to serve.
 const exitFailure = 1
 
-// configRetryTimeout is how long a start retries to read a configuration file that can't be read.
+// configRetryTimeout is how long the start retries to read a configuration file that is unreadable or incomplete.
 const configRetryTimeout = 5 * time.Second
 
-// logFlushTimeout is how long the exit waits for a slow reader of the log.
+// logFlushTimeout is the maximum time that the exit waits for a slow reader of the log.
 const logFlushTimeout = 100 * time.Millisecond
 
-// gcPercent lets the heap grow to two and a half times what is live between collections: it is small, and stays far
-// below its limit.
+// gcPercent allows the heap to grow to two and a half times the live heap between collections. The live heap is small,
+// so that this stays far below the memory limit.
 const gcPercent = 150
 
-// maxProcs is the number of cores that an agent uses at a time. It has one, which it may share.
+// maxProcs is the number of cores that the agent uses at a time. An agent has a single core, possibly a shared one.
 const maxProcs = 1
 
-// The heap may take five eighths of the memory of the process: the program itself counts too. A MB of memory_mb is a
+// The heap limit is five eighths of the memory of the process; the remainder is for the program itself. memory_mb is in
 // MiB.
 const (
 	bytesPerMiB             = 1 << 20
@@ -51,7 +51,7 @@
 	logWriter := telemetry.NewWriter(os.Stderr)
 	err := run(logWriter)
 	if err != nil {
-		_, _ = fmt.Fprintln(logWriter, "ashshunt:", err) // never fails
+		_, _ = fmt.Fprintln(logWriter, "ashshunt:", err) // a telemetry.Writer never fails
 	}
 	logWriter.Flush(logFlushTimeout)
 	if err != nil {
@@ -59,22 +59,22 @@
 	}
 }
 
-// run runs an agent until a signal ends it.
+// run runs an agent until SIGTERM or SIGINT.
 func run(logWriter io.Writer) error {
-	// Signals come first: one that is not handled yet would end the process.
-	signal.Ignore(syscall.SIGPIPE) // a write to a log that its reader has closed raises it
+	// Signal handlers are installed first: until then, a signal terminates the process.
+	signal.Ignore(syscall.SIGPIPE) // raised by a write to standard error after its reader has closed it
 	stopCtx, stopSignals, reloads := handleSignals()
 	defer stopSignals()
 	runtime.GOMAXPROCS(maxProcs)
 
 	path := os.Getenv(configEnvVar)
 	if path == "" {
-		return errors.New(configEnvVar + " names no configuration file")
+		return errors.New(configEnvVar + " is not set to the path of a configuration file")
 	}
 	log := newLogger(logWriter)
 	c, err := loadConfig(path, log)
 	if err != nil {
-		return fmt.Errorf("configuration: %w", err)
+		return fmt.Errorf("loading the configuration: %w", err)
 	}
 	setMemoryLimits(c.MemoryMB)
 	log = log.With("agent", c.Name)
@@ -89,16 +89,17 @@
 	return a.Run(stopCtx)
 }
 
-// handleSignals returns a context that SIGTERM and SIGINT end, until release is called, and a channel with a value
-// for SIGHUP.
+// handleSignals installs the signal handlers. SIGTERM and SIGINT cancel stopCtx until stopSignals is called; reloads
+// receives a value for SIGHUP.
 func handleSignals() (stopCtx context.Context, stopSignals context.CancelFunc, reloads <-chan os.Signal) {
 	stopCtx, stopSignals = signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	hangups := make(chan os.Signal, 1) // all signals that come during a reload are followed by one more reload
+	hangups := make(chan os.Signal, 1) // merges the signals that arrive during a reload into one further reload
 	signal.Notify(hangups, syscall.SIGHUP)
 	return stopCtx, stopSignals, hangups
 }
 
-// setMemoryLimits bounds the heap within the memory that the process may use; 0: no limit.
+// setMemoryLimits sets the garbage collector's target and the heap limit for a memory limit of the process in MiB. 0
+// means no limit.
 func setMemoryLimits(memoryMB int) {
 	debug.SetGCPercent(gcPercent)
 	if memoryMB > 0 {
@@ -110,7 +111,8 @@
 	return slog.New(telemetry.RateLimited(slog.NewTextHandler(w, nil)))
 }
 
-// loadConfig reads the configuration. A file that can't be read, or is just being written, is read again for a while.
+// loadConfig reads the configuration. For up to configRetryTimeout it retries a file that can't be read or is
+// incomplete, since another process may be writing it.
 func loadConfig(path string, log *slog.Logger) (*config.Config, error) {
 	policy := retry.Policy{
 		MaxElapsedTime: configRetryTimeout,
--- a/cmd/ashshunt/reload.go
+++ b/cmd/ashshunt/reload.go
@@ -10,31 +10,32 @@
 	"ashshunt/internal/telemetry"
 )
 
-// A reload that fails is retried after a backoff, which grows by reloadBackoffMultiplier from initialReloadBackoff to
-// maxReloadBackoff.
+// Failed reloads are retried with exponential backoff. Each retry multiplies the backoff by reloadBackoffMultiplier,
+// from initialReloadBackoff up to maxReloadBackoff.
 const (
 	initialReloadBackoff    = 10 * time.Millisecond
 	reloadBackoffMultiplier = 2
 	maxReloadBackoff        = 250 * time.Millisecond
 )
 
-// reloadRetryTimeout is how long after its signal a reload is retried. A file that has been invalid for so long was not
-// caught half-written.
+// reloadRetryTimeout is how long after its signal a reload is retried. A file that is still invalid then is not merely
+// being written.
 const reloadRetryTimeout = 30 * time.Second
 
-// reloader reads the configuration again upon each signal. A file that can't be read or is not valid is retried for a
-// while: it may be just being written.
+// reloader reloads the configuration on each signal. For up to reloadRetryTimeout it retries a file that can't be read
+// or is invalid, since another process may be writing it.
 type reloader struct {
 	path  string
 	agent *agent.Agent
 	log   *slog.Logger
 
-	retryTimer <-chan time.Time // nil: no retry is due
-	backoff    time.Duration    // before the next retry
-	retryUntil time.Time
+	retryTimer <-chan time.Time // fires when a retry is due; nil: no retry is scheduled
+	backoff    time.Duration    // backoff before the next retry
+	retryUntil time.Time        // no retry is scheduled after this time
 }
 
-// run reloads upon signals until ended is closed. The signals stay handled after that: they would end the process.
+// run reloads the configuration on signals until stopped is closed. It does not reset the signal handling, since SIGHUP
+// would then terminate the process.
 func (r *reloader) run(signals <-chan os.Signal, stopped <-chan struct{}) {
 	for {
 		select {
@@ -45,14 +46,14 @@
 				r.log.Warn(telemetry.MsgConfigurationInvalid, telemetry.Err(err))
 			}
 		case <-r.retryTimer:
-			_ = r.reload() // the first error was logged
+			_ = r.reload() // run has logged the error of the first try
 		case <-stopped:
 			return
 		}
 	}
 }
 
-// reload passes a new configuration to the agent, or schedules a retry.
+// reload loads the configuration and applies it to the agent, or schedules a retry.
 func (r *reloader) reload() error {
 	r.retryTimer = nil
 	c, err := config.Load(r.path)
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -9,8 +9,8 @@
 	"ashshunt/internal/telemetry"
 )
 
-// perform carries out one action of the decision module. The module returns no HealthCheck, Unsubscribe, PollEndpoints,
-// CloseIdle or LogMessage at present, and no Gossip, which the agent does not carry out.
+// perform executes one action of the decision module. A balancer.Balancer returns no HealthCheck, Unsubscribe,
+// PollEndpoints, CloseIdle, LogMessage or Gossip. The agent does not support Gossip.
 func (l *eventLoop) perform(ctx context.Context, now time.Duration, action balancer.Action) {
 	switch action := action.(type) {
 	case balancer.Send:
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent wires the parts of the agent together: the frontend, the event loop around the decision module, the
-// upstream client and discovery.
+// Package agent assembles the agent from the frontend, the event loop that runs the decision module, the upstream
+// client and the discovery client.
 package agent
 
 import (
@@ -17,25 +17,25 @@
 )
 
 const (
-	// acceptDuration is how long a shutdown still accepts new connections: clients learn of it late, and connections that
-	// wait in the queue of a closed listener are lost.
+	// acceptDuration is how long the agent accepts new connections after a shutdown has started. Clients are notified
+	// of the shutdown with a delay, and closing the listener drops the connections in its accept queue.
 	acceptDuration = 500 * time.Millisecond
-	// finalWriteTimeout is the time for the last responses of a shutdown to be written and read.
+	// finalWriteTimeout is the time that a shutdown allows for writing its last responses and for clients to read them.
 	finalWriteTimeout = 150 * time.Millisecond
-	// listenRetryTimeout is how long a start retries to listen on its address.
+	// listenRetryTimeout is how long New retries to listen on its address.
 	listenRetryTimeout = 5 * time.Second
 )
 
-// Agent is one agent: the frontend, and the event loop that answers its requests.
+// Agent is an agent: a frontend, and the event loop that answers the frontend's requests.
 type Agent struct {
 	loop     *eventLoop
 	frontend *frontend.Server
 	log      *slog.Logger
 
-	acceptDuration time.Duration // the constant, unless a test has changed it
+	acceptDuration time.Duration // tests may change it before Run
 }
 
-// New returns an agent that listens; it serves once Run is called.
+// New returns an agent that listens on its address. It accepts no connections until Run is called.
 func New(c *config.Config, log *slog.Logger) (*Agent, error) {
 	agentClock := clock.New()
 	loop, err := newEventLoop(c, agentClock, log)
@@ -50,7 +50,7 @@
 	return &Agent{loop: loop, frontend: server, log: log, acceptDuration: acceptDuration}, nil
 }
 
-// listen opens the listener. It retries after failures that may be temporary.
+// listen opens the listener. It retries transient failures.
 func listen(addr string, log *slog.Logger) (net.Listener, error) {
 	policy := retry.Policy{
 		MaxElapsedTime: listenRetryTimeout,
@@ -60,57 +60,59 @@
 	return retry.Do(policy, func() (net.Listener, error) { return net.Listen("tcp", addr) })
 }
 
-// Addr is the address that the agent listens on.
+// Addr returns the address that the agent listens on.
 func (a *Agent) Addr() net.Addr { return a.frontend.Addr() }
 
-// Reload applies the part of a new configuration that may change while the agent runs: the address of discovery. All
-// else takes effect at the next start.
+// Reload applies the one setting of a new configuration that may change while the agent runs: the address of discovery.
+// All other settings take effect at the next start.
 func (a *Agent) Reload(c *config.Config) {
 	a.log.Info(telemetry.MsgConfigurationReloaded, telemetry.Discovery(c.Discovery))
 	a.loop.post(discoveryAddressChanged{addr: c.Discovery})
 }
 
-// Run serves until stop ends, then shuts down gracefully: it answers what was accepted before it returns.
+// Run serves requests until stopCtx is done, then shuts down gracefully: it answers the accepted requests before it
+// returns.
 func (a *Agent) Run(stopCtx context.Context) error {
-	ctx, cancel := context.WithCancel(context.WithoutCancel(stopCtx)) // requests outlast the signal to stop
+	ctx, cancel := context.WithCancel(context.WithoutCancel(stopCtx)) // open requests continue after stopCtx is done
 	defer cancel()
-	go a.loop.run(ctx) // ends with ctx
+	go a.loop.run(ctx) // returns when ctx is done
 	served := make(chan error, 1)
-	go func() { served <- a.frontend.Serve() }() // ends when the listener closes
+	go func() { served <- a.frontend.Serve() }() // returns when the listener is closed
 	select {
 	case err := <-served:
-		return fmt.Errorf("serving: %w", err)
+		return fmt.Errorf("serving client connections: %w", err)
 	case <-stopCtx.Done():
 		return a.shutDownGracefully(ctx, served)
 	}
 }
 
-// shutDownGracefully answers the requests that were accepted, and those that are still accepted for a while. The order of its
-// steps matters: connections are closed between requests only, and while their clients can still open new ones.
+// shutDownGracefully answers the open requests, and those that arrive while the agent still accepts connections. The
+// order of the steps matters: a connection is closed only between two requests, and while its client can still open a
+// new one.
 func (a *Agent) shutDownGracefully(ctx context.Context, served <-chan error) error {
 	a.log.Info(telemetry.MsgShuttingDown)
 	a.frontend.StartShutdown()
 	a.loop.post(shutdownStarted{})
-	// Now, while the listener is open: a client whose request crosses the close can send it on a new connection.
+	// The listener must still be open here: a client whose request crosses the close can resend it on a new connection.
 	a.frontend.CloseUsedIdle()
 	select {
 	case err := <-served:
-		return fmt.Errorf("serving: %w", err)
+		return fmt.Errorf("serving client connections during the shutdown: %w", err)
 	case <-time.After(a.acceptDuration):
 	}
 	a.frontend.StopAccepting()
-	// Not http.Server.Shutdown: it treats a connection as idle until it has read a complete head, and would close it
-	// under the request.
+	// http.Server.Shutdown is not usable here: it treats a connection as idle until the complete head of a request is
+	// read, and would close the connection during the request.
 	a.frontend.CloseAllIdle()
 	a.waitForDisconnects(ctx, shutdownTimeout(a.loop.settings)-a.acceptDuration)
 	a.frontend.RejectIncomplete()
 	a.waitForDisconnects(ctx, finalWriteTimeout)
 	a.log.Info(telemetry.MsgStopped)
-	_ = a.frontend.Close() // nothing is left to be answered, so that an error changes nothing
+	_ = a.frontend.Close() // all requests are answered, so that an error can be ignored
 	return nil
 }
 
-// waitForDisconnects waits until no client is connected any more, or a timeout has passed.
+// waitForDisconnects blocks until no client connection is open, or until the timeout.
 func (a *Agent) waitForDisconnects(ctx context.Context, timeout time.Duration) {
 	waitCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -11,8 +11,8 @@
 	"ashshunt/internal/upstream"
 )
 
-// startAttempt starts an attempt. Every Send takes the request's next attempt number and gets exactly one outcome,
-// also where nothing may be sent.
+// startAttempt executes a Send. Each Send gets the request's next attempt number and exactly one outcome. The outcome
+// is NotSent if the request is finished, has used up its attempts or has no time left.
 func (l *eventLoop) startAttempt(ctx context.Context, now time.Duration, action balancer.Send) {
 	r := l.requests.find(action.Request)
 	if r == nil {
@@ -31,14 +31,14 @@
 		l.handleOutcome(r, outcome, nil)
 		return
 	}
-	go l.runAttempt(attemptCtx, r, outcome, now, l.attemptBounds(deadline, action.NotAfter)) // ends by the deadline
+	go l.runAttempt(attemptCtx, r, outcome, now, l.attemptBounds(deadline, action.NotAfter)) // returns by the deadline
 }
 
-// maxAttempts is the number of attempts that a request may have.
+// maxAttempts returns the maximum number of attempts of a request. It is at least 1.
 func (l *eventLoop) maxAttempts() int { return max(1, l.settings.MaxAttempts) }
 
-// attemptDeadline is when an attempt that starts now has to end, on the agent's clock: the end of the request's
-// attempts, unless a shutdown or timeout, the decision module's own bound, ends it earlier. A timeout of 0 sets none.
+// attemptDeadline returns the deadline, on the agent's clock, of an attempt that starts at now: r.attemptsUntil, or
+// earlier because of a shutdown or of timeout, the limit that the decision module sets. A timeout of 0 means no limit.
 func (l *eventLoop) attemptDeadline(now time.Duration, r *openRequest, timeout time.Duration) time.Duration {
 	deadline := r.attemptsUntil
 	if l.isShuttingDown() {
@@ -50,7 +50,7 @@
 	return deadline
 }
 
-// attemptBounds translates times on the agent's clock for the upstream client. A notAfter of 0 means none.
+// attemptBounds converts times on the agent's clock to the bounds of an attempt. A notAfter of 0 means no limit.
 func (l *eventLoop) attemptBounds(deadline, notAfter time.Duration) upstream.Bounds {
 	bounds := upstream.Bounds{Deadline: l.clock.ToTime(deadline)}
 	if notAfter > 0 {
@@ -59,8 +59,8 @@
 	return bounds
 }
 
-// runAttempt makes an attempt that starts at a time on the agent's clock, and posts its outcome. It runs on a goroutine
-// of its own, and reads nothing of the request that changes.
+// runAttempt executes an attempt and posts its outcome. startedAt is the start of the attempt on the agent's clock.
+// runAttempt runs on its own goroutine and reads only the immutable fields of the request.
 func (l *eventLoop) runAttempt(ctx context.Context, r *openRequest, outcome balancer.Outcome, startedAt time.Duration,
 	bounds upstream.Bounds) {
 	result, response := l.upstream.Attempt(ctx, r.upstream, outcome.Endpoint, bounds)
@@ -70,15 +70,15 @@
 	l.post(attemptFinished{request: r, outcome: outcome, response: response})
 }
 
-// cancelAttempt cancels an attempt for the decision module. Its outcome follows.
+// cancelAttempt executes a Cancel. The attempt's outcome follows as a message.
 func (l *eventLoop) cancelAttempt(action balancer.Cancel) {
 	if r := l.requests.find(action.Request); r != nil {
 		r.cancelAttempt(action.Attempt)
 	}
 }
 
-// handleOutcome notes the outcome of an attempt and passes it to the decision module. The first response that was
-// served goes to the client at once, without a decision.
+// handleOutcome records the outcome of an attempt and queues it for the decision module. The body of the first served
+// attempt is sent to the client at once, without a step of the module.
 func (l *eventLoop) handleOutcome(r *openRequest, outcome balancer.Outcome, body []byte) {
 	r.finishAttempt(outcome.Attempt, l.settings.MayHaveRun(outcome.Result))
 	if outcome.Result == balancer.Served && !r.isFinished() {
@@ -89,10 +89,10 @@
 	l.addEvent(outcome)
 }
 
-// startHealthCheck checks an endpoint outside any request.
+// startHealthCheck starts a health check of an endpoint. Its result is posted as an event for the decision module.
 func (l *eventLoop) startHealthCheck(ctx context.Context, endpointID string) {
 	startedAt := l.clock.Now()
-	go func() { // ends with the health check, which has a timeout of its own
+	go func() { // returns with the health check, which has its own timeout
 		result, response := l.upstream.HealthCheck(ctx, endpointID)
 		l.post(moduleEvent{balancer.HealthCheckResult{
 			Endpoint:   endpointID,
--- a/internal/agent/deadlineguard.go
+++ b/internal/agent/deadlineguard.go
@@ -10,41 +10,42 @@
 )
 
 const (
-	// attemptMargin is how long before a request's deadline its attempts end. The decision module gets a deadline that
-	// is earlier by it, so that its final answer is written in time.
+	// attemptMargin is the time between the end of a request's attempts and the client's deadline. The decision module
+	// gets a deadline that is earlier by attemptMargin, so that its final answer is written in time.
 	attemptMargin = 20 * time.Millisecond
-	// minAttemptMargin is how long before the deadline attempts end at the latest, where a late step has used up a part
-	// of attemptMargin. Their outcomes come before the deadline guard fires.
+	// minAttemptMargin is the minimum time between the end of a request's attempts and the client's deadline when a
+	// delayed step has used up part of attemptMargin. The outcomes then still arrive before the deadline guard fires.
 	minAttemptMargin = 2 * guardMargin
-	// guardMargin is how long before the deadline the deadline guard answers, so that the last byte is written in time.
+	// guardMargin is the time between the firing of the deadline guard and the client's deadline. It is the time for
+	// writing the response.
 	guardMargin = 5 * time.Millisecond
 )
 
-// prepareRequest returns the event of a request with the timeout that the decision module gets, and sets the end of the
-// request's attempts.
+// prepareRequest returns the event of a request with the timeout for the decision module, and sets the request's
+// attemptsUntil.
 func (l *eventLoop) prepareRequest(now time.Duration, event balancer.Request) balancer.Request {
 	r := l.requests.find(event.ID)
 	if r == nil {
 		return event
 	}
 	event.Timeout = l.moduleTimeout(now, r.inbound)
-	// An attempt that times out with the request must not do so before the module's deadline for that: the module
-	// would wait for a retry that can't come, until the deadline guard answers.
+	// Attempts must not time out before the module's deadline for the request. Otherwise the module would schedule a
+	// retry for which no time is left, and the request would stay open until the deadline guard fires.
 	r.attemptsUntil = min(now+event.Timeout, r.inbound.Deadline-minAttemptMargin)
 	return event
 }
 
-// moduleTimeout is the timeout that the decision module gets for a request in a step at now. It is not positive if the
-// client gave attemptMargin or less.
+// moduleTimeout returns the timeout that the decision module gets for a request in a step at now. The result is 0 or
+// negative if the client's timeout is at most attemptMargin.
 func (l *eventLoop) moduleTimeout(now time.Duration, inbound *frontend.Request) time.Duration {
-	// A step comes within a tick of an arrival. A longer delay is this machine's, and the module would treat a client
-	// with a shorter timeout as one that retries.
+	// A step takes place within a tick of the arrival unless this machine is overloaded. A longer delay must not reduce
+	// the timeout: the module treats a request as a client's retry if its timeout differs from its class's usual one.
 	stepDelay := min(now-inbound.Arrived, l.tick)
 	return inbound.Deadline - attemptMargin - inbound.Arrived - stepDelay
 }
 
-// setDeadlineGuard sets or moves the deadline guard of a request: the timer that answers it if the decision module has
-// not done so in time.
+// setDeadlineGuard sets or resets the deadline guard of a request: the timer that answers the request shortly before
+// its deadline if the decision module has not answered it.
 func (l *eventLoop) setDeadlineGuard(r *openRequest) {
 	if r.isFinished() {
 		return
@@ -58,7 +59,8 @@
 	l.timers.add(r.deadlineGuard)
 }
 
-// removeDeadlineGuard removes the timer, which would otherwise hold the request and its body until the deadline.
+// removeDeadlineGuard removes the deadline guard of a request. Otherwise the timer would keep the request and its body
+// in memory until the deadline.
 func (l *eventLoop) removeDeadlineGuard(r *openRequest) {
 	if r.deadlineGuard != nil {
 		l.timers.remove(r.deadlineGuard)
@@ -66,10 +68,12 @@
 	}
 }
 
-// handleDeadlineGuard answers a request whose deadline guard has fired, cancels its attempts, and tells the decision module. The
-// lack of an answer is expected in a shutdown, and for a client that gave attemptMargin or less; otherwise it is an
-// internal error. If it is expected, a request without an attempt (one that was never sent counts too) is rejected, so
-// that its client may come again. All others fail.
+// handleDeadlineGuard answers a request whose deadline guard has fired, cancels its attempts and queues an Abandoned
+// event for the decision module.
+//
+// Firing is expected during a shutdown, and for a client timeout of at most attemptMargin. Otherwise it is an internal
+// error. If it is expected and the request has had no attempts, not even one that was never sent, the request is
+// rejected, so that the client may retry it. All other requests fail.
 func (l *eventLoop) handleDeadlineGuard(r *openRequest) {
 	if r.isFinished() {
 		return
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -18,28 +18,26 @@
 )
 
 const (
-	// maxQueuedMessages is how many messages may wait for the event loop. Beyond it, senders block until the loop has taken
-	// one.
+	// maxQueuedMessages is the capacity of the event loop's message queue. Senders block while it is full.
 	maxQueuedMessages = 1024
-	// maxTick bounds the gap between two steps. Longer ones make sense in a simulation only, since requests wait for
-	// them.
+	// maxTick is the maximum tick. Requests wait for the next step, so that only simulations use longer ticks.
 	maxTick = 10 * time.Millisecond
-	// maxSleep is the longest that the event loop sleeps when nothing is due.
+	// maxSleep is the maximum time that the event loop sleeps without a message or a due timer.
 	maxSleep = time.Minute
 )
 
-// decisionModule turns events into actions. In service it is a *balancer.Balancer.
+// decisionModule converts events to actions. It is a *balancer.Balancer, except in tests.
 type decisionModule interface {
 	Step(now time.Duration, events []balancer.Event) []balancer.Action
 }
 
-// eventLoop is the one goroutine that owns the decision module, the request table and the timers. What happens
-// elsewhere reaches it as messages. It never waits for I/O.
+// eventLoop owns the decision module, the request table and the timers, and runs them on a single goroutine. Other
+// goroutines communicate with it by messages. It never blocks on I/O.
 type eventLoop struct {
-	// Not changed once run is called, and safe for concurrent use.
+	// These fields are immutable after the call of run and safe for concurrent use.
 	clock     clock.Clock
-	settings  balancer.Settings // MaxOpen is the limit of the settings alone
-	tick      time.Duration     // the least time between two steps
+	settings  balancer.Settings // as configured: MaxOpen does not include the limit by descriptors
+	tick      time.Duration     // minimum time between two steps
 	log       *slog.Logger
 	endpoints *endpoint.Table
 	upstream  *upstream.Client
@@ -48,18 +46,18 @@
 	done      chan struct{} // closed when run returns
 	ready     chan struct{} // closed after the first step
 
-	// Used by run's goroutine alone.
+	// These fields are used by run's goroutine only. Times are on the agent's clock.
 	module           decisionModule
-	lastStepAt       time.Duration    // when the module was last stepped, on the agent's clock
-	pending          []balancer.Event // for the next step
+	lastStepAt       time.Duration
+	pending          []balancer.Event // events for the next step
 	timers           timerQueue
 	requests         requestTable
-	shutdownDeadline time.Duration // all requests are answered by then, on the agent's clock; 0: not shutting down
+	shutdownDeadline time.Duration // all requests are answered by this time; 0: not shutting down
 }
 
 func newEventLoop(c *config.Config, agentClock clock.Clock, log *slog.Logger) (*eventLoop, error) {
-	// The module sheds queued requests before either limit is reached, that of the settings or what the descriptors
-	// allow. The loop itself rejects by the limit of the settings alone.
+	// The module sheds queued requests before the number of open requests reaches the limit of the settings or the
+	// limit by descriptors, whichever is lower. The loop itself enforces only the limit of the settings.
 	moduleSettings := c.Settings
 	moduleSettings.MaxOpen = c.OpenRequests()
 	moduleSettings.SubscribeSpread = discovery.SubscribeSpread
@@ -80,7 +78,7 @@
 		messages:   make(chan message, maxQueuedMessages),
 		done:       make(chan struct{}),
 		ready:      make(chan struct{}),
-		lastStepAt: agentClock.Now() - maxTick, // the first step is due at once
+		lastStepAt: agentClock.Now() - maxTick, // makes the first step due immediately
 		requests:   newRequestTable(),
 	}
 	l.discovery = discovery.New(l.discoveryOptions(c))
@@ -121,7 +119,7 @@
 	}
 }
 
-// run steps the module until ctx ends.
+// run handles messages and timers and steps the module until ctx is done.
 func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.done)
 	l.discovery.Start(ctx)
@@ -146,10 +144,11 @@
 	}
 }
 
-// nextStepAt is when the module may be stepped again. Steps come a tick apart, and one step takes all events between.
+// nextStepAt returns the earliest time of the next step. Steps are at least a tick apart. A step handles all events
+// queued since the previous one.
 func (l *eventLoop) nextStepAt() time.Duration { return l.lastStepAt + l.tick }
 
-// nextWakeAt is when the loop has something to do, unless a message comes first.
+// nextWakeAt returns the time until which the loop may sleep if no message arrives.
 func (l *eventLoop) nextWakeAt(now time.Duration) time.Duration {
 	next := now + maxSleep
 	if len(l.pending) > 0 {
@@ -161,7 +160,7 @@
 	return next
 }
 
-// handleQueuedMessages applies the messages that have come already, so that they share one step.
+// handleQueuedMessages handles the messages that are in the queue, so that one step covers their events.
 func (l *eventLoop) handleQueuedMessages(ctx context.Context) {
 	for {
 		select {
@@ -173,7 +172,7 @@
 	}
 }
 
-// step steps the module once and carries out its actions.
+// step steps the module once and executes its actions.
 func (l *eventLoop) step(ctx context.Context, now time.Duration) {
 	events := l.pending
 	l.pending = nil
@@ -185,7 +184,7 @@
 	l.closeReady()
 }
 
-// prepareRequests prepares the requests among the events of a step, in place.
+// prepareRequests replaces each request among the events of a step by the result of prepareRequest.
 func (l *eventLoop) prepareRequests(now time.Duration, events []balancer.Event) {
 	for i, event := range events {
 		if request, ok := event.(balancer.Request); ok {
@@ -194,7 +193,7 @@
 	}
 }
 
-// closeReady closes ready, once.
+// closeReady closes ready if it is not closed.
 func (l *eventLoop) closeReady() {
 	select {
 	case <-l.ready:
@@ -203,8 +202,8 @@
 	}
 }
 
-// stepModule steps the module. A panic there loses the actions of one step; the deadline guards answer the requests
-// that it leaves open.
+// stepModule steps the module. It recovers from a panic of the module: the actions of that step are lost, and the
+// deadline guards answer the requests that stay open because of it.
 func (l *eventLoop) stepModule(now time.Duration, events []balancer.Event) (actions []balancer.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -215,5 +214,5 @@
 	return l.module.Step(now, events)
 }
 
-// addEvent notes an event for the next step.
+// addEvent queues an event for the next step.
 func (l *eventLoop) addEvent(event balancer.Event) { l.pending = append(l.pending, event) }
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -8,27 +8,27 @@
 	"ashshunt/internal/upstream"
 )
 
-// message tells the event loop what happened on another goroutine. The loop applies it on its own.
+// message is a message to the event loop from another goroutine. The loop calls handle on its own goroutine.
 type message interface {
 	handle(ctx context.Context, l *eventLoop)
 }
 
 type (
-	// requestSubmitted: a client's request has come.
+	// requestSubmitted reports a client's request.
 	requestSubmitted struct{ request *frontend.Request }
-	// requestAbandoned: the client of a request has disconnected.
+	// requestAbandoned reports that the client of a request has disconnected.
 	requestAbandoned struct{ request *frontend.Request }
-	// attemptFinished: an attempt has ended.
+	// attemptFinished reports the outcome of an attempt, and the response if there was one.
 	attemptFinished struct {
 		request  *openRequest
 		outcome  balancer.Outcome
 		response upstream.Response
 	}
-	// moduleEvent: something happened that concerns the decision module alone.
+	// moduleEvent carries an event for the decision module that the event loop itself does not handle.
 	moduleEvent struct{ event balancer.Event }
-	// shutdownStarted: the agent is to end, and what is open is to be answered soon.
+	// shutdownStarted reports that the agent shuts down.
 	shutdownStarted struct{}
-	// discoveryAddressChanged: a new configuration names another address of discovery.
+	// discoveryAddressChanged carries the address of discovery of a reloaded configuration.
 	discoveryAddressChanged struct{ addr string }
 )
 
@@ -48,7 +48,7 @@
 	l.discovery.SetAddress(ctx, m.addr)
 }
 
-// post sends a message to the event loop, which drops it if it has ended.
+// post sends a message to the event loop. After the end of the loop the message is dropped.
 func (l *eventLoop) post(m message) {
 	select {
 	case l.messages <- m:
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -8,36 +8,37 @@
 	"ashshunt/internal/upstream"
 )
 
-// requestPhase is where a request is in its life. The phases follow one another; a request passes through either
-// phaseAnswered or phaseAbandoned. requestTable alone changes the phase, on the event loop's goroutine.
+// requestPhase is the state of a request. The phases are in temporal order; a request has either phaseAnswered or
+// phaseAbandoned. Only requestTable changes the phase, on the event loop's goroutine.
 type requestPhase uint8
 
 const (
-	// phaseOpen: the request still waits for its answer. Its deadline guard is set.
+	// phaseOpen means that the request has no answer. Its deadline guard is set.
 	phaseOpen requestPhase = iota
-	// phaseAnswered: the request has got its only response. Nothing more goes out for it, but attempts that were sent
-	// run on, so that their outcome is known.
+	// phaseAnswered means that the request's only response is sent to its client. No further attempt is sent, but
+	// attempts in flight continue, so that the decision module gets their outcomes.
 	phaseAnswered
-	// phaseAbandoned: as phaseAnswered, but without a response, since the client has disconnected.
+	// phaseAbandoned is like phaseAnswered but without a response, since the client has disconnected.
 	phaseAbandoned
-	// phaseRemoved: the request is over and no attempt is in flight. It is not in the table, and its ID is free.
+	// phaseRemoved means that the request is finished and has no attempt in flight. It is not in the table, and its ID
+	// may be used again.
 	phaseRemoved
 )
 
-// openRequest is a request that was submitted, with its attempts.
+// openRequest is a submitted request with the state of its attempts. It is in the requestTable until phaseRemoved.
 type openRequest struct {
-	// Set once; the goroutines of attempts read upstream too.
-	inbound        *frontend.Request  // as the client sent it
-	upstream       *upstream.Request  // as the attempts send it
-	cancelLifetime context.CancelFunc // ends upstream.Lifetime, which tells attempts that the request is over
+	// These fields are immutable. The goroutines of attempts read upstream.
+	inbound        *frontend.Request  // the request as the client sent it
+	upstream       *upstream.Request  // the request as attempts send it
+	cancelLifetime context.CancelFunc // cancels upstream.Lifetime when the request is finished
 
-	// Used by the event loop's goroutine alone.
+	// These fields are used by the event loop's goroutine only.
 	phase              requestPhase
-	deadlineGuard      *timer               // nil once the request is over
-	attemptsUntil      time.Duration        // on the agent's clock: attempts end then; 0 until the module gets the request
-	attemptCancels     []context.CancelFunc // by attempt number; nil once the attempt has ended
-	inFlight           int                  // attempts that have not ended
-	finishedMayHaveRun bool                 // by the outcomes of the attempts that have ended
+	deadlineGuard      *timer               // nil if the request is finished
+	attemptsUntil      time.Duration        // deadline of all attempts, on the agent's clock; 0 before the first step
+	attemptCancels     []context.CancelFunc // by attempt number; nil for a finished attempt
+	inFlight           int                  // number of unfinished attempts
+	finishedMayHaveRun bool                 // a finished attempt may have run, according to its result
 }
 
 func newOpenRequest(inbound *frontend.Request) *openRequest {
@@ -60,23 +61,23 @@
 
 func (r *openRequest) id() string { return r.inbound.Event.ID }
 
-// isFinished reports whether the request was answered or abandoned.
+// isFinished reports whether the request is answered or abandoned. Attempts may still be in flight.
 func (r *openRequest) isFinished() bool { return r.phase != phaseOpen }
 
-// attemptCount is how many attemptCount the request has had, including those that were never sent.
+// attemptCount returns the number of attempts so far, including those that were never sent.
 func (r *openRequest) attemptCount() int { return len(r.attemptCancels) }
 
-// mayHaveRun reports whether some attempt may have run, or may still.
+// mayHaveRun reports whether an attempt may have run at an endpoint or is in flight.
 func (r *openRequest) mayHaveRun() bool { return r.finishedMayHaveRun || r.inFlight > 0 }
 
-// addAttempt notes an attempt and returns its number.
+// addAttempt adds an attempt in flight and returns its number.
 func (r *openRequest) addAttempt(cancel context.CancelFunc) (number int) {
 	r.attemptCancels = append(r.attemptCancels, cancel)
 	r.inFlight++
 	return len(r.attemptCancels) - 1
 }
 
-// finishAttempt notes the end of an attempt.
+// finishAttempt records the end of an attempt.
 func (r *openRequest) finishAttempt(number int, mayHaveRun bool) {
 	r.cancelAttempt(number)
 	r.attemptCancels[number] = nil
@@ -84,8 +85,8 @@
 	r.finishedMayHaveRun = r.finishedMayHaveRun || mayHaveRun
 }
 
-// cancelAttempt cancels an attempt if it is in flight. It ignores a number that no attempt has, which can only come
-// from the decision module.
+// cancelAttempt cancels an attempt if it is in flight. It ignores invalid numbers, which only an error of the decision
+// module can cause.
 func (r *openRequest) cancelAttempt(number int) {
 	if number < 0 || number >= len(r.attemptCancels) {
 		return
@@ -102,18 +103,18 @@
 	}
 }
 
-// requestTable holds each request from its submission until it is over and no attempt for it is in flight.
+// requestTable holds each request from its submission until it is finished and has no attempt in flight.
 type requestTable struct {
 	byID      map[string]*openRequest
-	openCount int // the number of requests in phaseOpen
+	openCount int // number of requests in phaseOpen
 }
 
 func newRequestTable() requestTable { return requestTable{byID: map[string]*openRequest{}} }
 
-// find returns the request with an ID; nil if there is none.
+// find returns the request with an ID, or nil.
 func (t *requestTable) find(id string) *openRequest { return t.byID[id] }
 
-// findOpen returns the request with an ID if it is in phaseOpen; nil otherwise.
+// findOpen returns the request with an ID if it is in phaseOpen, or nil.
 func (t *requestTable) findOpen(id string) *openRequest {
 	if r := t.byID[id]; r != nil && !r.isFinished() {
 		return r
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// add adds a request, in phaseOpen. No request in the table has its ID.
+// add adds a request in phaseOpen. The table must not contain another request with its ID.
 func (t *requestTable) add(r *openRequest) {
 	t.byID[r.id()] = r
 	t.openCount++
@@ -143,7 +144,7 @@
 	t.removeIfComplete(r)
 }
 
-// removeIfComplete moves a request to phaseRemoved if it is over and has no attempt in flight.
+// removeIfComplete removes a request from the table if it is finished and has no attempt in flight.
 func (t *requestTable) removeIfComplete(r *openRequest) {
 	if !r.isFinished() || r.inFlight > 0 || r.phase == phaseRemoved {
 		return
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -8,8 +8,8 @@
 	"ashshunt/internal/telemetry"
 )
 
-// handleSubmitted opens a client's request, or rejects it at once. A request that is rejected here is never in the table, so
-// that its client's disconnect is not treated as that of the open request with the same ID.
+// handleSubmitted adds a client's request to the table, or rejects it at once. A request that is rejected here is never
+// in the table, so that a disconnect of its client does not abandon the open request with the same ID.
 func (l *eventLoop) handleSubmitted(inbound *frontend.Request) {
 	if l.requests.find(inbound.Event.ID) != nil {
 		inbound.Respond(frontend.Response{Status: http.StatusBadRequest, Body: []byte("this id is open already\n")})
@@ -25,13 +25,14 @@
 	l.addEvent(inbound.Event)
 }
 
-// isAtRequestLimit reports whether the settings allow no further request. The limit that the descriptors set binds
-// the decision module alone (see newEventLoop).
+// isAtRequestLimit reports whether the number of open requests has reached the limit of the settings. The limit by
+// descriptors is enforced by the decision module only (see newEventLoop).
 func (l *eventLoop) isAtRequestLimit() bool {
 	return l.settings.MaxOpen > 0 && l.requests.openCount >= l.settings.MaxOpen
 }
 
-// handleAbandoned ends a request whose client has disconnected, unless it was rejected or is over already.
+// handleAbandoned abandons a request whose client has disconnected. It ignores requests that handleSubmitted has
+// rejected and finished requests.
 func (l *eventLoop) handleAbandoned(inbound *frontend.Request) {
 	r := l.requests.findOpen(inbound.Event.ID)
 	if r == nil || r.inbound != inbound {
@@ -42,14 +43,14 @@
 	l.addEvent(balancer.Abandoned{Request: r.id()})
 }
 
-// answer ends a request with its only response.
+// answer sends the only response of a request and finishes the request.
 func (l *eventLoop) answer(r *openRequest, response frontend.Response) {
 	l.removeDeadlineGuard(r)
 	l.requests.answer(r, response)
 }
 
-// reject rejects a request for the decision module, unless the request is over. A rejection invites the client to
-// repeat the request, so that one that may run and must not be repeated is failed.
+// reject executes a Reject. It ignores finished requests. Clients may retry rejected requests, so that a request that
+// may have run and must not run twice is failed instead.
 func (l *eventLoop) reject(action balancer.Reject) {
 	r := l.requests.findOpen(action.Request)
 	if r == nil {
@@ -63,8 +64,7 @@
 	l.answer(r, frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: action.RetryAfter})
 }
 
-// isRepeatableAnywhere reports whether a class's requests have no further effect when they are repeated, whichever
-// endpoint gets the repeat.
+// isRepeatableAnywhere reports whether requests of a class can be repeated without further effect at any endpoint.
 func isRepeatableAnywhere(class balancer.Class) bool {
 	switch class.Idempotency {
 	case balancer.Idempotent:
@@ -76,7 +76,7 @@
 	return false
 }
 
-// fail fails a request for the decision module, unless the request is over.
+// fail executes a Fail. It ignores finished requests.
 func (l *eventLoop) fail(action balancer.Fail) {
 	if r := l.requests.findOpen(action.Request); r != nil {
 		l.answer(r, frontend.Response{Status: http.StatusBadGateway})
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// maxClassDeadline bounds how long a shutdown waits for the longest deadline of a class.
+	// maxClassDeadline is the maximum part of the longest class deadline that a shutdown waits for.
 	maxClassDeadline = 3 * time.Second
-	// killDelay is how long after that wait the process may be killed.
+	// killDelay is the time after that wait at which the process may be killed.
 	killDelay = 700 * time.Millisecond
-	// shutdownMargin is how long before the kill all requests are answered.
+	// shutdownMargin is the time between the answers to the last open requests and the earliest kill.
 	shutdownMargin = 300 * time.Millisecond
 )
 
-// shutdownTimeout is how long after the signal to stop all open requests are answered.
+// shutdownTimeout returns the time after the start of a shutdown within which all open requests are answered.
 func shutdownTimeout(settings balancer.Settings) time.Duration {
 	longestDeadline := time.Duration(0)
 	for _, class := range settings.Classes {
@@ -24,7 +24,7 @@
 	return min(longestDeadline, maxClassDeadline) + killDelay - shutdownMargin
 }
 
-// handleShutdownStarted has every open request answered within the shutdown's time.
+// handleShutdownStarted sets the shutdown deadline and resets the deadline guards of all open requests to it.
 func (l *eventLoop) handleShutdownStarted() {
 	l.shutdownDeadline = l.clock.Now() + shutdownTimeout(l.settings)
 	for _, r := range l.requests.byID {
@@ -34,7 +34,7 @@
 
 func (l *eventLoop) isShuttingDown() bool { return l.shutdownDeadline > 0 }
 
-// isPastShutdownDeadline reports whether all requests have to be answered by now: one that comes now is rejected.
+// isPastShutdownDeadline reports whether the shutdown deadline has passed. New requests are then rejected.
 func (l *eventLoop) isPastShutdownDeadline() bool {
 	return l.isShuttingDown() && l.clock.Now() >= l.shutdownDeadline
 }
--- a/internal/agent/timers.go
+++ b/internal/agent/timers.go
@@ -7,20 +7,20 @@
 	"ashshunt/balancer"
 )
 
-// notQueued is the index of a timer that is in no queue.
+// notQueued is the index of a timer that is not in a queue.
 const notQueued = -1
 
-// timer is a timer of the decision module, or the deadline guard of a request.
+// timer is either a timer that the decision module has set, or the deadline guard of a request.
 type timer struct {
 	dueAt   time.Duration // on the agent's clock
-	token   int64         // the module's; unused in a deadline guard
-	request *openRequest  // of a deadline guard; nil in a timer of the module
+	token   int64         // token of a SetTimer; unused in a deadline guard
+	request *openRequest  // request of a deadline guard; nil in a timer of the module
 
-	sequence int // orders timers that are due at the same time
-	index    int // in the heap, or notQueued
+	sequence int // order of insertion, for timers with equal dueAt
+	index    int // index in the heap, or notQueued
 }
 
-// handleDueTimers handles the timers that are due.
+// handleDueTimers removes and handles the timers that are due.
 func (l *eventLoop) handleDueTimers(now time.Duration) {
 	for t := l.timers.popDue(now); t != nil; t = l.timers.popDue(now) {
 		if t.request != nil {
@@ -31,11 +31,10 @@
 	}
 }
 
-// timerQueue holds timers in the order in which they are due; of those due at the same time, the one added first
-// comes first.
+// timerQueue is a priority queue of timers, ordered by dueAt. Timers with equal dueAt are in the order of insertion.
 type timerQueue struct {
 	heap         timerHeap
-	lastSequence int // that the last timer added has got
+	lastSequence int // sequence of the timer that was added last
 }
 
 func (q *timerQueue) add(t *timer) {
@@ -44,14 +43,14 @@
 	heap.Push(&q.heap, t)
 }
 
-// remove removes a timer, if it is still in the queue.
+// remove removes a timer if it is in the queue.
 func (q *timerQueue) remove(t *timer) {
 	if t.index != notQueued {
 		heap.Remove(&q.heap, t.index)
 	}
 }
 
-// nextAt is when the first timer is due, if there is one.
+// nextAt returns the time at which the first timer is due. ok is false if the queue is empty.
 func (q *timerQueue) nextAt() (at time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -59,7 +58,7 @@
 	return q.heap[0].dueAt, true
 }
 
-// popDue removes and returns the first timer if it is due; nil otherwise.
+// popDue removes and returns the first timer if it is due, or returns nil.
 func (q *timerQueue) popDue(now time.Duration) *timer {
 	if at, ok := q.nextAt(); !ok || at > now {
 		return nil
@@ -87,7 +86,7 @@
 }
 
 func (h *timerHeap) Push(x any) {
-	if t, ok := x.(*timer); ok { // nothing else is pushed
+	if t, ok := x.(*timer); ok { // always true
 		t.index = len(*h)
 		*h = append(*h, t)
 	}
