--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -12,7 +12,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// maxBodyBytes is the most that a body may hold, either way.
+// maxBodyBytes is the maximum size of request and response bodies.
 const maxBodyBytes = 64 << 10
 
 func TestServed(t *testing.T) {
@@ -22,22 +22,23 @@
 	response, body := testutil.Do(t, a.Addr(), "POST", "/hold/a%2Fb?x=%20y", "work", "X-Call-Id", id,
 		"X-Budget-Ms", "7000", "Idempotency-Key", "k1", "X-Caller", "acme")
 	if response.StatusCode != http.StatusOK || body != "did work" {
-		t.Errorf("response %d %q", response.StatusCode, body)
+		t.Errorf("got response %d %q, want 200 \"did work\"", response.StatusCode, body)
 	}
 	forwarded := testutil.Receive(t, server.Received)
 	if forwarded.Method != http.MethodPost || forwarded.RequestURI != "/hold/a%2Fb?x=%20y" ||
 		forwarded.Header.Get("X-Call-Id") != id || forwarded.Header.Get("Idempotency-Key") != "k1" {
-		t.Errorf("the endpoint got %s %s %v", forwarded.Method, forwarded.RequestURI, forwarded.Header)
+		t.Errorf("the endpoint got %s %s %v, want the client's request", forwarded.Method, forwarded.RequestURI,
+			forwarded.Header)
 	}
 	if left := forwarded.Header.Get("X-Budget-Ms"); len(left) != 4 || left > "7000" {
-		t.Errorf("the endpoint got a timeout of %s ms", left)
+		t.Errorf("the endpoint got a timeout of %s ms, want 1000 to 7000", left)
 	}
 	if status := healthStatus(t, a); status != http.StatusOK {
-		t.Errorf("health status %d", status)
+		t.Errorf("got health status %d, want 200", status)
 	}
 }
 
-// healthStatus is what an agent's health endpoint answers.
+// healthStatus returns the status of an agent's health endpoint.
 func healthStatus(t *testing.T, a *Agent) int {
 	t.Helper()
 	response, _ := testutil.Do(t, a.Addr(), "GET", "/healthz", "")
@@ -47,10 +48,10 @@
 func TestLargestBody(t *testing.T) {
 	t.Parallel()
 	a := startAgent(t, newConfig(t, testutil.NewServer(t, testutil.Echo)))
-	body := strings.Repeat("x", maxBodyBytes-len("did ")) // its response just fits as well
+	body := strings.Repeat("x", maxBodyBytes-len("did ")) // makes the body of the response maxBodyBytes long
 	response, _ := testutil.Do(t, a.Addr(), "POST", "/settle", body, "X-Call-Id", id, "X-Budget-Ms", "7000")
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("status %d", response.StatusCode)
+		t.Errorf("got status %d, want 200", response.StatusCode)
 	}
 }
 
@@ -58,36 +59,36 @@
 	t.Parallel()
 	a := startAgent(t, newConfig(t))
 	if status := healthStatus(t, a); status != http.StatusServiceUnavailable {
-		t.Errorf("health status %d with no endpoint known", status)
+		t.Errorf("got health status %d without endpoints, want 503", status)
 	}
 }
 
-// Agents must become ready while discovery is down: one that knows endpoints at its start, one that knows none soon
-// after it, so that the application gets rejections in place of silence.
+// Agents must become ready while discovery is down: with endpoints from the cached list at once, and without endpoints
+// after a short wait. Otherwise the application would get no responses instead of rejections.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	down := testutil.NewServer(t, testutil.Hang).Addr()
 	server := testutil.NewServer(t, testutil.Echo)
-	const fleet = 350 // started together
+	const fleet = 350 // number of agents, all running at the same time
 	for i := range fleet {
 		c := testutil.Config(t, down, testutil.EntryJSON("s0", server.Addr(), "SERVING"))
 		c.Settings.Subscribe, c.Settings.Agents, c.Settings.AgentIndex = i%2 == 0, fleet, i
 		a, _ := startAgentWith(t, c, func(a *Agent) { a.acceptDuration = time.Millisecond })
 		if status := healthStatus(t, a); status != http.StatusOK {
-			t.Fatalf("agent %d: health status %d with endpoints known", i, status)
+			t.Fatalf("agent %d: got health status %d with endpoints known, want 200", i, status)
 		}
 	}
 	a, _ := startAgentWith(t, testutil.Config(t, down), func(a *Agent) { a.frontend.Timeouts.ReadyWithoutEndpoints = 0 })
 	if status := healthStatus(t, a); status != http.StatusOK {
-		t.Errorf("health status %d with no endpoint known after the wait for a list", status)
+		t.Errorf("got health status %d without endpoints after the wait for a list, want 200", status)
 	}
 	if wait := frontend.DefaultTimeouts().ReadyWithoutEndpoints; wait > 8*time.Second {
-		t.Errorf("that wait is %v", wait)
+		t.Errorf("got a default wait for a list of %v, want at most 8s", wait)
 	}
 }
 
-// The size of a fleet is not bounded, and costs no connection or goroutine for endpoints that get no request.
-func TestLargeFleet(t *testing.T) { // alone: it counts the goroutines of the whole process
+// The number of endpoints must not be limited, and endpoints without requests must not cost connections or goroutines.
+func TestLargeFleet(t *testing.T) { // not parallel, since it counts the goroutines of the process
 	server, service := testutil.NewServer(t, testutil.Echo), testutil.NewDiscovery(t)
 	const size = 2000
 	entriesFrom := func(first int) []string {
@@ -105,12 +106,12 @@
 	service.Lines <- `{"version":2,"full":true,"servers":[` + strings.Join(entriesFrom(size), ",") + `]}`
 	testutil.WaitFor(t, "the list", func() bool { return isServing(a, fmt.Sprint("s", 2*size-1)) })
 	if status := requestStatus(t, a, "POST", "/settle", id, "7000"); status != http.StatusOK {
-		t.Errorf("status %d", status)
+		t.Errorf("got status %d, want 200", status)
 	}
 	if n := a.loop.upstream.OpenConnections(); n > 1 {
-		t.Errorf("%d connections for one request", n)
+		t.Errorf("got %d connections for one request, want at most 1", n)
 	}
 	if n := runtime.NumGoroutine() - before; n > size/2 {
-		t.Errorf("%d goroutines for one agent and one request", n)
+		t.Errorf("got %d goroutines for one agent and one request, want at most half the number of endpoints", n)
 	}
 }
--- a/internal/agent/attempts_test.go
+++ b/internal/agent/attempts_test.go
@@ -9,7 +9,8 @@
 	"ashshunt/internal/testutil"
 )
 
-// Each Send takes a number and gets one outcome: a hedged request, a send beyond the limit, a cancelled one.
+// Each Send must get the next attempt number and exactly one outcome: a cancelled attempt, one to an unknown endpoint,
+// one that times out, and one beyond the maximum number of attempts.
 func TestAttempts(t *testing.T) {
 	t.Parallel()
 	silent, unused := testutil.NewServer(t, testutil.Hang), testutil.NewServer(t, testutil.Echo)
@@ -36,23 +37,24 @@
 	}
 	a, _ := startScripted(t, newConfig(t, silent, unused), module)
 	if status := requestStatus(t, a, "GET", "/look", id, "9000"); status != http.StatusBadGateway {
-		t.Errorf("status %d", status)
+		t.Errorf("got status %d, want 502", status)
 	}
 	want := []balancer.Result{balancer.Cancelled, balancer.ConnectFailed, balancer.TimedOut, balancer.NotSent}
 	seen := map[int]bool{}
 	for range want {
 		outcome := testutil.Receive(t, outcomes)
 		if outcome.Result != want[outcome.Attempt] || outcome.Done || seen[outcome.Attempt] {
-			t.Errorf("attempt %d: result %d, done %v", outcome.Attempt, outcome.Result, outcome.Done)
+			t.Errorf("attempt %d: got result %d, done %v; want one outcome per attempt with the listed result, not done",
+				outcome.Attempt, outcome.Result, outcome.Done)
 		}
 		seen[outcome.Attempt] = true
 	}
 	if len(outcomes) != 0 || len(unused.Received) != 0 {
-		t.Errorf("%d outcomes too many; %d sends beyond the limit", len(outcomes), len(unused.Received))
+		t.Errorf("got %d extra outcomes and %d attempts beyond the limit, want 0", len(outcomes), len(unused.Received))
 	}
 }
 
-// Where the settings say that endpoints never close an idle connection, connections are reused all the same.
+// Connections must be reused if the settings state that endpoints never close idle connections.
 func TestConnectionsWithoutIdleClose(t *testing.T) {
 	t.Parallel()
 	server := testutil.NewServer(t, testutil.Echo)
@@ -62,11 +64,11 @@
 	var from []string
 	for i := range 2 {
 		if status := requestStatus(t, a, "GET", "/look", testutil.NthID(i), "7000"); status != http.StatusOK {
-			t.Fatalf("status %d", status)
+			t.Fatalf("got status %d, want 200", status)
 		}
 		from = append(from, testutil.Receive(t, server.Received).RemoteAddr)
 	}
 	if from[0] != from[1] {
-		t.Error("two connections for two requests, one after the other")
+		t.Error("got two connections for two sequential requests, want one")
 	}
 }
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -15,25 +15,27 @@
 	"ashshunt/internal/upstream"
 )
 
-// disconnectMethod is a way in which a client disconnects.
+// disconnectMethod is a way for a client to disconnect.
 type disconnectMethod struct {
 	name      string
-	trailing  string // sent behind the request first
+	trailing  string // data that the client sends after its request before it disconnects
 	closeConn func(conn *net.TCPConn) error
 }
 
-// disconnectMethods are all such ways. net/http sees no end behind bytes that follow the request.
+// disconnectMethods are the methods that tests cover. net/http does not detect the end of a connection if further data
+// follows the request.
 var disconnectMethods = []disconnectMethod{
 	{"close", "", (*net.TCPConn).Close},
 	{"reset", "", reset},
-	{"end of sending", "", (*net.TCPConn).CloseWrite},
-	{"close, a byte behind", "G", (*net.TCPConn).Close},
-	{"close, requests behind", testutil.RawGet(otherID) + testutil.RawGet(thirdID) + "GET /lo", (*net.TCPConn).Close},
-	{"reset, requests behind", testutil.RawGet(otherID) + testutil.RawGet(thirdID), reset},
-	{"close, a flood behind", strings.Repeat("x", 1<<18), (*net.TCPConn).Close},
+	{"half-close", "", (*net.TCPConn).CloseWrite},
+	{"close after a further byte", "G", (*net.TCPConn).Close},
+	{"close after further requests", testutil.RawGet(otherID) + testutil.RawGet(thirdID) + "GET /lo",
+		(*net.TCPConn).Close},
+	{"reset after further requests", testutil.RawGet(otherID) + testutil.RawGet(thirdID), reset},
+	{"close after a flood", strings.Repeat("x", 1<<18), (*net.TCPConn).Close},
 }
 
-// reset closes a connection by a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn *net.TCPConn) error {
 	if err := conn.SetLinger(0); err != nil {
 		return err
@@ -47,7 +49,7 @@
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
-		_, _ = io.WriteString(conn, d.trailing) // a flood may never be taken as a whole
+		_, _ = io.WriteString(conn, d.trailing) // may block: the agent need not read all of a flood
 	}()
 	select {
 	case <-sent:
@@ -55,26 +57,26 @@
 	}
 	tcpConn, ok := conn.(*net.TCPConn)
 	if !ok {
-		t.Fatalf("a client on a %T", conn)
+		t.Fatalf("got a connection of type %T, want *net.TCPConn", conn)
 	}
 	if err := d.closeConn(tcpConn); err != nil {
-		t.Log("disconnect:", err) // the agent may have been first
+		t.Log("disconnect:", err) // the agent may have closed the connection
 	}
 }
 
-// waitForNotSent waits for an outcome that says that nothing went out.
+// waitForNotSent waits for an outcome, which must be NotSent, and checks that the server has received nothing.
 func waitForNotSent(t *testing.T, outcomes <-chan balancer.Outcome, server *testutil.Server) {
 	t.Helper()
 	if outcome := testutil.Receive(t, outcomes); outcome.Result != balancer.NotSent {
-		t.Errorf("result %d of an attempt after the client had disconnected", outcome.Result)
+		t.Errorf("got result %d for an attempt after the client's disconnect, want NotSent", outcome.Result)
 	}
 	expectNothingReceived(t, server)
 }
 
-// requestRecorder records what the decision module learns of the request with the test's id.
+// requestRecorder records events of the decision module.
 type requestRecorder struct {
-	abandoned chan struct{}
-	outcomes  chan balancer.Outcome // of all requests
+	abandoned chan struct{}         // a value for each Abandoned event of the request with ID id
+	outcomes  chan balancer.Outcome // outcomes of all requests
 }
 
 func newRequestRecorder() requestRecorder {
@@ -92,7 +94,7 @@
 	}
 }
 
-// sendToS0 is a script of the decision module that sends the test's request to s0 as it comes.
+// sendToS0 is a scripted decision module that records events and sends the request with ID id to endpoint s0.
 func (r requestRecorder) sendToS0(_ time.Duration, event balancer.Event) []balancer.Action {
 	r.record(event)
 	if request, ok := event.(balancer.Request); ok && request.ID == id {
@@ -104,12 +106,12 @@
 func expectNothingReceived(t *testing.T, server *testutil.Server) {
 	t.Helper()
 	if len(server.Received) != 0 {
-		t.Error("a request was forwarded after its client had disconnected")
+		t.Error("a request was forwarded after its client disconnected")
 	}
 }
 
-// sendAfterDisconnectAgent is an agent whose module learns of a disconnect and sends the request all the same, which the loop has to
-// hold back.
+// sendAfterDisconnectAgent is an agent with a scripted module that sends the request with ID id only when it gets the
+// request's Abandoned event. The event loop must not execute that attempt.
 type sendAfterDisconnectAgent struct {
 	*Agent
 	server    *testutil.Server
@@ -131,7 +133,7 @@
 	return s
 }
 
-// step is the script of the module.
+// step is the scripted decision module.
 func (s *sendAfterDisconnectAgent) step(_ time.Duration, event balancer.Event) []balancer.Action {
 	switch event := event.(type) {
 	case balancer.Request:
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// submit connects a client and waits until the module knows its request.
+// submit connects a client, sends its request and waits until the module gets the request.
 func (s *sendAfterDisconnectAgent) submit(t *testing.T) net.Conn {
 	t.Helper()
 	client := testutil.Dial(t, s.Addr(), testutil.RawGet(id))
@@ -157,13 +159,13 @@
 	return client
 }
 
-// waitForLateSend waits until the module has sent the request of a client that had disconnected.
+// waitForLateSend waits until the module has sent the request after its client disconnected.
 func (s *sendAfterDisconnectAgent) waitForLateSend(t *testing.T) {
 	t.Helper()
 	testutil.WaitFor(t, "the late send", func() bool { return s.logged.Contains("sent late") })
 }
 
-// The module learns of a disconnect, and nothing goes out after it.
+// The module must get an Abandoned event for a disconnect, and no attempt may be sent after it.
 func TestDisconnect(t *testing.T) {
 	t.Parallel()
 	s := startSendAfterDisconnect(t)
@@ -172,14 +174,14 @@
 		t.Fatal(err)
 	}
 	if event := testutil.Receive(t, s.abandoned); event.Request != id {
-		t.Errorf("abandoned: %q", event.Request)
+		t.Errorf("got Abandoned for request %q, want the client's request", event.Request)
 	}
 	s.waitForLateSend(t)
 	expectNothingReceived(t, s.server)
 }
 
-// Where a request waits for a backoff or a timer, the module learns of the disconnect however it came, nothing goes out
-// for the request, and no response is made up.
+// If a client disconnects while its request waits for a backoff or a timer, the module must get an Abandoned event, no
+// attempt may be sent, and a client that has only half-closed its connection must not get a 200.
 func TestDisconnectDuringBackoff(t *testing.T) {
 	for _, method := range disconnectMethods {
 		t.Run(method.name, func(t *testing.T) {
@@ -191,19 +193,19 @@
 			select {
 			case outcome := <-s.outcomes:
 				if outcome.Result != balancer.NotSent {
-					t.Errorf("result %d of an attempt after the client had disconnected", outcome.Result)
+					t.Errorf("got result %d for an attempt after the client's disconnect, want NotSent", outcome.Result)
 				}
-			default: // not even tried
+			default: // no attempt was started
 			}
 			expectNothingReceived(t, s.server)
 			if text, _ := io.ReadAll(client); strings.Contains(string(text), " 200 ") {
-				t.Errorf("the client that only ended its sending got %q", text)
+				t.Errorf("the client got %q after its disconnect, want no response with status 200", text)
 			}
 		})
 	}
 }
 
-// A request does not go out from a busy loop that has yet to learn of the disconnect.
+// No attempt may be sent if the client disconnects while the event loop is busy and has not handled the disconnect.
 func TestDisconnectWhileLoopIsBusy(t *testing.T) {
 	for _, method := range disconnectMethods {
 		t.Run(method.name, func(t *testing.T) {
@@ -221,7 +223,7 @@
 			client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 			testutil.Receive(t, busy)
 			method.disconnect(t, client)
-			// The loop is held, and nothing else is in its table.
+			// The test may read the request table, since the event loop is blocked.
 			testutil.WaitFor(t, "the disconnect", a.loop.requests.find(id).upstream.ClientGone)
 			close(gate)
 			waitForNotSent(t, recorder.outcomes, server)
@@ -229,7 +231,7 @@
 	}
 }
 
-// A request does not go out on a connection that came up after its client had disconnected.
+// No attempt may be sent on a connection that is established after the client has disconnected.
 func TestDisconnectDuringDial(t *testing.T) {
 	for _, method := range disconnectMethods {
 		t.Run(method.name, func(t *testing.T) {
@@ -254,14 +256,14 @@
 			testutil.Receive(t, recorder.abandoned)
 			close(gate)
 			if outcome := testutil.Receive(t, recorder.outcomes); outcome.Result != balancer.NotSent || !outcome.Done {
-				t.Errorf("outcome %+v", outcome)
+				t.Errorf("got outcome %+v, want NotSent and done", outcome)
 			}
 			expectNothingReceived(t, server)
 		})
 	}
 }
 
-// The request of a client that disconnected while its connection waited to be accepted is not forwarded.
+// The request of a client that disconnects before its connection is accepted must not be forwarded.
 func TestDisconnectBeforeAccept(t *testing.T) {
 	for _, method := range disconnectMethods {
 		t.Run(method.name, func(t *testing.T) {
@@ -277,25 +279,25 @@
 			first := testutil.Dial(t, a.Addr(), testutil.RawGet(testutil.NthID(1)))
 			testutil.Receive(t, server.Received)
 			second := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
-			method.disconnect(t, second) // which its system passes on at once, to a connection that the agent has not accepted yet
+			method.disconnect(t, second) // takes effect in the accept queue: the agent has no descriptor for the client
 			close(gate)
 			if status := testutil.ReadStatus(t, first); status != http.StatusOK {
-				t.Errorf("first request: status %d", status)
+				t.Errorf("first request: got status %d, want 200", status)
 			}
-			_ = first.Close() // the agent may have closed it already
+			_ = first.Close() // the agent may have closed the connection
 			if status := requestStatus(t, a, "GET", "/look", testutil.NthID(3), "7000"); status != http.StatusOK {
-				t.Errorf("third request: status %d", status)
+				t.Errorf("third request: got status %d, want 200", status)
 			}
 			for len(server.Received) > 0 {
 				if r := <-server.Received; r.Header.Get("X-Call-Id") == id {
-					t.Error("a request was forwarded whose client had disconnected before it was read")
+					t.Error("a request was forwarded though its client disconnected before the agent accepted it")
 				}
 			}
 		})
 	}
 }
 
-// A request whose body is over the limit and stops is not forwarded, however its client disconnects.
+// A request with an oversized, incomplete body must not be forwarded after its client disconnects.
 func TestDisconnectDuringOversizedBody(t *testing.T) {
 	for _, method := range disconnectMethods {
 		t.Run(method.name, func(t *testing.T) {
@@ -305,9 +307,9 @@
 	}
 }
 
-// A request whose body is within the limit and stops is not forwarded either: its body is read, but never whole.
+// A request with an incomplete body within the size limit must not be forwarded after its client disconnects.
 func TestDisconnectDuringBody(t *testing.T) {
-	const bodyLength = 60000 // more than follows at the disconnect, but for the flood, which would complete the body
+	const bodyLength = 60000 // more than any trailing data except the flood, which would complete the body
 	for _, method := range disconnectMethods {
 		if len(method.trailing) >= bodyLength {
 			continue
@@ -319,8 +321,8 @@
 	}
 }
 
-// expectIncompleteNotForwarded sends the head of a request with the beginning of its body, disconnects, and expects
-// that just the next client's request is forwarded.
+// expectIncompleteNotForwarded sends the head and a part of the body of a request, disconnects, and checks that the
+// endpoint gets only the request of the next client.
 func expectIncompleteNotForwarded(t *testing.T, bodyLength int, method disconnectMethod) {
 	t.Helper()
 	server := testutil.NewServer(t, testutil.Echo)
@@ -328,14 +330,14 @@
 	head := testutil.RawPost(id, fmt.Sprintf("Content-Length: %d\r\n", bodyLength))
 	method.disconnect(t, testutil.Dial(t, a.Addr(), head+"half"))
 	if status := requestStatus(t, a, "GET", "/look", testutil.NthID(1), "7000"); status != http.StatusOK {
-		t.Errorf("next request: status %d", status)
+		t.Errorf("next request: got status %d, want 200", status)
 	}
 	if r := testutil.Receive(t, server.Received); r.Header.Get("X-Call-Id") == id {
 		t.Error("an incomplete request was forwarded")
 	}
 }
 
-// An attempt in flight as its client disconnects is neither retried nor kept.
+// An attempt that is in flight when its client disconnects must not be retried, and its request must be removed.
 func TestDisconnectWithAttemptInFlight(t *testing.T) {
 	for _, method := range disconnectMethods {
 		t.Run(method.name, func(t *testing.T) {
@@ -357,19 +359,20 @@
 			close(gate)
 			outcome := testutil.Receive(t, recorder.outcomes)
 			if outcome.Result != balancer.ServerError || !outcome.Done {
-				t.Errorf("outcome %+v", outcome)
+				t.Errorf("got outcome %+v, want ServerError and done", outcome)
 			}
+			// The ID must be free again: a request with the ID of an open request gets 400.
 			if status := requestStatus(t, a, "POST", "/settle", id, "7000"); status != http.StatusBadGateway {
-				t.Errorf("its id, free again, got %d", status) // 400 while it is open
+				t.Errorf("next request with the same ID: got status %d, want 502", status)
 			}
 			if n := len(server.Received); n != 1 {
-				t.Errorf("%d attempts more, want that of the next request alone", n)
+				t.Errorf("got %d further attempts, want only that of the next request", n)
 			}
 		})
 	}
 }
 
-// recordingModule is a decision module whose events can be observed.
+// recordingModule is a decision module that passes its events to record.
 type recordingModule struct {
 	decisionModule
 	record func(balancer.Event)
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -16,18 +16,18 @@
 	"ashshunt/internal/testutil"
 )
 
-// newWatchConfig returns the configuration of an agent that keeps a watch by itself, with the shortest waits between
-// two, and knows the endpoints s0 and s1.
+// newWatchConfig returns the configuration of an agent that keeps a watch open by itself, with the shortest possible
+// backoff, and has the endpoints s0 and s1 in its cached list.
 func newWatchConfig(t *testing.T, discoveryAddr string) *config.Config {
 	t.Helper()
 	c := testutil.Config(t, discoveryAddr, testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"),
 		testutil.EntryJSON("s1", "127.0.0.1:2", "SERVING"))
 	c.Settings.Subscribe = false
-	c.Settings.ConnectTimeout = time.Millisecond // the unit of the waits
+	c.Settings.ConnectTimeout = time.Millisecond // the unit of the backoff
 	return c
 }
 
-// newTCPListener returns a listener whose Accept does not wait for ever.
+// newTCPListener returns a listener whose Accept fails after testutil.Timeout.
 func newTCPListener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -65,12 +65,13 @@
 func waitForWatch(t *testing.T, service *testutil.Discovery, want string) {
 	t.Helper()
 	if query := testutil.Receive(t, service.Watches); query != want {
-		t.Errorf("watched with %q, want %q", query, want)
+		t.Errorf("got a watch with query %q, want %q", query, want)
 	}
 }
 
-// Where the settings say that changes are pushed, as in the simulator, the module asks for no watch, and nothing comes
-// over HTTP without one: the agent keeps one by itself.
+// If the settings state that changes are pushed, as in the simulator, the module does not subscribe. A real discovery
+// service pushes changes only on a watch, so that the agent must keep a watch open by itself. It must resume the watch
+// after it ends or sends malformed data, and follow a change of the address.
 func TestWatchWithoutSubscribe(t *testing.T) {
 	service := testutil.NewDiscovery(t)
 	lists := make(chan balancer.EndpointList, 10)
@@ -82,31 +83,31 @@
 			return nil
 		})
 	if list := testutil.Receive(t, lists); list.Kind != balancer.ListCached {
-		t.Errorf("event %+v", list)
+		t.Errorf("got event %+v, want the cached list", list)
 	}
 	waitForWatch(t, service, "follow=1&since=1")
 	service.Lines <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s0", "127.0.0.1:1", "DELETED") + `]}`
 	list := testutil.Receive(t, lists)
 	if list.Kind != balancer.ListDelta || list.Endpoints[0].State != balancer.Removed {
-		t.Errorf("event %+v", list)
+		t.Errorf("got event %+v, want a delta that removes s0", list)
 	}
 	for range 3 {
 		service.EndWatch <- struct{}{}
 		waitForWatch(t, service, "follow=1&since=2")
 	}
-	service.Lines <- "}" // malformed
+	service.Lines <- "}" // a malformed line
 	waitForWatch(t, service, "follow=1&since=2")
 	moved := testutil.NewDiscovery(t)
 	a.Reload(&config.Config{Discovery: moved.Addr})
 	waitForWatch(t, moved, "follow=1")
 	select {
 	case list := <-lists:
-		t.Errorf("the module gets %+v of a watch that it did not ask for", list)
+		t.Errorf("got event %+v, want none for the failures of a watch that the module has not subscribed", list)
 	default:
 	}
 }
 
-// A watch that is reset, before its response or after a line, is begun again from the version that is held.
+// After a reset of its connection, before the response or after a line, a watch must resume from the current version.
 func TestWatchResumesAfterReset(t *testing.T) {
 	listener := newTCPListener(t)
 	a, _ := startScripted(t, newWatchConfig(t, listener.Addr().String()),
@@ -116,7 +117,7 @@
 	for i, since := range []string{"1", "1", "2"} {
 		conn := acceptTCP(t, listener)
 		if got := readRequest(t, conn).URL.Query().Get("since"); got != since {
-			t.Errorf("watch %d since %q, want %q", i, got, since)
+			t.Errorf("watch %d: got since=%q, want %q", i, got, since)
 		}
 		if i > 0 {
 			testutil.Write(t, conn, chunk)
@@ -128,13 +129,14 @@
 	}
 }
 
-// While the new address of discovery is down, the watch of the old one, still open, must not pass for the one that is
-// wanted: the new address is called again until it answers.
+// The agent must retry a new address of discovery until it answers. The watch of the old address stays open meanwhile
+// and must not be mistaken for one of the new address.
 func TestAddressChangeWhileDiscoveryIsDown(t *testing.T) {
 	old, listener := testutil.NewDiscovery(t), newTCPListener(t)
 	c := newWatchConfig(t, old.Addr)
 	a, logged := startAgentWith(t, c, func(a *Agent) {
-		changeDiscovery(a, c, func(o *discovery.Options) { o.WatchSilence = testutil.Timeout }) // the old watch stays
+		// The watch of the old address must not time out during the test.
+		changeDiscovery(a, c, func(o *discovery.Options) { o.WatchSilence = testutil.Timeout })
 	})
 	testutil.WaitFor(t, "the old watch", func() bool { return logged.Contains("watch established") })
 	a.Reload(&config.Config{Discovery: listener.Addr().String()})
@@ -143,7 +145,7 @@
 			t.Fatal(err)
 		}
 	}
-	conn := acceptTCP(t, listener) // it is back
+	conn := acceptTCP(t, listener) // this call is answered
 	defer func() { _ = conn.Close() }()
 	readRequest(t, conn)
 	list := `{"version":1,"full":true,"servers":[` + testutil.EntryJSON("s7", "127.0.0.1:7", "SERVING") + `]}`
@@ -151,30 +153,31 @@
 	testutil.WaitFor(t, "the list of the new address", func() bool { return isServing(a, "s7") })
 }
 
-// callFailures are what discovery may do to a call.
+// callFailures are handlers for the ways in which a call of discovery fails.
 var callFailures = map[string]http.HandlerFunc{
 	"refused": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 	"hung":    func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-	"silent from its start": func(w http.ResponseWriter, r *http.Request) {
+	"no data": func(w http.ResponseWriter, r *http.Request) {
 		flush(w)
 		<-r.Context().Done()
 	},
 	"aborted": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	"ended":   func(w http.ResponseWriter, _ *http.Request) { flush(w) },
-	"cut within a list": func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, `{"version":2,"full":true,"serv`) // fails if the agent was first
+	"aborted within a list": func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = io.WriteString(w, `{"version":2,"full":true,"serv`) // fails if the agent has ended the call
 		flush(w)
 		panic(http.ErrAbortHandler)
 	},
 	"malformed": func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, "}\n") // fails if the agent was first
+		_, _ = io.WriteString(w, "}\n") // fails if the agent has ended the call
 	},
 }
 
-// flush sends what was written. It fails if the agent was first to end the call.
+// flush sends the buffered data. An error means that the agent has ended the call.
 func flush(w http.ResponseWriter) { _ = http.NewResponseController(w).Flush() }
 
-// startFailingDiscovery returns the address of a discovery that fails its first calls, and answers the next with the endpoint s7.
+// startFailingDiscovery starts a discovery service that fails the given number of calls and then answers with a list of
+// the endpoint s7. It returns the address of the service.
 func startFailingDiscovery(t *testing.T, calls int32, fail http.HandlerFunc) string {
 	t.Helper()
 	var called atomic.Int32
@@ -188,26 +191,27 @@
 			return
 		}
 		_, _ = fmt.Fprintf(w, `{"version":9,"full":true,"servers":[%s]}`+"\n",
-			testutil.EntryJSON("s7", "127.0.0.1:7", "SERVING")) // fails if the agent was first
+			testutil.EntryJSON("s7", "127.0.0.1:7", "SERVING")) // fails if the agent has ended the call
 		flush(w)
 		<-r.Context().Done()
 	})}
-	go func() { _ = server.Serve(listener) }() // until it is closed
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
-// A change arrives within the bound whatever became of the calls before: after each kind of failure, three times over,
-// the next call comes within the wait that the bound allows, and its list counts. The waits are those of the real
-// module; the time that a silent call takes is its own bound's matter.
+// A list must arrive within the maximum delay for changes whatever the previous calls did: after three failures of each
+// kind, the next call must follow within the allowed backoff, and its list must be applied. The backoff is that of the
+// real decision module. The duration of hung calls is limited separately and shortened here.
 func TestListArrivesAfterFailedCalls(t *testing.T) {
 	for name, fail := range callFailures {
 		for _, subscribe := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/subscribe %v", name, subscribe), func(t *testing.T) {
 				t.Parallel()
-				c := testutil.Config(t, startFailingDiscovery(t, 3, fail), testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
+				c := testutil.Config(t, startFailingDiscovery(t, 3, fail),
+					testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
 				c.Settings.Subscribe, c.Settings.Agents = subscribe, 350
-				c.Settings.PollWithin = time.Minute // the waits come from the bound
+				c.Settings.PollWithin = time.Minute // so long that it does not determine the backoff
 				a, _ := startAgentWith(t, c, func(a *Agent) {
 					changeDiscovery(a, c, func(o *discovery.Options) {
 						o.WatchSilence, o.CallTimeout = 50*time.Millisecond, 50*time.Millisecond
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -11,10 +11,10 @@
 	"ashshunt/internal/testutil"
 )
 
-// holdingServer keeps each request open until the test ends it.
+// holdingServer keeps each request open until the test finishes it.
 type holdingServer struct {
 	*testutil.Server
-	finish chan bool // ends one request: by a response, or else by breaking its connection
+	finish chan bool // finishes one request: true responds, false closes its connection
 }
 
 func newHoldingServer(t *testing.T) *holdingServer {
@@ -26,13 +26,13 @@
 	return h
 }
 
-// holdingPair is an agent with two servers that hold its requests.
+// holdingPair is an agent with two holdingServers.
 type holdingPair struct {
 	agent    *Agent
 	servers  [2]*holdingServer
-	open     [2]int // requests at each server
-	sent     int
-	statuses chan int
+	open     [2]int   // number of open requests at each server
+	sent     int      // number of requests sent
+	statuses chan int // statuses of the responses
 }
 
 func newHoldingPair(t *testing.T) *holdingPair {
@@ -45,7 +45,7 @@
 	return p
 }
 
-// send sends one more request and returns which server has got it.
+// send sends a request and returns the index of the server that has received it.
 func (p *holdingPair) send(t *testing.T) int {
 	t.Helper()
 	p.sent++
@@ -57,31 +57,32 @@
 	case <-p.servers[1].Received:
 		server = 1
 	case <-time.After(testutil.Timeout):
-		t.Fatal("a request reached no endpoint")
+		t.Fatal("timed out waiting for a request at either endpoint")
 	}
 	p.open[server]++
 	return server
 }
 
-// finish ends one request of a server, by a response or by breaking its connection, and checks what its client gets.
+// finish finishes one request of a server, by a response or by closing its connection, and checks the status that the
+// client gets.
 func (p *holdingPair) finish(t *testing.T, server int, respond bool, want int) {
 	t.Helper()
 	p.servers[server].finish <- respond
 	p.open[server]--
 	if status := testutil.Receive(t, p.statuses); status != want {
-		t.Fatalf("status %d, want %d", status, want)
+		t.Fatalf("got status %d, want %d", status, want)
 	}
 }
 
-// closeConnections breaks the connections of all open requests.
+// closeConnections closes the connections of all open requests.
 func (p *holdingPair) closeConnections() {
 	for _, server := range p.servers {
 		close(server.finish)
 	}
 }
 
-// Connections that break one by one do not pass for a process that died: while older requests are open at an endpoint,
-// it stays in use.
+// Connections that break one by one must not be interpreted as a crash of the endpoint: an endpoint with older open
+// requests must stay in use.
 func TestBrokenConnectionsWithOpenRequests(t *testing.T) {
 	t.Parallel()
 	p := newHoldingPair(t)
@@ -89,7 +90,7 @@
 	for range 7 {
 		p.send(t)
 	}
-	faulty := 0 // the one that has got at least four of them
+	faulty := 0 // the server with at least four open requests
 	if p.open[1] > p.open[0] {
 		faulty = 1
 	}
@@ -97,25 +98,25 @@
 	p.finish(t, faulty, false, http.StatusBadGateway)
 	p.finish(t, faulty, false, http.StatusBadGateway)
 	for range 3 {
-		if p.send(t) == faulty { // which has the least open
+		if p.send(t) == faulty { // faulty has the fewest open requests
 			return
 		}
 	}
-	t.Error("nothing goes to an endpoint with a request open, after two broken connections")
+	t.Error("no request was sent to an endpoint with an open request after two broken connections")
 }
 
-// Queued requests must not take all of the clients' connections, since the next request would wait unseen: before that,
-// the one with the lowest priority is rejected.
+// Queued requests must not occupy all client connections, since the agent would not see the next request. Before that
+// happens, the request with the lowest priority must be rejected.
 func TestQueueLeavesConnectionsFree(t *testing.T) {
 	t.Parallel()
 	server := newHoldingServer(t)
 	c := newConfig(t, server.Server)
-	c.Descriptors = 30 // ten open requests, of which one is kept free
+	c.Descriptors = 30 // allow ten open requests, one of which is kept free
 	for i := range c.Settings.Classes {
 		class := &c.Settings.Classes[i]
 		class.Objective, class.Deadline = 10*testutil.Timeout, 10*testutil.Timeout
 	}
-	c.Settings.Classes[2].Priority, c.Settings.GoalOverall = 10, 1 // settle
+	c.Settings.Classes[2].Priority, c.Settings.GoalOverall = 10, 1 // class "settle"
 	a := startAgent(t, c)
 	defer close(server.finish)
 	sent := 0
@@ -129,7 +130,7 @@
 			}
 		}()
 	}
-	for range 4 { // what one endpoint gets at once
+	for range 4 { // the concurrency limit of one endpoint
 		send("POST", "/settle")
 		testutil.Receive(t, server.Received)
 	}
@@ -138,11 +139,11 @@
 		send("POST", "/settle")
 	}
 	if path := testutil.Receive(t, rejected); path != "/look" {
-		t.Errorf("%s was rejected, and not the request with the lowest priority", path)
+		t.Errorf("got a rejection of %s, want that of /look, which has the lowest priority", path)
 	}
 }
 
-// newServerHangingFirst returns a server that never answers its first requests, and echoes the others.
+// newServerHangingFirst returns a server that does not answer the given number of first requests and echoes the others.
 func newServerHangingFirst(t *testing.T, requests int32) *testutil.Server {
 	t.Helper()
 	var received atomic.Int32
@@ -154,8 +155,8 @@
 	})
 }
 
-// Responses that never come must not pass for load on their endpoint: once they are overdue, and later ones have come,
-// it is as good as any other.
+// Lost responses must not be counted as load of their endpoint. Once they are overdue and later responses have arrived,
+// the endpoint must be picked like any other.
 func TestLostResponsesDoNotCountAsLoad(t *testing.T) {
 	t.Parallel()
 	const lost = 2
@@ -171,10 +172,10 @@
 	send := func() {
 		sent++
 		if status := requestStatus(t, a, "POST", "/settle", testutil.NthID(sent), "60000"); status != http.StatusOK {
-			t.Fatalf("status %d", status)
+			t.Fatalf("got status %d, want 200", status)
 		}
 	}
-	for i := range lost { // their clients disconnect at the end of the test
+	for i := range lost { // the clients of these requests stay connected until the end of the test
 		testutil.Dial(t, a.Addr(), fmt.Sprintf("POST /settle HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\n"+
 			"X-Budget-Ms: 60000\r\nContent-Length: 0\r\n\r\n", testutil.NthID(1000000+i)))
 		testutil.Receive(t, first.Received)
@@ -183,7 +184,7 @@
 	testutil.Receive(t, first.Received)
 	service.Lines <- `{"version":2,"full":false,"servers":[` + testutil.EntryJSON("s1", second.Addr(), "SERVING") + `]}`
 	testutil.WaitFor(t, "the second endpoint", func() bool { return isServing(a, "s1") })
-	used := false // the second endpoint; from then on the first is not the only one
+	used := false // the second endpoint has received a request
 	for range 1000 {
 		send()
 		select {
@@ -195,5 +196,5 @@
 			used = true
 		}
 	}
-	t.Error("of 1000 requests, one at a time, none went to an endpoint that has lost two responses")
+	t.Error("none of 1000 sequential requests was sent to an endpoint that has lost two responses")
 }
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -14,15 +14,15 @@
 	"ashshunt/internal/testutil"
 )
 
-// Well-formed request ids.
+// Valid request IDs.
 const (
 	id      = testutil.RequestID
 	otherID = "00000000000000a2"
 	thirdID = "00000000000000a3"
 )
 
-// newConfig returns the configuration of an agent that knows servers as the endpoints s0, s1 and so on, and has a
-// discovery that brings nothing new.
+// newConfig returns the configuration of an agent whose cached list contains servers as endpoints s0, s1 and so on. Its
+// discovery service sends no changes.
 func newConfig(t *testing.T, servers ...*testutil.Server) *config.Config {
 	t.Helper()
 	var entries []string
@@ -39,13 +39,13 @@
 	return a
 }
 
-// startScripted runs an agent whose decisions are scripted until the test ends.
+// startScripted runs an agent with a scripted decision module until the test ends.
 func startScripted(t *testing.T, c *config.Config, module scriptedModule) (*Agent, *testutil.Log) {
 	t.Helper()
 	return startAgentWith(t, c, func(a *Agent) { a.loop.module = module })
 }
 
-// startAgentWith runs an agent that was changed first until the test ends.
+// startAgentWith runs an agent until the test ends. prepare may change the agent before it runs.
 func startAgentWith(t *testing.T, c *config.Config, prepare func(*Agent)) (*Agent, *testutil.Log) {
 	t.Helper()
 	a := startStoppable(t, c, prepare)
@@ -63,7 +63,7 @@
 	*Agent
 	logged    *testutil.Log
 	stop      context.CancelFunc
-	runResult chan error // what Run returned
+	runResult chan error // receives the result of Run
 }
 
 func startStoppable(t *testing.T, c *config.Config, prepare func(*Agent)) stoppableAgent {
@@ -82,7 +82,7 @@
 	return stoppableAgent{Agent: a, logged: logged, stop: cancel, runResult: runResult}
 }
 
-// newTestLoop returns an event loop that does not run.
+// newTestLoop returns an event loop that is not running.
 func newTestLoop(t *testing.T) *eventLoop {
 	t.Helper()
 	l, err := newEventLoop(testutil.Config(t, "127.0.0.1:1"), clock.New(), testutil.NewLogger(&testutil.Log{}))
@@ -92,7 +92,7 @@
 	return l
 }
 
-// submit gives an event loop that does not run a request that arrives now.
+// submit submits a request that arrives now to an event loop that is not running.
 func submit(l *eventLoop, id string, timeout time.Duration) *frontend.Request {
 	now := l.clock.Now()
 	request := frontend.NewRequest()
@@ -102,7 +102,7 @@
 	return request
 }
 
-// scriptedModule is a decision module that does what the test says upon each event.
+// scriptedModule is a decision module that calls a function of the test for each event.
 type scriptedModule func(now time.Duration, event balancer.Event) []balancer.Action
 
 func (s scriptedModule) Step(now time.Duration, events []balancer.Event) (actions []balancer.Action) {
@@ -119,13 +119,13 @@
 	return response.StatusCode
 }
 
-// isServing reports whether an agent knows an endpoint that may get requests.
+// isServing reports whether an endpoint is in an agent's table and may get requests.
 func isServing(a *Agent, endpointID string) bool {
 	_, ok := a.loop.endpoints.Serving(endpointID)
 	return ok
 }
 
-// changeDiscovery has an agent use discovery with changed options.
+// changeDiscovery replaces an agent's discovery client by one with changed options.
 func changeDiscovery(a *Agent, c *config.Config, change func(*discovery.Options)) {
 	options := a.loop.discoveryOptions(c)
 	change(&options)
--- a/internal/agent/openrequest_test.go
+++ b/internal/agent/openrequest_test.go
@@ -18,7 +18,7 @@
 	return r
 }
 
-// A request stays in the table until it is over and its last attempt has ended.
+// A request must stay in the table until it is finished and its last attempt is finished.
 func TestRequestPhases(t *testing.T) {
 	answer := func(table *requestTable, r *openRequest) {
 		table.answer(r, frontend.Response{Status: http.StatusOK})
@@ -34,34 +34,35 @@
 		table := newRequestTable()
 		r := addWithAttempt(&table)
 		if r.phase != phaseOpen || table.findOpen(id) != r {
-			t.Errorf("%s: open: phase %d", test.name, r.phase)
+			t.Errorf("%s: open: got phase %d, want phaseOpen and the request in the table", test.name, r.phase)
 		}
 		test.end(&table, r)
 		if r.phase != test.want || table.find(id) != r || table.findOpen(id) != nil || table.openCount != 0 {
-			t.Errorf("%s, with an attempt in flight: phase %d", test.name, r.phase)
+			t.Errorf("%s, with an attempt in flight: got phase %d, want the request in the table but not open",
+				test.name, r.phase)
 		}
 		if r.upstream.Lifetime.Err() == nil {
-			t.Errorf("%s: its attempt is not told", test.name)
+			t.Errorf("%s: the request's lifetime is not canceled", test.name)
 		}
 		r.finishAttempt(0, false)
 		table.removeIfComplete(r)
 		if r.phase != phaseRemoved || table.find(id) != nil {
-			t.Errorf("%s, its attempt has ended: phase %d", test.name, r.phase)
+			t.Errorf("%s, with a finished attempt: got phase %d, want phaseRemoved", test.name, r.phase)
 		}
 	}
 }
 
-// An attempt may run while it is in flight, and one that may have run counts for good.
+// mayHaveRun must be true while an attempt is in flight, and after an attempt that may have run.
 func TestMayHaveRun(t *testing.T) {
 	for _, mayHaveRun := range []bool{false, true} {
 		table := newRequestTable()
 		r := addWithAttempt(&table)
 		if !r.mayHaveRun() {
-			t.Error("an attempt in flight can't run")
+			t.Error("mayHaveRun is false with an attempt in flight")
 		}
 		r.finishAttempt(0, mayHaveRun)
 		if r.mayHaveRun() != mayHaveRun {
-			t.Errorf("may run %v after an attempt that may have run: %v", r.mayHaveRun(), mayHaveRun)
+			t.Errorf("mayHaveRun after the attempt: got %v, want %v", r.mayHaveRun(), mayHaveRun)
 		}
 	}
 }
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -11,7 +11,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// Two open requests with one id would share one answer.
+// A request with the ID of an open request must be rejected: both would get the same answer.
 func TestDuplicateOpenRequestID(t *testing.T) {
 	t.Parallel()
 	server := testutil.NewServer(t, testutil.Hang)
@@ -20,15 +20,15 @@
 	go func() { first <- requestStatus(t, a, "POST", "/settle", id, "4000") }()
 	testutil.Receive(t, server.Received)
 	if status := requestStatus(t, a, "POST", "/settle", id, "4000"); status != http.StatusBadRequest {
-		t.Errorf("status %d, want 400", status)
+		t.Errorf("second request: got status %d, want 400", status)
 	}
 	if status := testutil.Receive(t, first); status != http.StatusBadGateway {
-		t.Errorf("first request: status %d, want 502", status)
+		t.Errorf("first request: got status %d, want 502", status)
 	}
 }
 
-// A request that may have run and must not run twice is not rejected, which would invite a repeat, and its answer
-// comes within the client's time.
+// A request that may have run and must not run twice must be failed, not rejected, since clients may retry rejected
+// requests. Its answer must arrive before the client's deadline.
 func TestUnresponsiveEndpointFailsRequest(t *testing.T) {
 	t.Parallel()
 	server := testutil.NewServer(t, testutil.Hang)
@@ -36,14 +36,14 @@
 	startedAt := time.Now()
 	status := requestStatus(t, a, "POST", "/settle", id, "1500")
 	if elapsed := time.Since(startedAt); status != http.StatusBadGateway || elapsed < time.Second {
-		t.Errorf("status %d after %v", status, elapsed)
+		t.Errorf("got status %d after %v, want 502 after at least 1s", status, elapsed)
 	}
 	if len(server.Received) != 1 {
-		t.Errorf("%d attempts of a request that may have run", len(server.Received))
+		t.Errorf("got %d attempts of a request that may have run, want 1", len(server.Received))
 	}
 }
 
-// A failed connect has no effect: a request that must not run twice is retried elsewhere.
+// An attempt whose connect failed has not run: a request that must not run twice must be retried at another endpoint.
 func TestNonIdempotentRequestIsRetriedAfterConnectFailure(t *testing.T) {
 	t.Parallel()
 	dead, server := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
@@ -59,28 +59,29 @@
 		}
 	}
 	if served != requests {
-		t.Errorf("%d of %d served with one endpoint of two dead", served, requests)
+		t.Errorf("got %d of %d requests served with one of two endpoints down, want all", served, requests)
 	}
 }
 
-// Where the module forgets a request, or panics, the client still gets one answer in time.
+// If the module panics and so leaves a request open, the client must still get an answer before its deadline.
 func TestDeadlineGuard(t *testing.T) {
 	t.Parallel()
 	c := testutil.Config(t, testutil.NewDiscovery(t).Addr, testutil.EntryJSON("s0", "127.0.0.1:1", "SERVING"))
 	a, logged := startScripted(t, c, func(_ time.Duration, event balancer.Event) []balancer.Action {
 		if _, ok := event.(balancer.Request); ok {
-			panic("out of ideas")
+			panic("test panic")
 		}
 		return nil
 	})
 	status := requestStatus(t, a, "GET", "/look", id, "300")
-	if status != http.StatusBadGateway || !logged.Contains("out of ideas") ||
+	if status != http.StatusBadGateway || !logged.Contains("test panic") ||
 		!logged.Contains("no final answer by the deadline") {
-		t.Errorf("status %d", status)
+		t.Errorf("got status %d, want 502 and log lines for the panic and the deadline", status)
 	}
 }
 
-// The rule on rejections holds whatever the module says, and its Retry-After is passed on.
+// The event loop must fail a request that may have run and must not run twice even if the module rejects it. Otherwise
+// it must execute the rejection with the module's Retry-After.
 func TestRejections(t *testing.T) {
 	t.Parallel()
 	first := true
@@ -99,17 +100,18 @@
 		})
 	status := requestStatus(t, a, "POST", "/settle", id, "7000")
 	if status != http.StatusBadGateway || !logged.Contains("internal error") {
-		t.Errorf("rejected with an attempt in flight: status %d, want 502", status)
+		t.Errorf("rejection with an attempt in flight: got status %d, want 502 and an internal error in the log", status)
 	}
 	response, _ := testutil.Do(t, a.Addr(), "POST", "/settle", "", "X-Call-Id", otherID, "X-Budget-Ms", "7000")
 	retryAfter := response.Header.Get("Retry-After")
 	if response.StatusCode != http.StatusServiceUnavailable || retryAfter != "1.5" {
-		t.Errorf("status %d, Retry-After %q", response.StatusCode, retryAfter)
+		t.Errorf("rejection without an attempt: got status %d, Retry-After %q, want 503, \"1.5\"",
+			response.StatusCode, retryAfter)
 	}
 }
 
-// A disconnect of a client whose request was rejected, since its id was open or too many were, must not pass for that
-// of the client whose request is open, nor free a place.
+// The disconnect of a client whose request was rejected because of a duplicate ID or the limit of open requests must
+// not abandon the open request with the same ID, nor change the number of open requests.
 func TestDisconnectAfterRejection(t *testing.T) {
 	l := newTestLoop(t)
 	client := submit(l, id, time.Minute)
@@ -120,24 +122,24 @@
 	events := len(l.pending)
 	for _, rejected := range []*frontend.Request{duplicate, beyondLimit} {
 		if len(rejected.Response()) != 1 {
-			t.Error("not rejected at once")
+			t.Error("the request was not rejected at once")
 		}
 		requestAbandoned{rejected}.handle(context.Background(), l)
 	}
 	if first.isFinished() || l.requests.openCount != 1 || len(l.requests.byID) != 1 || len(l.pending) != events {
-		t.Errorf("open request: phase %d, %d open, %d in the table, %d events more",
+		t.Errorf("after the other disconnects: got phase %d, %d open, %d in the table, %d new events, want 0, 1, 1, 0",
 			first.phase, l.requests.openCount, len(l.requests.byID), len(l.pending)-events)
 	}
 	requestAbandoned{client}.handle(context.Background(), l)
 	if !first.isFinished() || l.requests.openCount != 0 || len(l.requests.byID) != 0 || l.timers.len() != 0 ||
 		len(l.pending) != events+1 {
-		t.Errorf("after its own disconnect: phase %d, %d open, %d in the table, %d timers",
+		t.Errorf("after its own disconnect: got phase %d, %d open, %d in the table, %d timers, want 3, 0, 0, 0",
 			first.phase, l.requests.openCount, len(l.requests.byID), l.timers.len())
 	}
 }
 
-// stepLate steps a loop with a tick of 1 ms so long after a request of 6 s came, and returns the request, the time of
-// the step and the timeout that the module was given.
+// stepLate submits a request with a timeout of 6 s to an event loop with a tick of 1 ms and steps the loop after delay.
+// It returns the request, the time of the step and the timeout that the module gets.
 func stepLate(t *testing.T, delay time.Duration) (r *openRequest, now, timeout time.Duration) {
 	t.Helper()
 	l := newTestLoop(t)
@@ -154,41 +156,43 @@
 	return r, now, timeout
 }
 
-// A late step must not make each client look like one that retries.
+// A delayed step must not reduce the module's timeout by more than a tick. Otherwise the module would treat all
+// requests of the step as retries of clients, which it detects by unusual timeouts.
 func TestLateStepDoesNotReduceTimeout(t *testing.T) {
 	_, _, timeout := stepLate(t, 80*time.Millisecond)
 	if want := 6*time.Second - attemptMargin - time.Millisecond; timeout != want {
-		t.Errorf("the module was given a timeout of %v, want %v", timeout, want)
+		t.Errorf("got a module timeout of %v, want %v", timeout, want)
 	}
 }
 
-// An attempt must not time out with its request before the module's deadline for the request: the module would wait
-// for a retry that has no time, until the deadline guard answers.
+// Attempts must not end before the module's deadline for the request. Otherwise the module would schedule a retry for
+// which no time is left, and the request would stay open until the deadline guard fires.
 func TestAttemptsEndAtModuleDeadline(t *testing.T) {
 	for _, delay := range []time.Duration{0, time.Millisecond, 80 * time.Millisecond} {
 		r, now, timeout := stepLate(t, delay)
 		if delay <= time.Millisecond && r.attemptsUntil != now+timeout {
-			t.Errorf("a step %v late: attempts end %v before the deadline that the module knows", delay,
+			t.Errorf("step delayed by %v: attempts end %v before the module's deadline, want at the deadline", delay,
 				now+timeout-r.attemptsUntil)
 		}
 		if r.attemptsUntil >= r.inbound.Deadline-guardMargin {
-			t.Errorf("a step %v late: attempts end after the deadline guard", delay)
+			t.Errorf("step delayed by %v: attempts end at or after the deadline guard, want before it", delay)
 		}
 	}
 }
 
-// A request that was never sent anywhere is rejected, so that its client may come again, however little time it has.
+// A request without attempts must be rejected, so that its client may retry it, even if its timeout is too short for
+// the decision module.
 func TestRequestsWithShortTimeout(t *testing.T) {
 	t.Parallel()
 	a := startAgent(t, newConfig(t, testutil.NewServer(t, testutil.Hang)))
 	for _, timeout := range []string{"1", "3", "5", "10", "20"} {
 		if status := requestStatus(t, a, "POST", "/settle", id, timeout); status != http.StatusServiceUnavailable {
-			t.Errorf("%s ms: status %d, want 503", timeout, status)
+			t.Errorf("timeout of %s ms: got status %d, want 503", timeout, status)
 		}
 	}
 }
 
-// A request that comes once all have to be answered is rejected at once, and the decision module hears nothing of it.
+// A request that arrives after the shutdown deadline must be rejected at once. The decision module must not get it.
 func TestRequestAfterShutdownDeadline(t *testing.T) {
 	t.Parallel()
 	l := newTestLoop(t)
@@ -199,12 +203,12 @@
 	select {
 	case response := <-request.Response():
 		if response.Status != http.StatusServiceUnavailable {
-			t.Errorf("status %d, want 503", response.Status)
+			t.Errorf("got status %d, want 503", response.Status)
 		}
 	default:
-		t.Error("it was not answered at once")
+		t.Error("the request was not answered at once")
 	}
 	if len(l.pending) != events || len(l.requests.byID) != 0 {
-		t.Error("the decision module hears of it")
+		t.Error("the request was queued for the decision module or added to the table")
 	}
 }
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -15,14 +15,15 @@
 	"ashshunt/internal/testutil"
 )
 
-const shutdownMessage = "shutting down" // in the log
+const shutdownMessage = "shutting down" // log message at the start of a shutdown
 
-// stopWithRequestInFlight runs an agent and asks it to shut down while a request is in flight. The request's status comes out of
-// the channel.
-func stopWithRequestInFlight(t *testing.T, server *testutil.Server, method, path, timeoutMs string) (stoppableAgent, chan int) {
+// stopWithRequestInFlight runs an agent and starts its shutdown while a request is in flight. The channel receives the
+// status of the response.
+func stopWithRequestInFlight(t *testing.T, server *testutil.Server, method, path, timeoutMs string) (stoppableAgent,
+	chan int) {
 	t.Helper()
 	a := startStoppable(t, newConfig(t, server), func(a *Agent) {
-		a.acceptDuration = 3 * time.Second // a slow machine still connects meanwhile
+		a.acceptDuration = 3 * time.Second // enough for new connections on a busy machine
 	})
 	first := make(chan int, 1)
 	go func() { first <- requestStatus(t, a.Agent, method, path, id, timeoutMs) }()
@@ -32,7 +33,7 @@
 	return a, first
 }
 
-// waitForCleanExit waits for the end of Run, which must be without an error.
+// waitForCleanExit waits until Run returns and checks that it returns no error.
 func (a stoppableAgent) waitForCleanExit(t *testing.T) {
 	t.Helper()
 	if err := testutil.Receive(t, a.runResult); err != nil {
@@ -40,17 +41,17 @@
 	}
 }
 
-// waitForLastResponse reads a response that has to be 200 and the last one on its connection.
+// waitForLastResponse reads a response and checks that its status is 200 and that it closes the connection.
 func waitForLastResponse(t *testing.T, in io.Reader, what string) {
 	t.Helper()
 	response := testutil.ReadResponse(t, bufio.NewReader(in))
 	if response.StatusCode != http.StatusOK || !response.Close {
-		t.Errorf("%s: status %d, close %v", what, response.StatusCode, response.Close)
+		t.Errorf("%s: got status %d, close %v, want 200, true", what, response.StatusCode, response.Close)
 	}
 }
 
-// While an agent shuts down, open requests are answered, and new connections are served for a while and closed with
-// the response.
+// During a shutdown, the agent must answer open requests. It must serve new connections for acceptDuration and close
+// each with its response.
 func TestGracefulShutdown(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
@@ -63,31 +64,31 @@
 	a, first := stopWithRequestInFlight(t, server, "GET", "/look/slow", "9000")
 	response, _ := testutil.Do(t, a.Addr(), "GET", "/look", "", "X-Call-Id", otherID, "X-Budget-Ms", "9000")
 	if response.StatusCode != http.StatusOK || !response.Close {
-		t.Errorf("during the shutdown: status %d, close %v", response.StatusCode, response.Close)
+		t.Errorf("during the shutdown: got status %d, close %v, want 200, true", response.StatusCode, response.Close)
 	}
 	close(gate)
 	if status := testutil.Receive(t, first); status != http.StatusOK {
-		t.Errorf("request in flight: status %d", status)
+		t.Errorf("request in flight: got status %d, want 200", status)
 	}
 	a.waitForCleanExit(t)
 	if conn, err := net.Dial("tcp", a.Addr().String()); err == nil {
 		_ = conn.Close()
-		t.Error("still listening")
+		t.Error("the agent is still listening after its shutdown")
 	}
 }
 
-// Requests that would outlast the shutdown are failed before the process may be killed.
+// Requests whose deadline is after the end of the shutdown must be failed before the process may be killed.
 func TestShutdownFailsLongRequests(t *testing.T) {
 	t.Parallel()
 	a, first := stopWithRequestInFlight(t, testutil.NewServer(t, testutil.Hang), "POST", "/settle", "600000")
 	if status := testutil.Receive(t, first); status != http.StatusBadGateway {
-		t.Errorf("status %d, want 502", status)
+		t.Errorf("got status %d, want 502", status)
 	}
 	a.waitForCleanExit(t)
 }
 
-// Clients must not go on sending on connections that a shutdown leaves open, up to the kill: idle ones are closed while
-// new ones are still accepted, and one in use with its response, whenever its request came.
+// A shutdown must close all persistent connections, since the kill would lose requests that clients send on open ones:
+// idle connections while new ones are still accepted, and connections in use with their next response.
 func TestShutdownClosesPersistentConnections(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
@@ -100,7 +101,7 @@
 	a := startStoppable(t, newConfig(t, server), func(a *Agent) { a.acceptDuration = 3 * time.Second })
 	kept := bufio.NewReader(testutil.Dial(t, a.Addr(), testutil.RawGet(otherID)))
 	if response := testutil.ReadResponse(t, kept); response.StatusCode != http.StatusOK || response.Close {
-		t.Fatalf("before the shutdown: status %d, close %v", response.StatusCode, response.Close)
+		t.Fatalf("before the shutdown: got status %d, close %v, want 200, false", response.StatusCode, response.Close)
 	}
 	busy := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 	unused := testutil.Dial(t, a.Addr(), "")
@@ -113,17 +114,17 @@
 	})
 	a.stop()
 	if _, err := kept.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("a kept connection: %v, want its end", err)
+		t.Errorf("idle connection: got error %v, want EOF", err)
 	}
 	testutil.WaitFor(t, "the shutdown", func() bool { return a.logged.Contains(shutdownMessage) })
 	close(gate)
-	waitForLastResponse(t, busy, "in flight as the shutdown began")
-	testutil.Write(t, unused, testutil.RawGet(thirdID)) // connected before the shutdown, and still on its way
-	waitForLastResponse(t, unused, "on a connection that had had no request")
+	waitForLastResponse(t, busy, "request in flight at the start of the shutdown")
+	testutil.Write(t, unused, testutil.RawGet(thirdID)) // on a connection opened before the shutdown
+	waitForLastResponse(t, unused, "first request of a connection")
 	a.waitForCleanExit(t)
 }
 
-// A request that waits for its backoff as the shutdown begins is not lost.
+// A request that waits for its backoff when the shutdown starts must still be served.
 func TestShutdownDuringBackoff(t *testing.T) {
 	t.Parallel()
 	failed := make(chan struct{})
@@ -161,12 +162,12 @@
 	client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
 	testutil.Receive(t, failed)
 	a.stop()
-	waitForLastResponse(t, client, "during backoff as the shutdown began")
+	waitForLastResponse(t, client, "request in backoff at the start of the shutdown")
 	a.waitForCleanExit(t)
 }
 
-// The process may be killed after the longest deadline, 3 s at the most, and 0.7 s more: the last responses are out by
-// then also where deadlines are short.
+// The process may be killed 0.7 s after the longest class deadline, of which at most 3 s count. The last responses must
+// be written before, for short deadlines too.
 func TestShutdownEndsBeforeKill(t *testing.T) {
 	for _, test := range []struct{ deadline, kill time.Duration }{
 		{300 * time.Millisecond, time.Second},
@@ -176,16 +177,17 @@
 		classes := []balancer.Class{{Deadline: 100 * time.Millisecond}, {Deadline: test.deadline}}
 		timeout := shutdownTimeout(balancer.Settings{Classes: classes})
 		if end := timeout + finalWriteTimeout; end >= test.kill {
-			t.Errorf("deadline %v: ends after %v, may be killed after %v", test.deadline, end, test.kill)
+			t.Errorf("class deadline %v: the shutdown ends after %v, want less than %v", test.deadline, end, test.kill)
 		}
 		if timeout < min(test.deadline, 3*time.Second) {
-			t.Errorf("deadline %v: what came just before the shutdown gets %v", test.deadline, timeout)
+			t.Errorf("class deadline %v: got a shutdown timeout of %v, want at least the deadline or 3s", test.deadline,
+				timeout)
 		}
 	}
 }
 
-// A request that is still incomplete as the time of a shutdown is over, or that comes after that, is rejected before
-// its connection is closed.
+// A request that is incomplete at the shutdown deadline, or arrives after it, must be rejected before its connection is
+// closed.
 func TestShutdownRejectsIncompleteRequests(t *testing.T) {
 	t.Parallel()
 	config := newConfig(t, testutil.NewServer(t, testutil.Echo))
@@ -195,9 +197,9 @@
 	a := startStoppable(t, config, func(*Agent) {})
 	clients := map[string]net.Conn{}
 	for name, text := range map[string]string{
-		"a byte":      "P",
-		"half a head": "POST /settle HTTP/1.1\r\nHo",
-		"half a body": testutil.RawPost(id, "Content-Length: 10\r\n") + "half",
+		"single byte":     "P",
+		"incomplete head": "POST /settle HTTP/1.1\r\nHo",
+		"incomplete body": testutil.RawPost(id, "Content-Length: 10\r\n") + "half",
 	} {
 		clients[name] = testutil.Dial(t, a.Addr(), text)
 	}
@@ -210,13 +212,13 @@
 		in := bufio.NewReader(client)
 		response := testutil.ReadResponse(t, in)
 		if response.StatusCode != http.StatusServiceUnavailable || !response.Close {
-			t.Errorf("%s: status %d, close %v", name, response.StatusCode, response.Close)
+			t.Errorf("%s: got status %d, close %v, want 503, true", name, response.StatusCode, response.Close)
 		}
 	}
 	a.waitForCleanExit(t)
 }
 
-// failingCloseListener is a listener whose close reports an error, though it takes effect.
+// failingCloseListener is a listener whose Close returns an error although it closes the listener.
 type failingCloseListener struct{ net.Listener }
 
 func (l failingCloseListener) Close() error {
@@ -224,7 +226,7 @@
 	return syscall.EIO
 }
 
-// A close that fails must not end a shutdown under the requests in flight.
+// An error of the listener's Close must not end a shutdown while requests are in flight.
 func TestShutdownWithFailingClose(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
@@ -238,7 +240,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = a.frontend.Close() // it has served nothing
+		_ = a.frontend.Close() // has served no connections
 		a.frontend = frontend.NewServer(failingCloseListener{listener}, config, a.loop.clock, a.loop, a.log)
 		a.acceptDuration = 10 * time.Millisecond
 	})
@@ -253,6 +255,6 @@
 		return err != nil
 	})
 	close(gate)
-	waitForLastResponse(t, client, "in flight as a close failed")
+	waitForLastResponse(t, client, "request in flight when Close fails")
 	a.waitForCleanExit(t)
 }
--- a/internal/agent/timers_test.go
+++ b/internal/agent/timers_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Timers come in the order in which they are due, and those of one time in the order in which they were added. A timer
-// that was removed does not come, and may be removed again.
+// The queue must return timers in the order of dueAt, and timers with equal dueAt in the order of insertion. It must
+// not return removed timers, and removing a timer twice must have no effect.
 func TestTimerQueue(t *testing.T) {
 	var queue timerQueue
 	timers := map[string]*timer{}
@@ -16,26 +16,26 @@
 		queue.add(timers[name])
 	}
 	if at, ok := queue.nextAt(); !ok || at != 1 {
-		t.Errorf("next: %v, %v", at, ok)
+		t.Errorf("nextAt: got %v, %v, want 1, true", at, ok)
 	}
 	queue.remove(timers["c"])
 	queue.remove(timers["c"])
 	if due := queue.popDue(0); due != nil {
-		t.Errorf("timer %d is due early", due.token)
+		t.Errorf("popDue(0): got timer %d, want none", due.token)
 	}
 	for _, name := range []string{"b", "d", "e"} {
 		if due := queue.popDue(2); due != timers[name] {
-			t.Errorf("due: %+v, want timer %s", due, name)
+			t.Errorf("popDue(2): got %+v, want timer %s", due, name)
 		}
 	}
 	if due := queue.popDue(2); due != nil || queue.len() != 1 {
-		t.Errorf("due: %+v, %d left", due, queue.len())
+		t.Errorf("popDue(2): got %+v with %d timers left, want none with 1 left", due, queue.len())
 	}
 	if due := queue.popDue(3); due != timers["a"] {
-		t.Errorf("due: %+v, want timer a", due)
+		t.Errorf("popDue(3): got %+v, want timer a", due)
 	}
 	if _, ok := queue.nextAt(); ok {
-		t.Error("a next timer in an empty queue")
+		t.Error("nextAt of an empty queue: got ok true, want false")
 	}
 }
 
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -16,15 +16,15 @@
 		name      string
 		cause     error
 		failures  int
-		wantCalls int // that are made
+		wantCalls int
 	}{
 		{"no failure", nil, 0, 1},
-		{"table of files full", syscall.ENFILE, 4, 5},
+		{"file table full", syscall.ENFILE, 4, 5},
 		{"I/O error", syscall.EIO, 2, 3},
 		{"interrupted", syscall.EINTR, 3, 4},
 		{"no such file", syscall.ENOENT, 4, 1},
-		{"no right", syscall.EACCES, 4, 1},
-		{"no error of a system call", errors.New("bad text"), 4, 1},
+		{"permission denied", syscall.EACCES, 4, 1},
+		{"not a system call error", errors.New("invalid JSON"), 4, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			calls, retries := 0, 0
@@ -40,16 +40,17 @@
 				return calls, nil
 			})
 			if calls != test.wantCalls || retries != test.wantCalls-1 {
-				t.Errorf("%d calls, %d retries reported, want %d calls", calls, retries, test.wantCalls)
+				t.Errorf("got %d calls and %d retries reported, want %d calls and one retry less",
+					calls, retries, test.wantCalls)
 			}
 			if wantError := test.failures >= test.wantCalls; (err != nil) != wantError {
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v, want an error only if the last call failed", err)
 			}
 		})
 	}
 }
 
-// A failure that lasts is returned once the policy's time is over.
+// Do must return the error of a persistent failure after the policy's MaxElapsedTime.
 func TestDoGivesUp(t *testing.T) {
 	policy := retry.Policy{
 		MaxElapsedTime: 20 * time.Millisecond,
@@ -58,6 +59,6 @@
 	}
 	_, err := retry.Do(policy, func() (int, error) { return 0, syscall.ENFILE })
 	if !errors.Is(err, syscall.ENFILE) {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want ENFILE", err)
 	}
 }
--- a/internal/telemetry/ratelimit_test.go
+++ b/internal/telemetry/ratelimit_test.go
@@ -9,25 +9,25 @@
 	"ashshunt/internal/testutil"
 )
 
-// Lines past the limit are counted, not written.
+// The handler must drop the lines beyond the limit and report their number on the next line that passes.
 func TestRateLimitedLog(t *testing.T) {
 	logged := &testutil.Log{}
 	h, ok := RateLimited(slog.NewTextHandler(logged, nil)).(rateLimited)
 	if !ok {
-		t.Fatal("RateLimited returns a handler of another type")
+		t.Fatal("RateLimited does not return a rateLimited")
 	}
 	now := time.Now()
 	h.limiter.now = func() time.Time { return now }
 	log := slog.New(h).With("agent", "n0")
 	for range 5 * maxLinesPerSecond {
-		log.Warn("bad answer")
+		log.Warn("malformed response")
 	}
-	if n := strings.Count(logged.String(), "bad answer"); n != maxLinesPerSecond {
-		t.Errorf("%d lines in one second, want %d", n, maxLinesPerSecond)
+	if n := strings.Count(logged.String(), "malformed response"); n != maxLinesPerSecond {
+		t.Errorf("got %d lines in one second, want %d", n, maxLinesPerSecond)
 	}
 	now = now.Add(time.Second)
 	log.Warn("later")
 	if !logged.Contains("msg=later agent=n0 dropped_before=80") {
-		t.Errorf("log %q", logged.String()[len(logged.String())-100:])
+		t.Errorf("the log ends with %q, want a line with dropped_before=80", logged.String()[len(logged.String())-100:])
 	}
 }
--- a/internal/telemetry/writer_test.go
+++ b/internal/telemetry/writer_test.go
@@ -7,7 +7,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// A flush waits for the lines before it; they keep their order.
+// Flush must wait until all previous lines are written, in order.
 func TestWriterFlush(t *testing.T) {
 	logged := &testutil.Log{}
 	writer := NewWriter(logged)
@@ -23,6 +23,6 @@
 	log.Info("second")
 	writer.Flush(testutil.Timeout)
 	if got, want := logged.String(), "level=INFO msg=first\nlevel=INFO msg=second\n"; got != want {
-		t.Errorf("log %q, want %q", got, want)
+		t.Errorf("log: got %q, want %q", got, want)
 	}
 }
