--- a/cmd/ashshunt-sim/main_test.go
+++ b/cmd/ashshunt-sim/main_test.go
@@ -16,7 +16,7 @@
 const lists = `{"msg":"DefineList","Sheet":0,"Items":[{"Backend":"10.0.0.1:80","Availability":"on"}]}
 {"msg":"View","Agent":3,"How":"disk","Index":1,"Sheet":0}`
 
-// batch returns a batch of messages at a time in milliseconds.
+// batch returns a batch of messages. clock is its time in milliseconds.
 func batch(clock string, messages ...string) string {
 	lines := []string{`{"msg":"Frame","ClockMs":` + clock + `}`}
 	lines = append(lines, messages...)
@@ -33,13 +33,14 @@
 			`","WaitTimeMs":20,"Backend":"10.0.0.1:80","SendNo":0` + done + `}`
 	}
 	tests := []struct{ name, in, want string }{
-		{"nothing", "", ""},
-		{"an empty batch", batch("1"), eor},
-		{"a request is sent", batch("1", open, lists) + batch("6", submit), eor + try + eor},
-		{"served", batch("1", open, lists, submit) + batch("26", ended("pass", `,"Ended":true`)), try + eor + eor},
-		{"failed", batch("1", open, lists, submit) + batch("26", ended("fault", "")),
+		{"empty input", "", ""},
+		{"empty batch", batch("1"), eor},
+		{"request is sent", batch("1", open, lists) + batch("6", submit), eor + try + eor},
+		{"request is served", batch("1", open, lists, submit) + batch("26", ended("pass", `,"Ended":true`)),
+			try + eor + eor},
+		{"request fails", batch("1", open, lists, submit) + batch("26", ended("fault", "")),
 			try + eor + `{"msg":"DropRequest","Agent":3,"Job":"d0"}` + "\n" + eor},
-		{"killed and started in one batch forgets", batch("1", open, lists, submit) +
+		{"instance replaced in one batch has no state", batch("1", open, lists, submit) +
 			batch("6", `{"msg":"Retire","Agent":3}`, open, lists) + batch("26", ended("fault", "")),
 			try + eor + eor + eor},
 	}
@@ -50,7 +51,7 @@
 				t.Fatal(err)
 			}
 			if out.String() != tt.want {
-				t.Errorf("got\n%swant\n%s", out.String(), tt.want)
+				t.Errorf("got output\n%swant\n%s", out.String(), tt.want)
 			}
 		})
 	}
@@ -59,34 +60,34 @@
 func TestRunFaults(t *testing.T) {
 	tests := []struct{ name, in, want string }{
 		{"instance not open", batch("1", `{"msg":"Reminder","Agent":8,"Cookie":1}`), "line 2: instance 8 is not open"},
-		{"settings make no sense", batch("1", strings.Replace(open, `"Balancers":1`, `"Balancers":0`, 1)),
+		{"invalid settings", batch("1", strings.Replace(open, `"Balancers":1`, `"Balancers":0`, 1)),
 			"Balancers: 0"},
-		{"broken line", batch("1", "{"), "line 2: "},
+		{"malformed line", batch("1", "{"), "line 2: "},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var out bytes.Buffer
 			err := run(strings.NewReader(tt.in), &out)
 			if err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v, want one with %q", err, tt.want)
+				t.Errorf("got error %v, want one that contains %q", err, tt.want)
 			}
 			if out.Len() > 0 {
-				t.Errorf("wrote %q", out.String())
+				t.Errorf("got output %q, want none", out.String())
 			}
 		})
 	}
 }
 
-// A panic of the decision code is reported with its text, and the link goes on.
+// A panic of the decision module must be reported as Broken with its text, and the reply must be complete.
 func TestPanicIsBroken(t *testing.T) {
 	var out bytes.Buffer
 	h := newHost(simwire.NewWriter(&out))
 	b := &simwire.Batch{Events: []simwire.InstanceEvent{{Agent: 2, Event: balancer.Request{ID: "x"}}}}
-	h.instances[2] = stepFunc(func(time.Duration, []balancer.Event) []balancer.Action { panic("no such thing") })
+	h.instances[2] = stepFunc(func(time.Duration, []balancer.Event) []balancer.Action { panic("test panic") })
 	if err := h.handleBatch(b); err != nil {
 		t.Fatal(err)
 	}
-	want := `{"msg":"Broken","Agent":2,"Msg":"panic: no such thing"}` + "\n{\"msg\":\"Eor\"}\n"
+	want := `{"msg":"Broken","Agent":2,"Msg":"panic: test panic"}` + "\n{\"msg\":\"Eor\"}\n"
 	if out.String() != want {
 		t.Errorf("got %q, want %q", out.String(), want)
 	}
--- a/cmd/ashshunt/faults_test.go
+++ b/cmd/ashshunt/faults_test.go
@@ -13,7 +13,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// logPipe is a pipe that an agent writes its log to. The test has both ends.
+// logPipe is the pipe to which an agent writes its log. The test process has both ends open.
 type logPipe struct{ reader, writer *os.File }
 
 // startWithLogPipe starts the agent with a pipe as its log.
@@ -30,10 +30,11 @@
 	return startWithLog(t, config, command, reader), pipe
 }
 
-// close closes the test's ends, which may be closed already.
+// close closes both ends in the test process. It ignores that they may be closed.
 func (p logPipe) close() { _, _ = p.reader.Close(), p.writer.Close() }
 
-// fill writes to the pipe until it is full. It opens the pipe again, so that the agent's own end still blocks.
+// fill writes to the pipe until it is full. It opens a new non-blocking descriptor for this, so that writes of the
+// agent still block.
 func (p logPipe) fill(t *testing.T) {
 	t.Helper()
 	path := fmt.Sprintf("/proc/self/fd/%d", p.writer.Fd())
@@ -52,11 +53,11 @@
 	}
 }
 
-// An agent whose log is closed by its reader, or is not read any more, goes on.
+// The agent must continue to serve, reload and shut down if the reader of its log closes the pipe or stops reading.
 func TestUnreadableLogDoesNotStopAgent(t *testing.T) {
 	tests := []struct {
 		name   string
-		closed bool // otherwise it is full
+		closed bool // the pipe is closed; otherwise it is full
 	}{
 		{"closed", true},
 		{"not read", false},
@@ -80,24 +81,24 @@
 			waitForWatch(t, secondWatches, "follow=1")
 			client := testutil.Dial(t, addr, requestText(1, 250))
 			if status := testutil.ReadStatus(t, client); status != http.StatusServiceUnavailable {
-				t.Errorf("status %d, want 503 since there is no endpoint", status)
+				t.Errorf("got status %d, want 503, since there are no endpoints", status)
 			}
 			process.signal(t, syscall.SIGTERM)
 			if err := process.Wait(); err != nil {
-				t.Errorf("it ends with %v", err)
+				t.Errorf("got exit error %v, want exit status 0", err)
 			}
 		})
 	}
 }
 
-// A signal to reload is not lost when the file can't be read for a moment, or is incomplete.
+// The agent must retry a reload whose file is missing or incomplete, without a further signal.
 func TestReloadRetriesUnreadableFile(t *testing.T) {
 	tests := []struct {
 		name, text string
 		missing    bool
 	}{
 		{name: "missing", missing: true},
-		{name: "half-written", text: `{"name":"n0",`},
+		{name: "incomplete", text: `{"name":"n0",`},
 		{name: "empty", text: ""},
 	}
 	for _, tt := range tests {
@@ -121,7 +122,7 @@
 	}
 }
 
-// An address that can't be listened on for a moment does not end the start.
+// The start must retry to listen on an address that is temporarily in use.
 func TestStartRetriesListen(t *testing.T) {
 	listener := testutil.Listen(t)
 	file := newConfigFile(t)
@@ -135,7 +136,7 @@
 	process.waitForAddr(t)
 }
 
-// A configuration that is being written as the agent starts does not end the start.
+// The start must retry to read a configuration file that another process is still writing.
 func TestStartRetriesIncompleteFile(t *testing.T) {
 	file := newConfigFile(t)
 	text := configText("127.0.0.1:1", "", 300)
--- a/cmd/ashshunt/signals_test.go
+++ b/cmd/ashshunt/signals_test.go
@@ -13,7 +13,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// signalSelf sends a signal to the tests' own process.
+// signalSelf sends a signal to the test process.
 func signalSelf(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), signal); err != nil {
@@ -21,8 +21,8 @@
 	}
 }
 
-// SIGHUP reads the configuration again: an invalid one changes nothing, a new address of discovery is watched, and
-// signals that overlap change nothing either.
+// SIGHUP must reload the configuration: the agent must watch a new address of discovery, ignore an invalid
+// configuration, and start only one watch for several signals in quick succession.
 func TestReload(t *testing.T) {
 	file := newConfigFile(t)
 	writeConfig := func(discovery string) {
@@ -54,19 +54,19 @@
 		t.Error(err)
 	}
 	if len(firstWatches)+len(secondWatches) != 0 {
-		t.Error("an address was watched twice")
+		t.Error("got a second watch of an address")
 	}
 }
 
-// A SIGTERM that comes before the agent serves ends it with status 0. The start waits for a configuration that is not
-// complete as the signals come.
+// A SIGTERM during the start must make the agent exit with status 0. The test sends it while the agent is reading its
+// configuration from a FIFO.
 func TestSignalsDuringStart(t *testing.T) {
 	file := newConfigFile(t)
 	if err := syscall.Mkfifo(string(file), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	process := startAgent(t, file)
-	writer, err := os.OpenFile(string(file), os.O_WRONLY, 0) // once the agent reads
+	writer, err := os.OpenFile(string(file), os.O_WRONLY, 0) // blocks until the agent opens the FIFO
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,12 +79,12 @@
 		t.Fatal(err)
 	}
 	if err := process.Wait(); err != nil {
-		t.Errorf("stopped at its start, it ends with %v", err)
+		t.Errorf("got exit error %v, want exit status 0", err)
 	}
 }
 
-// Signals that come during a shutdown change nothing for the requests in flight: neither a new configuration, valid or
-// not, nor a second SIGTERM.
+// Signals during a shutdown must not affect the requests in flight: neither a SIGHUP with a valid or an invalid
+// configuration nor a second SIGTERM.
 func TestSignalsDuringShutdown(t *testing.T) {
 	listener := testutil.Listen(t)
 	first, _ := newDiscovery(t)
@@ -122,10 +122,10 @@
 	testutil.Respond(server, http.StatusOK, "", "done")
 	response := testutil.ReadResponse(t, bufio.NewReader(client))
 	if response.StatusCode != http.StatusOK || !response.Close {
-		t.Errorf("status %d, close %v", response.StatusCode, response.Close)
+		t.Errorf("got status %d, close %v, want 200, true", response.StatusCode, response.Close)
 	}
 	process.discardLog()
 	if err := process.Wait(); err != nil {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("got exit error %v, want exit status 0", err)
 	}
 }
--- a/cmd/ashshunt/soak_client_test.go
+++ b/cmd/ashshunt/soak_client_test.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	// connectTimeout bounds the connects of clients.
+	// connectTimeout is the timeout of a client's connect.
 	connectTimeout = time.Second
-	// responseTimeout is how long after its deadline a client still waits for a response.
+	// responseTimeout is how long after a request's deadline its client still waits for the response.
 	responseTimeout = 3 * time.Second
-	// maxIncompleteDuration is the time in which the agent must end a connection whose request does not come.
+	// maxIncompleteDuration is the time within which the agent must close the connection of an incomplete request.
 	maxIncompleteDuration = 3 * time.Second
-	// incompleteTimeout is how long a client waits for that end.
+	// incompleteTimeout is how long a client waits for the close after an incomplete request.
 	incompleteTimeout = 10 * time.Second
 )
 
-// lastRequestNumber counts the requests of all runs, since they share the space of IDs.
+// lastRequestNumber is the number of the last request. All runs share it, so that request IDs are unique.
 var lastRequestNumber atomic.Int64
 
-// soakClient sends requests one after the other and keeps its connection as long as it stays open.
+// soakClient sends sequential requests. It reuses its connection until the agent closes it.
 type soakClient struct {
 	soak     *soak
-	conn     net.Conn // nil: none
+	conn     net.Conn // nil: not connected
 	in       *bufio.Reader
-	connUsed bool // the connection has had a request
+	connUsed bool // the client has sent a request on conn
 }
 
 func newSoakClient(s *soak) *soakClient { return &soakClient{soak: s} }
 
-// run sends requests until the end of the run.
+// run sends requests until the run is stopped.
 func (c *soakClient) run() {
 	for {
 		select {
@@ -54,20 +54,21 @@
 	}
 }
 
-// drawPause is the time before the next request. During a shutdown, what is still open is used up to the kill.
+// drawPause draws the time until the next request. It is short while clients may not connect, so that connections that
+// are open during a shutdown are used until the kill.
 func (c *soakClient) drawPause() time.Duration {
 	rng := c.soak.rng
 	usual := rng.drawDuration(0, 60*time.Millisecond)
 	if !c.soak.clientsMayConnect() {
 		return rng.drawDuration(0, 5*time.Millisecond)
 	}
-	if rng.drawBool(0.03) { // rests on its connection
+	if rng.drawBool(0.03) { // leaves its connection idle
 		return rng.drawDuration(time.Second, 2500*time.Millisecond)
 	}
 	return usual
 }
 
-// connect opens a connection if there is none and clients may open one.
+// connect opens a connection if the client has none and may open one. It reports whether the client is connected.
 func (c *soakClient) connect() bool {
 	if c.conn != nil {
 		return true
@@ -77,7 +78,7 @@
 	}
 	conn, err := net.DialTimeout("tcp", c.soak.listen, connectTimeout)
 	if err != nil {
-		return false // no request was accepted
+		return false // not a violation, since the agent has not accepted a request
 	}
 	c.conn, c.in, c.connUsed = conn, bufio.NewReader(conn), false
 	return true
@@ -85,7 +86,7 @@
 
 func (c *soakClient) disconnect() {
 	if c.conn != nil {
-		_ = c.conn.Close() // the agent may have closed it
+		_ = c.conn.Close() // an error does not affect the test
 		c.conn = nil
 	}
 }
@@ -105,7 +106,7 @@
 	return request, class
 }
 
-// text returns the text of a request.
+// text returns a request as sent on the wire.
 func (r *soakRequest) text(class soakClass) string {
 	method, headers, body := http.MethodPost, "", strings.Repeat("x", r.bodyLength)
 	switch class.idempotency {
@@ -121,7 +122,7 @@
 		method, class.name, r.id, r.timeout.Milliseconds(), headers, body)
 }
 
-// send sends a request and reports to the judge what came of it.
+// send sends a request, or an incomplete part of it, and records the result with the verifier.
 func (c *soakClient) send(request *soakRequest, class soakClass) {
 	rng := c.soak.rng
 	c.connUsed = true
@@ -134,7 +135,7 @@
 		c.disconnect()
 		return
 	}
-	if rng.drawBool(0.08) { // leaves before the response
+	if rng.drawBool(0.08) { // disconnects without waiting for the response
 		time.Sleep(rng.drawDuration(0, request.timeout))
 		request.disconnectedAt = time.Now()
 		c.disconnect()
@@ -143,10 +144,10 @@
 	c.waitForResponse(request)
 }
 
-// drawPrefix draws a part of a text that lacks at least its last byte.
+// drawPrefix draws a non-empty prefix of a text that lacks at least the last byte.
 func (c *soakClient) drawPrefix(text string) string { return text[:1+c.soak.rng.drawInt(len(text)-2)] }
 
-// write writes a request, in two pieces at times, and reports whether it could be written whole.
+// write writes a request, sometimes in two parts with a pause, and reports whether it is written completely.
 func (c *soakClient) write(request *soakRequest, text string) bool {
 	rng, verifier := c.soak.rng, c.soak.verifier
 	request.firstByteAt = time.Now()
@@ -167,9 +168,10 @@
 	return true
 }
 
-// waitForResponse reads the response and reports it, or the end of the connection, to the judge.
+// waitForResponse reads the response and records it, or the end of the connection, with the verifier.
 func (c *soakClient) waitForResponse(request *soakRequest) {
-	_ = c.conn.SetReadDeadline(request.sentAt.Add(request.timeout + responseTimeout)) // fails as the read will
+	// SetReadDeadline fails if the connection has ended, and so does the read.
+	_ = c.conn.SetReadDeadline(request.sentAt.Add(request.timeout + responseTimeout))
 	response, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		c.disconnect()
@@ -178,7 +180,7 @@
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		c.soak.verifier.recordViolation(ruleResponse, fmt.Sprintf("%s: half a response: %v", request.id, err))
+		c.soak.verifier.recordViolation(ruleResponse, fmt.Sprintf("%s: reading the response body: %v", request.id, err))
 	}
 	c.soak.verifier.recordResponse(request, response.StatusCode, string(body))
 	if response.Close {
@@ -186,23 +188,23 @@
 	}
 }
 
-// sendIncomplete sends the beginning of a request and waits for an error response or a close.
+// sendIncomplete sends a part of a request and waits for an error response or the end of the connection.
 func (c *soakClient) sendIncomplete(text string) {
 	defer c.disconnect()
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		return
 	}
 	startedAt := time.Now()
-	_ = c.conn.SetReadDeadline(startedAt.Add(incompleteTimeout)) // fails as the read will
+	_ = c.conn.SetReadDeadline(startedAt.Add(incompleteTimeout)) // fails if the connection has ended, and so does the read
 	if _, err := c.in.ReadByte(); errors.Is(err, os.ErrDeadlineExceeded) {
-		c.soak.verifier.recordViolation(ruleIncomplete, fmt.Sprintf("%q is kept for over %v", text, incompleteTimeout))
+		c.soak.verifier.recordViolation(ruleIncomplete, fmt.Sprintf("%q: still open after %v", text, incompleteTimeout))
 	}
 	if elapsed := time.Since(startedAt); elapsed > maxIncompleteDuration+c.soak.verifier.slack {
-		c.soak.verifier.recordViolation(ruleIncomplete, fmt.Sprintf("%q is kept for %v", text, elapsed))
+		c.soak.verifier.recordViolation(ruleIncomplete, fmt.Sprintf("%q: closed after %v", text, elapsed))
 	}
 }
 
-// runIdleClient connects, sends nothing, and connects again when its connection ends.
+// runIdleClient connects without sending requests, and reconnects after each connection, until the run is stopped.
 func (s *soak) runIdleClient() {
 	for {
 		select {
@@ -218,8 +220,8 @@
 			continue
 		}
 		idleUntil := time.Now().Add(s.rng.drawDuration(time.Second, 4*time.Second))
-		_ = conn.SetReadDeadline(idleUntil) // fails as the read will
-		_, _ = conn.Read(make([]byte, 1))   // however it ends
+		_ = conn.SetReadDeadline(idleUntil) // fails if the connection has ended, and so does the read
+		_, _ = conn.Read(make([]byte, 1))   // returns at idleUntil or at the end of the connection
 		_ = conn.Close()
 	}
 }
--- a/cmd/ashshunt/soak_discovery_test.go
+++ b/cmd/ashshunt/soak_discovery_test.go
@@ -20,43 +20,43 @@
 	StartedMs int64   `json:"started_ms"`
 }
 
-// soakList is an endpoint list, or the changes of one.
+// soakList is a complete endpoint list, or the changed entries of one.
 type soakList struct {
 	Version int         `json:"version"`
 	Full    bool        `json:"full"`
 	Servers []soakEntry `json:"servers"`
 }
 
-// json returns the list as discovery writes it.
+// json returns the list in the JSON format of discovery.
 func (l soakList) json() string {
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // the types have no value that can't be written
+		panic(err) // all values of soakList can be encoded
 	}
 	return string(text)
 }
 
 const (
-	// maxNotifyDelay is when a change counts as notified at the latest.
+	// maxNotifyDelay is the time after a change at which the agent counts as notified even if no watch has delivered it.
 	maxNotifyDelay = 6 * time.Second
-	// movedWatchDuration is how long the watches of an address go on after discovery has moved.
+	// movedWatchDuration is how long the watches of the old address continue after a switch of the address.
 	movedWatchDuration = 1500 * time.Millisecond
-	// heartbeatInterval is the time between two lines of a watch without changes.
+	// heartbeatInterval is the time between two empty lines of a watch without changes.
 	heartbeatInterval = 2 * time.Second
-	// watchCapacity is how many changes a watch that is not read may be behind.
+	// watchCapacity is the number of undelivered changes that a watch can hold.
 	watchCapacity = 1000
 )
 
-// soakDiscovery is a stand-in for discovery, at two addresses of which one is in use.
+// soakDiscovery is a fake discovery service with two addresses, one of which is in use.
 type soakDiscovery struct {
 	addrs [2]string
 
-	mu              sync.Mutex // protects what follows
-	currentIndex    int        // position of the address in use
+	mu              sync.Mutex // protects the fields below
+	currentIndex    int        // index in addrs of the address in use
 	version         int
 	entries         []soakEntry
 	watches         map[*soakWatch]bool
-	drainNotifiedAt map[string]time.Time // when the agent counts as notified that an endpoint drains
+	drainNotifiedAt map[string]time.Time // by endpoint ID: when the agent counts as notified of its drain
 }
 
 func newSoakDiscovery(s *soak) *soakDiscovery {
@@ -73,14 +73,14 @@
 	return d.addrs[d.currentIndex]
 }
 
-// completeList returns the endpoint list as discovery writes it.
+// completeList returns the complete endpoint list in the JSON format of discovery.
 func (d *soakDiscovery) completeList() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return soakList{Version: d.version, Full: true, Servers: d.entries}.json()
 }
 
-// switchAddr switches to the other address. The open watches go on for a while.
+// switchAddr switches to the other address. Open watches continue for movedWatchDuration.
 func (d *soakDiscovery) switchAddr() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// breakWatches ends all watches, or has them fall silent.
+// breakWatches stops all watches, or makes them silent: open but without further lines.
 func (d *soakDiscovery) breakWatches(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// publish lists an entry, or another state of it.
+// publish adds an entry to the list, or replaces it, and sends the change to all watches.
 func (d *soakDiscovery) publish(entry soakEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -117,14 +117,15 @@
 	}
 }
 
-// drain lists an endpoint as draining.
+// drain publishes that an endpoint is draining.
 func (d *soakDiscovery) drain(id string) {
 	entry := d.recordDrain(id)
 	entry.State = "DRAINING"
 	d.publish(entry)
 }
 
-// recordDrain notes when the agent counts as notified, and returns the entry of the endpoint.
+// recordDrain sets the latest time at which the agent counts as notified of an endpoint's drain, and returns the
+// endpoint's entry.
 func (d *soakDiscovery) recordDrain(id string) (entry soakEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,7 +136,7 @@
 	return entry
 }
 
-// recordRestart notes that a new process has the current list in its configuration.
+// recordRestart records that a new process of the agent gets the current list with its configuration.
 func (d *soakDiscovery) recordRestart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,7 +145,7 @@
 	}
 }
 
-// recordDelivery notes that a list was written to the agent.
+// recordDelivery records that a list is sent to the agent.
 func (d *soakDiscovery) recordDelivery(list soakList) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,14 +156,16 @@
 	}
 }
 
-// recordNotifiedLocked counts the agent as notified by now that an endpoint drains. The caller holds the mutex.
+// recordNotifiedLocked records that the agent is notified of an endpoint's drain, now at the latest. The caller holds
+// the mutex.
 func (d *soakDiscovery) recordNotifiedLocked(id string) {
 	if now := time.Now(); now.Before(d.drainNotifiedAt[id]) {
 		d.drainNotifiedAt[id] = now
 	}
 }
 
-// drainNotificationTime is when the agent counts as notified that an endpoint drains; zero: it does not.
+// drainNotificationTime returns when the agent counts as notified of an endpoint's drain, or zero if the endpoint is
+// not draining.
 func (d *soakDiscovery) drainNotificationTime(id string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -173,13 +176,13 @@
 type soakWatch struct {
 	changes chan soakList
 	silent  bool          // protected by soakDiscovery.mu
-	stopped chan struct{} // closed to end it
-	once    sync.Once     // closes ended
+	stopped chan struct{} // closed by stop
+	once    sync.Once     // closes stopped
 }
 
 func (w *soakWatch) stop() { w.once.Do(func() { close(w.stopped) }) }
 
-// addWatch adds a watch, whose first list is the complete one. It returns nil at an address that is not in use.
+// addWatch adds a watch that starts with the complete list. It returns nil for an address that is not in use.
 func (d *soakDiscovery) addWatch(addrIndex int) *soakWatch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -204,7 +207,7 @@
 	return watch.silent
 }
 
-// serveWatch responds to a watch with the complete list and the changes after it.
+// serveWatch responds to a watch with the complete list and subsequent changes.
 func (d *soakDiscovery) serveWatch(w http.ResponseWriter, r *http.Request, addrIndex int) {
 	watch := d.addWatch(addrIndex)
 	if watch == nil {
@@ -226,7 +229,7 @@
 		if d.isSilent(watch) {
 			continue
 		}
-		_, _ = w.Write([]byte(line + "\n")) // the agent may have gone
+		_, _ = w.Write([]byte(line + "\n")) // fails if the agent has disconnected
 		_ = http.NewResponseController(w).Flush()
 	}
 }
--- a/cmd/ashshunt/soak_endpoint_test.go
+++ b/cmd/ashshunt/soak_endpoint_test.go
@@ -13,30 +13,30 @@
 	"ashshunt/internal/testutil"
 )
 
-// endpointFault is how an endpoint fails for a while.
+// endpointFault is the way in which an endpoint fails temporarily.
 type endpointFault int
 
 // The faults of endpoints.
 const (
 	faultNone     endpointFault = iota
 	faultHang                   // no response
-	faultError                  // status 500
-	faultReject                 // rejected without having run
-	faultReset                  // the connection is reset
-	faultSlow                   // a late response
-	faultNoLength               // a response whose end can't be told from a broken connection
+	faultError                  // response with status 500
+	faultReject                 // rejection of a request that has not run
+	faultReset                  // TCP reset of the connection
+	faultSlow                   // delayed response
+	faultNoLength               // response without a length, whose end is indistinguishable from a broken connection
 )
 
 const faultCount = int(faultNoLength) + 1
 
-// soakEndpoint is a stand-in for an endpoint. It reports each attempt to the judge.
+// soakEndpoint is a fake endpoint. It records each attempt with the verifier.
 type soakEndpoint struct {
 	soak   *soak
 	id     string
 	cell   int
 	server *testutil.Server
 
-	mu         sync.Mutex // protects what follows
+	mu         sync.Mutex // protects the fields below
 	fault      endpointFault
 	faultUntil time.Time
 }
@@ -48,7 +48,7 @@
 	return e
 }
 
-// discardEvents empties the channels of the server, of which the judge needs nothing.
+// discardEvents drains the channels of the server, which the verifier does not use.
 func (e *soakEndpoint) discardEvents() {
 	for {
 		select {
@@ -58,7 +58,7 @@
 	}
 }
 
-// injectFault has the endpoint injectFault for some time. An earlier fault ends.
+// injectFault makes the endpoint fail for a duration. It replaces the current fault.
 func (e *soakEndpoint) injectFault(fault endpointFault, duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,12 +74,12 @@
 	return e.fault
 }
 
-// handle responds to a request. Its attempt is in flight until the response begins, or the agent closes the connection.
+// handle responds to a request. The attempt is in flight until the response starts or the agent closes the connection.
 func (e *soakEndpoint) handle(conn net.Conn, request *http.Request, _ []byte) bool {
 	id := request.Header.Get("X-Call-Id")
 	timeoutMs, err := strconv.Atoi(request.Header.Get("X-Budget-Ms"))
 	if err != nil {
-		e.soak.verifier.recordViolation(ruleAttempt, "no X-Budget-Ms: "+err.Error())
+		e.soak.verifier.recordViolation(ruleAttempt, "parsing X-Budget-Ms: "+err.Error())
 	}
 	fault := e.currentFault()
 	attempt := &soakAttempt{
@@ -98,7 +98,7 @@
 	return respond(conn, fault, id)
 }
 
-// drawServiceTime is the time until the response.
+// drawServiceTime draws the time from a request to its response.
 func (e *soakEndpoint) drawServiceTime(fault endpointFault) time.Duration {
 	usual := e.soak.rng.drawDuration(2*time.Millisecond, 20*time.Millisecond)
 	switch fault {
@@ -111,7 +111,7 @@
 	return usual
 }
 
-// respond writes the response to a request and reports whether the connection stays open.
+// respond writes the response to a request and reports whether the server keeps the connection open.
 func respond(conn net.Conn, fault endpointFault, id string) bool {
 	switch fault {
 	case faultError:
@@ -122,7 +122,7 @@
 		resetOnClose(conn)
 		return false
 	case faultNoLength:
-		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\ndid " + id)) // the agent may have gone
+		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\ndid " + id)) // fails if the agent has disconnected
 		return false
 	case faultNone, faultHang, faultSlow:
 		testutil.Respond(conn, http.StatusOK, "", "did "+id)
@@ -130,18 +130,18 @@
 	return true
 }
 
-// resetOnClose has the close of a connection reset it.
+// resetOnClose makes the close of a connection send a TCP reset.
 func resetOnClose(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		panic(fmt.Sprintf("%T can't be reset", conn))
+		panic(fmt.Sprintf("setting a reset on close: got a connection of type %T, want *net.TCPConn", conn))
 	}
-	_ = tcp.SetLinger(0) // fails on a connection that has ended
+	_ = tcp.SetLinger(0) // fails if the connection has ended
 }
 
-// waitForClose waits and reports whether the other side closes the connection meanwhile.
+// waitForClose waits until the peer closes the connection, at most for the given time, and reports whether it does.
 func waitForClose(conn net.Conn, wait time.Duration) bool {
-	_ = conn.SetReadDeadline(time.Now().Add(wait)) // fails on a connection that has ended, as the read will
+	_ = conn.SetReadDeadline(time.Now().Add(wait)) // fails if the connection has ended, and so does the read
 	_, err := conn.Read(make([]byte, 1))
 	_ = conn.SetReadDeadline(time.Time{})
 	return !errors.Is(err, os.ErrDeadlineExceeded)
--- a/cmd/ashshunt/soak_judge_test.go
+++ b/cmd/ashshunt/soak_judge_test.go
@@ -9,69 +9,79 @@
 	"time"
 )
 
-// rule names a rule that a run must keep.
+// rule is the name of an invariant of a run.
 type rule string
 
-// The rules of a run.
+// The invariants of a run.
 const (
-	ruleResponse       rule = "lost"           // a request gets its response, in time, and is not forwarded without need
-	ruleDuplicate      rule = "duplicate"      // a request is repeated only as its class allows
-	ruleAttempt        rule = "attempt"        // an attempt is a client's request
-	ruleDrain          rule = "drain"          // a draining endpoint gets no attempt
-	ruleAttemptTimeout rule = "budget"         // an attempt has no more time than its client
-	ruleIncomplete     rule = "half a request" // a connection whose request does not come is closed
-	ruleLog            rule = "log"            // there is no internal error
-	ruleCrash          rule = "crash"          // the agent exits with status 0, or is killed
+	// ruleResponse: each request gets its response in time, and is not forwarded if its client has disconnected.
+	ruleResponse rule = "response"
+	// ruleDuplicate: a request is repeated only as its class allows.
+	ruleDuplicate rule = "duplicate"
+	// ruleAttempt: each attempt belongs to a request of a client.
+	ruleAttempt rule = "attempt"
+	// ruleDrain: a draining endpoint gets no attempts after drainGraceDuration.
+	ruleDrain rule = "drain"
+	// ruleAttemptTimeout: the timeout of an attempt does not exceed the remaining timeout of its request.
+	ruleAttemptTimeout rule = "attempt timeout"
+	// ruleIncomplete: the connection of an incomplete request is closed within maxIncompleteDuration.
+	ruleIncomplete rule = "incomplete request"
+	// ruleLog: the agent logs no internal errors.
+	ruleLog rule = "log"
+	// ruleCrash: each process of the agent exits with status 0 or is killed.
+	ruleCrash rule = "crash"
 )
 
 const (
-	strictSlack = 50 * time.Millisecond // of each time of the protocol
-	looseSlack  = 3 * time.Second       // on a busy machine: what never happens is still found
+	// strictSlack is the tolerance of all time limits in strict mode.
+	strictSlack = 50 * time.Millisecond
+	// looseSlack is the tolerance otherwise. On a busy machine only events that never happen are then detected.
+	looseSlack = 3 * time.Second
 
-	// maxResponseDelay is how long after its deadline a response only earns nothing.
+	// maxResponseDelay is how long after the client's deadline a response is late but not an error.
 	maxResponseDelay = 500 * time.Millisecond
-	// attemptTimeoutSlack is how much more time than its client has an attempt may state.
+	// attemptTimeoutSlack is how much the timeout of an attempt may exceed the remaining timeout of its request.
 	attemptTimeoutSlack = 150 * time.Millisecond
-	// drainGraceDuration is how long after the notice a draining endpoint may still get attempts.
+	// drainGraceDuration is how long after the notification a draining endpoint may still get attempts.
 	drainGraceDuration = 2 * time.Second
 )
 
-// soakRequest is a request and what came of it.
+// soakRequest is a client's request with the record of its response and its attempts.
 type soakRequest struct {
 	id, class        string
 	timeout          time.Duration
 	bodyLength       int
-	reusedConnection bool      // its connection had had a request before
-	firstByteAt      time.Time // when its first byte was written
-	sentAt           time.Time // when it was written whole; guarded by the judge
-	disconnectedAt   time.Time // when its client left before the response
+	reusedConnection bool      // the connection has had an earlier request
+	firstByteAt      time.Time // when the first byte was written
+	sentAt           time.Time // when the last byte was written; protected by soakVerifier.mu
+	disconnectedAt   time.Time // when the client disconnected without a response; zero: it did not
 
-	// Guarded by the judge.
+	// The fields below are protected by soakVerifier.mu.
 
 	respondedAt time.Time
 	status      int
-	closed      bool // its connection ended without a response
+	closed      bool // the client's connection ended without a response
 	closedAt    time.Time
 	attempts    []*soakAttempt
 }
 
-// soakAttempt is a request as an endpoint got it.
+// soakAttempt is an attempt of a request as its endpoint has received it.
 type soakAttempt struct {
 	endpoint              string
 	cell                  int
-	startedAt, finishedAt time.Time     // end is zero while it is in flight
-	timeout               time.Duration // of the client, as X-Budget-Ms states it
+	startedAt, finishedAt time.Time     // finishedAt is zero while the attempt is in flight
+	timeout               time.Duration // value of X-Budget-Ms
 	mayHaveRun            bool
 }
 
-// soakVerifier records what happens in a run and checks it against the rules.
+// soakVerifier records the events of a run and verifies the rules.
 type soakVerifier struct {
 	t       *testing.T
-	classes map[string]soakClass
-	strict  bool // slack is strictSlack; the agent is killed
-	slack   time.Duration
+	classes map[string]soakClass // by name
+	strict  bool                 // slack is strictSlack, and the agent is killed
+	slack   time.Duration        // tolerance of all time limits
 
-	mu         sync.Mutex // protects what follows, and requests
+	mu         sync.Mutex // protects the fields below and the recorded fields of the requests
 	requests   map[string]*soakRequest
 	kills      []time.Time
 	violations []string
@@ -95,26 +105,27 @@
 	return v
 }
 
-// recordViolation records that a rule was not kept.
+// recordViolation records the violation of a rule.
 func (v *soakVerifier) recordViolation(violated rule, details string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.recordViolationLocked(violated, details)
 }
 
-// recordViolationLocked is violated for callers that hold the mutex.
+// recordViolationLocked is recordViolation for callers that hold the mutex.
 func (v *soakVerifier) recordViolationLocked(violated rule, details string) {
 	v.violations = append(v.violations, string(violated)+": "+details)
 }
 
-// recordLogLine records a line of the agent's log with an internal error. On a busy machine that may be a late response.
+// recordLogLine records an internal error in the agent's log. A missing final answer is ignored unless the verifier is
+// strict, since a busy machine can cause it.
 func (v *soakVerifier) recordLogLine(line string) {
 	if v.strict || !strings.Contains(line, "no final answer by the deadline") {
 		v.recordViolation(ruleLog, line)
 	}
 }
 
-// recordKill records that the agent was recordKill.
+// recordKill records the time at which the agent is killed.
 func (v *soakVerifier) recordKill(at time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -129,19 +140,19 @@
 	v.requests[r.id] = r
 }
 
-// recordSent records that a request has been written whole. An attempt may have begun meanwhile.
+// recordSent records that a request is written completely. An attempt may have started before.
 func (v *soakVerifier) recordSent(r *soakRequest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r.sentAt = time.Now()
 }
 
-// recordSendFailure drops a request that could not be written whole.
+// recordSendFailure removes a request that could not be written completely. It must not have been forwarded.
 func (v *soakVerifier) recordSendFailure(r *soakRequest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(r.attempts) > 0 {
-		v.recordViolationLocked(ruleResponse, r.id+": forwarded, though it could not be written whole")
+		v.recordViolationLocked(ruleResponse, r.id+": forwarded although the client could not write all of it")
 	}
 	delete(v.requests, r.id)
 }
@@ -152,38 +163,41 @@
 	defer v.mu.Unlock()
 	r.respondedAt, r.status = time.Now(), status
 	if status == http.StatusOK && body != "did "+r.id {
-		v.recordViolationLocked(ruleResponse, fmt.Sprintf("%s: served with %q", r.id, body))
+		v.recordViolationLocked(ruleResponse, fmt.Sprintf("%s: got body %q, want \"did \" and the ID", r.id, body))
 	}
 	if late := r.respondedAt.Sub(r.sentAt) - r.timeout; late > maxResponseDelay+v.slack {
-		v.recordViolationLocked(ruleResponse, fmt.Sprintf("%s: a response %v after its deadline", r.id, late))
+		v.recordViolationLocked(ruleResponse, fmt.Sprintf("%s: response %v after the client's deadline", r.id, late))
 	}
 }
 
-// recordClose records that a connection ended without a response, or that the client stopped waiting for one.
+// recordClose records that a connection ended without a response. timedOut means that the client closed it after
+// responseTimeout.
 func (v *soakVerifier) recordClose(r *soakRequest, timedOut bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r.closed, r.closedAt = true, time.Now()
 	if timedOut {
-		v.recordViolationLocked(ruleResponse, r.id+": no response")
+		v.recordViolationLocked(ruleResponse, r.id+": no response within responseTimeout")
 	}
 }
 
-// recordAttemptStart records an attempt. drainsSince is when the agent was notified that its endpoint drains, or zero.
+// recordAttemptStart records an attempt. drainNotifiedAt is when the agent was notified that the endpoint is draining,
+// or zero if it is not draining.
 func (v *soakVerifier) recordAttemptStart(id string, a *soakAttempt, drainNotifiedAt time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r := v.requests[id]
 	if r == nil {
-		v.recordViolationLocked(ruleAttempt, id+" was never sent by a client")
+		v.recordViolationLocked(ruleAttempt, id+": no client has sent this request")
 		return
 	}
 	if late := a.startedAt.Sub(drainNotifiedAt); !drainNotifiedAt.IsZero() && late > drainGraceDuration+v.slack {
-		v.recordViolationLocked(ruleDrain, fmt.Sprintf("%s: %v after the notice", id, late))
+		v.recordViolationLocked(ruleDrain, fmt.Sprintf("%s: attempt %v after the notification of the drain", id, late))
 	}
 	requestTimeLeft := r.sentAt.Add(r.timeout).Sub(a.startedAt)
 	if a.timeout > requestTimeLeft+attemptTimeoutSlack+v.slack {
-		v.recordViolationLocked(ruleAttemptTimeout, fmt.Sprintf("%s: states %v with %v left", id, a.timeout, requestTimeLeft))
+		v.recordViolationLocked(ruleAttemptTimeout,
+			fmt.Sprintf("%s: got an attempt timeout of %v, want at most %v", id, a.timeout, requestTimeLeft))
 	}
 	r.attempts = append(r.attempts, a)
 }
--- a/cmd/ashshunt/soak_test.go
+++ b/cmd/ashshunt/soak_test.go
@@ -12,37 +12,39 @@
 )
 
 const (
-	// soakSeedsEnvVar names the seeds that TestSoak runs, as "FROM-TO"; without it, the four of CI are run.
+	// soakSeedsEnvVar is the environment variable with the range of seeds that TestSoak runs, as "FROM-TO". The default
+	// is 1-4, which CI runs.
 	soakSeedsEnvVar = "ASHSHUNT_SOAK_SEEDS"
-	// soakStrictEnvVar has TestSoak kill the agent at the earliest time and judge times by the protocol's slack, for
-	// which the machine must not be busy. Without it, an agent that shuts down may take its time, and only what never
-	// happens, or happens too often, is an error.
+	// soakStrictEnvVar is the environment variable that enables the strict mode of TestSoak. The strict mode needs an
+	// idle machine: it kills the agent at the earliest time that the protocol allows and uses strictSlack. Otherwise the
+	// agent is not killed, and looseSlack limits the errors to events that never happen or happen too often.
 	soakStrictEnvVar = "ASHSHUNT_SOAK_STRICT"
 )
 
 const (
 	soakEndpoints    = 6
 	soakClients      = 14
-	soakIdleClients  = 90 // on some seeds
-	soakIncarnations = 3  // processes of the agent, one after the other
+	soakIdleClients  = 90 // if soak.idleClients is set
+	soakIncarnations = 3  // sequential processes of the agent
 )
 
 const (
-	// acceptDuration is how long after SIGTERM clients still connect.
+	// acceptDuration is how long after SIGTERM clients still open connections.
 	acceptDuration = 400 * time.Millisecond
-	// killDelay is how long after SIGTERM and the longest deadline the agent may be killed.
+	// killDelay is the time from SIGTERM plus the longest deadline until the agent may be killed.
 	killDelay = 700 * time.Millisecond
-	// maxDeadline bounds the part of the longest deadline in that time.
+	// maxDeadline is the maximum part of the longest deadline that counts for the time of the kill.
 	maxDeadline = 3 * time.Second
 )
 
-// TestSoak runs an agent's process through reloads, shutdowns and kills. Clients keep using the connections that are
-// open, up to a kill at the earliest time that the protocol allows, while endpoints and discovery fail in many ways.
+// TestSoak runs processes of the agent through reloads, shutdowns and kills while endpoints and discovery fail in many
+// ways. It verifies the rules for all requests. Clients use their open connections until the agent is killed, at the
+// earliest time that the protocol allows.
 func TestSoak(t *testing.T) {
 	from, to := 1, 4
 	if seeds := os.Getenv(soakSeedsEnvVar); seeds != "" {
 		if _, err := fmt.Sscanf(seeds, "%d-%d", &from, &to); err != nil {
-			t.Fatalf("%s: %v", soakSeedsEnvVar, err)
+			t.Fatalf("parsing %s: %v", soakSeedsEnvVar, err)
 		}
 	}
 	for seed := from; seed <= to; seed++ {
@@ -53,7 +55,7 @@
 	}
 }
 
-// The words of the settings for kinds of idempotency and scopes of deduplication.
+// The values of Semantics and Group in the settings.
 const (
 	semanticsIdempotent        = "repeatable"
 	semanticsIdempotentWithKey = "by_key"
@@ -70,21 +72,21 @@
 	deadline, dedupWindow         time.Duration
 }
 
-// soak is one run.
+// soak is a run of TestSoak with one seed.
 type soak struct {
 	t           *testing.T
 	rng         *lockedRand
 	classes     []soakClass
-	idleClients bool // there are soakIdleClients, and few descriptors
-	listen      string
+	idleClients bool   // run soakIdleClients with a low limit of descriptors
+	listen      string // the agent's address
 	file        configFile
 	verifier    *soakVerifier
 	discovery   *soakDiscovery
-	endpoints   []*soakEndpoint // owned by the goroutine of faults once it runs
+	endpoints   []*soakEndpoint // used only by the goroutine of runFaults after its start
 	stopped     chan struct{}   // closed at the end of the run
 
-	mu         sync.Mutex // protects what follows
-	mayConnect bool       // clients may open connections now
+	mu         sync.Mutex // protects the fields below
+	mayConnect bool       // clients may open connections
 }
 
 func newSoak(t *testing.T, seed int) *soak {
@@ -103,8 +105,8 @@
 		stopped:     make(chan struct{}),
 		classes: []soakClass{
 			{name: "look", idempotency: semanticsIdempotent, deadline: longest},
-			{name: "hold", idempotency: semanticsIdempotentWithKey, dedupScope: scopes[seed%3], deadline: longest * 4 / 5,
-				dedupWindow: rng.drawDuration(200*time.Millisecond, 900*time.Millisecond)},
+			{name: "hold", idempotency: semanticsIdempotentWithKey, dedupScope: scopes[seed%3],
+				deadline: longest * 4 / 5, dedupWindow: rng.drawDuration(200*time.Millisecond, 900*time.Millisecond)},
 			{name: "settle", idempotency: semanticsNotIdempotent, deadline: longest * 2 / 3},
 		},
 	}
@@ -117,7 +119,8 @@
 	return s
 }
 
-// freeAddr returns an address that each process of the agent can listen on, as no other seed uses its host.
+// freeAddr returns an address for the processes of the agent to listen on. Its host depends on the seed, so that runs
+// with other seeds do not use the address.
 func freeAddr(t *testing.T, seed int) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.1:0", 10+seed/250, seed%250))
@@ -130,15 +133,15 @@
 	return listener.Addr().String()
 }
 
-// soakConfigFormat takes the agent's address, that of discovery, the limit of descriptors, the known endpoint list and
-// the classes.
+// soakConfigFormat is the format of the agent's configuration. Its arguments are the address of the agent, the address
+// of discovery, the limit of descriptors, the cached endpoint list and the classes.
 const soakConfigFormat = `{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"memory_mb":192,"sockets":%d},
  "known":%s,"settings":{"Balancers":1,"Me":0,"TickMs":5,"MembershipMode":"automatic","Dcs":["a"],"Kinds":["m"],
  "Contract":{"ColdFrom":0.3,"RampTimeMs":4000,"FallMs":1500,"FallMultiple":3,"DrainGraceMs":2000,"GraceToAnswerMs":20},
  "PolicyLimits":{"ConnectTimeoutMs":150,"TryLimit":5,"IdleCloseMs":60000,"RetryAfter":true,"MaxRetryAfterMs":3000,
  "Cancel":true,"StreamsPerConn":1},"Profiles":[%s]}}`
 
-// writeConfig writes the agent's configuration, with discovery as it is now.
+// writeConfig writes the agent's configuration with the current address and endpoint list of discovery.
 func (s *soak) writeConfig() {
 	var profiles []string
 	for _, c := range s.classes {
@@ -167,7 +170,7 @@
 	return s.mayConnect
 }
 
-// run runs the agent's processes, then judges all requests.
+// run runs the processes of the agent sequentially and then verifies all requests.
 func (s *soak) run() {
 	var workers sync.WaitGroup
 	for range soakClients {
@@ -188,7 +191,7 @@
 	s.verifier.verify()
 }
 
-// runAgent runs one process of the agent from its start to its end.
+// runAgent runs a process of the agent from its start until its exit.
 func (s *soak) runAgent(incarnation int) {
 	s.writeConfig()
 	s.discovery.recordRestart()
@@ -198,7 +201,7 @@
 	s.setMayConnect(true)
 
 	time.Sleep(s.rng.drawDuration(1200*time.Millisecond, 2*time.Second))
-	for range s.rng.drawInt(4) { // reloads in a row
+	for range s.rng.drawInt(4) {
 		s.reload(process)
 	}
 	time.Sleep(s.rng.drawDuration(500*time.Millisecond, 2*time.Second))
@@ -208,7 +211,8 @@
 	s.waitForExit(process, incarnation)
 }
 
-// recordInternalErrors passes internal errors of the agent to the judge until the log ends, which closes the channel.
+// recordInternalErrors records the internal errors in the agent's log in the background. The returned channel is closed
+// at the end of the log.
 func (s *soak) recordInternalErrors(process agentProcess) (ended <-chan struct{}) {
 	logEnded := make(chan struct{})
 	go func() {
@@ -222,14 +226,15 @@
 	return logEnded
 }
 
-// reload has the agent read a configuration that may name another discovery. The file may be half-written at first.
+// reload makes the agent reload its configuration, which may have another address of discovery. Sometimes the file is
+// incomplete at a first signal.
 func (s *soak) reload(process agentProcess) {
 	if s.rng.drawBool(0.5) {
 		s.discovery.switchAddr()
 	}
 	if s.rng.drawBool(0.3) {
 		s.file.write(s.t, `{"name":"n1",`)
-		_ = process.Process.Signal(syscall.SIGHUP) // it may have ended
+		_ = process.Process.Signal(syscall.SIGHUP) // fails if the process has exited
 		time.Sleep(s.rng.drawDuration(0, 50*time.Millisecond))
 	}
 	s.writeConfig()
@@ -237,10 +242,10 @@
 	time.Sleep(s.rng.drawDuration(0, 100*time.Millisecond))
 }
 
-// stopAgent sends SIGTERM, and further signals in half of the cases. If the judge is strict, the agent is killed at the
+// stopAgent sends SIGTERM, and further signals with a probability of 0.5. In strict mode it kills the agent at the
 // earliest time that the protocol allows.
 func (s *soak) stopAgent(process agentProcess) {
-	if !s.verifier.strict { // no client is still connecting as the listener closes, however busy the machine is
+	if !s.verifier.strict { // prevents connects while the listener is closed, even on a busy machine
 		s.setMayConnect(false)
 		time.Sleep(200 * time.Millisecond)
 	}
@@ -249,17 +254,17 @@
 	time.AfterFunc(acceptDuration, func() { s.setMayConnect(false) })
 	if s.rng.drawBool(0.5) {
 		time.Sleep(s.rng.drawDuration(0, 200*time.Millisecond))
-		_ = process.Process.Signal(syscall.SIGTERM) // it may have ended
+		_ = process.Process.Signal(syscall.SIGTERM) // fails if the process has exited
 		s.reload(process)
 	}
 	if s.verifier.strict {
 		time.Sleep(time.Until(terminatedAt.Add(s.longestDeadline() + killDelay)))
 		s.verifier.recordKill(time.Now())
-		_ = process.Process.Kill() // it may have ended
+		_ = process.Process.Kill() // fails if the process has exited
 	}
 }
 
-// longestDeadline is the part of the time after SIGTERM that depends on the classes.
+// longestDeadline returns the longest class deadline, limited to maxDeadline.
 func (s *soak) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.classes {
@@ -268,7 +273,7 @@
 	return min(longest, maxDeadline)
 }
 
-// waitForExit waits for the agent's end, which must be an exit with status 0 or a kill.
+// waitForExit waits until the agent's process exits. It must exit with status 0 or be killed.
 func (s *soak) waitForExit(process agentProcess, incarnation int) {
 	err := process.Wait()
 	status, ok := process.ProcessState.Sys().(syscall.WaitStatus)
@@ -278,7 +283,7 @@
 	}
 }
 
-// runFaults has endpoints fail, drain and be replaced, and watches break, until the end of the run.
+// runFaults injects faults at random intervals until the run is stopped.
 func (s *soak) runFaults() {
 	for number := soakEndpoints; ; number++ {
 		select {
@@ -290,7 +295,8 @@
 	}
 }
 
-// injectFault causes one fault. newID is for an endpoint that may be started.
+// injectFault either breaks all watches, or drains the oldest endpoint and adds one with newID, or makes an endpoint
+// fail.
 func (s *soak) injectFault(newID string) {
 	serving := s.endpoints[len(s.endpoints)-soakEndpoints:]
 	endpoint := serving[s.rng.drawInt(len(serving))]
@@ -308,7 +314,7 @@
 	endpoint.injectFault(fault, s.rng.drawDuration(200*time.Millisecond, 1500*time.Millisecond))
 }
 
-// addEndpoint starts an endpoint and lists it.
+// addEndpoint starts an endpoint and publishes it as serving.
 func (s *soak) addEndpoint(id string, startedMs int64) {
 	e := newSoakEndpoint(s, id, len(s.endpoints)%2)
 	s.endpoints = append(s.endpoints, e)
