--- a/cmd/ashshunt/descriptors_test.go
+++ b/cmd/ashshunt/descriptors_test.go
@@ -115,8 +115,8 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("timed out waiting for a served request after discovery is up: last response %v, error %v", response,
-				err)
+			t.Fatalf("timed out waiting for a served request after discovery is up: got response %v, error %v",
+				response, err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/cmd/ashshunt/soak_client_test.go
+++ b/cmd/ashshunt/soak_client_test.go
@@ -195,7 +195,8 @@
 		return
 	}
 	startedAt := time.Now()
-	_ = c.conn.SetReadDeadline(startedAt.Add(incompleteTimeout)) // fails if the connection has ended, and so does the read
+	// SetReadDeadline fails if the connection has ended, and so does the read.
+	_ = c.conn.SetReadDeadline(startedAt.Add(incompleteTimeout))
 	if _, err := c.in.ReadByte(); errors.Is(err, os.ErrDeadlineExceeded) {
 		c.soak.verifier.recordViolation(ruleIncomplete, fmt.Sprintf("%q: still open after %v", text, incompleteTimeout))
 	}
--- a/cmd/ashshunt/soak_discovery_test.go
+++ b/cmd/ashshunt/soak_discovery_test.go
@@ -37,7 +37,7 @@
 }
 
 const (
-	// maxNotifyDelay is the time after a change at which the agent counts as notified even if no watch has delivered it.
+	// maxNotifyDelay is the time after a change at which the agent counts as notified even without a delivery.
 	maxNotifyDelay = 6 * time.Second
 	// movedWatchDuration is how long the watches of the old address continue after a switch of the address.
 	movedWatchDuration = 1500 * time.Millisecond
--- a/cmd/ashshunt/soak_judge_test.go
+++ b/cmd/ashshunt/soak_judge_test.go
@@ -35,7 +35,7 @@
 const (
 	// strictSlack is the tolerance of all time limits in strict mode.
 	strictSlack = 50 * time.Millisecond
-	// looseSlack is the tolerance otherwise. On a busy machine only events that never happen are then detected.
+	// looseSlack is the tolerance otherwise, for busy machines. Events that never happen are still detected.
 	looseSlack = 3 * time.Second
 
 	// maxResponseDelay is how long after the client's deadline a response is late but not an error.
--- a/cmd/ashshunt/soak_test.go
+++ b/cmd/ashshunt/soak_test.go
@@ -16,8 +16,8 @@
 	// is 1-4, which CI runs.
 	soakSeedsEnvVar = "ASHSHUNT_SOAK_SEEDS"
 	// soakStrictEnvVar is the environment variable that enables the strict mode of TestSoak. The strict mode needs an
-	// idle machine: it kills the agent at the earliest time that the protocol allows and uses strictSlack. Otherwise the
-	// agent is not killed, and looseSlack limits the errors to events that never happen or happen too often.
+	// idle machine: it kills the agent at the earliest time that the protocol allows and uses strictSlack. Without it,
+	// the agent is not killed, and only events that never happen, or that happen too often, are errors.
 	soakStrictEnvVar = "ASHSHUNT_SOAK_STRICT"
 )
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -78,7 +78,8 @@
 			t.Fatalf("agent %d: got health status %d with endpoints known, want 200", i, status)
 		}
 	}
-	a, _ := startAgentWith(t, testutil.Config(t, down), func(a *Agent) { a.frontend.Timeouts.ReadyWithoutEndpoints = 0 })
+	a, _ := startAgentWith(t, testutil.Config(t, down),
+		func(a *Agent) { a.frontend.Timeouts.ReadyWithoutEndpoints = 0 })
 	if status := healthStatus(t, a); status != http.StatusOK {
 		t.Errorf("got health status %d without endpoints after the wait for a list, want 200", status)
 	}
--- a/internal/agent/attempts_test.go
+++ b/internal/agent/attempts_test.go
@@ -44,7 +44,7 @@
 	for range want {
 		outcome := testutil.Receive(t, outcomes)
 		if outcome.Result != want[outcome.Attempt] || outcome.Done || seen[outcome.Attempt] {
-			t.Errorf("attempt %d: got result %d, done %v; want one outcome per attempt with the listed result, not done",
+			t.Errorf("attempt %d: got result %d, done %v; want one outcome per attempt, result as listed, not done",
 				outcome.Attempt, outcome.Result, outcome.Done)
 		}
 		seen[outcome.Attempt] = true
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -100,7 +100,7 @@
 		})
 	status := requestStatus(t, a, "POST", "/settle", id, "7000")
 	if status != http.StatusBadGateway || !logged.Contains("internal error") {
-		t.Errorf("rejection with an attempt in flight: got status %d, want 502 and an internal error in the log", status)
+		t.Errorf("rejection with an attempt in flight: got status %d, want 502 and a logged internal error", status)
 	}
 	response, _ := testutil.Do(t, a.Addr(), "POST", "/settle", "", "X-Call-Id", otherID, "X-Budget-Ms", "7000")
 	retryAfter := response.Header.Get("Retry-After")
