--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -26,7 +26,7 @@
 	listenRetryTimeout = 5 * time.Second
 )
 
-// Agent is an agent: a frontend, and the event loop that answers the frontend's requests.
+// Agent is a client-side load balancer: a frontend, and the event loop that answers the frontend's requests.
 type Agent struct {
 	loop     *eventLoop
 	frontend *frontend.Server
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -8,8 +8,8 @@
 	"ashshunt/internal/upstream"
 )
 
-// requestPhase is the state of a request. The phases are in temporal order; a request has either phaseAnswered or
-// phaseAbandoned. Only requestTable changes the phase, on the event loop's goroutine.
+// requestPhase is the state of a request: phaseOpen, then either phaseAnswered or phaseAbandoned, then phaseRemoved.
+// Only requestTable changes the phase, on the event loop's goroutine.
 type requestPhase uint8
 
 const (
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -31,8 +31,8 @@
 	return l.settings.MaxOpen > 0 && l.requests.openCount >= l.settings.MaxOpen
 }
 
-// handleAbandoned abandons a request whose client has disconnected. It ignores requests that handleSubmitted has
-// rejected and finished requests.
+// handleAbandoned abandons a request whose client has disconnected. It ignores finished requests and those that
+// handleSubmitted has rejected.
 func (l *eventLoop) handleAbandoned(inbound *frontend.Request) {
 	r := l.requests.findOpen(inbound.Event.ID)
 	if r == nil || r.inbound != inbound {
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -24,7 +24,7 @@
 	return min(longestDeadline, maxClassDeadline) + killDelay - shutdownMargin
 }
 
-// handleShutdownStarted sets the shutdown deadline and resets the deadline guards of all open requests to it.
+// handleShutdownStarted sets the shutdown deadline and moves later deadline guards of open requests forward to it.
 func (l *eventLoop) handleShutdownStarted() {
 	l.shutdownDeadline = l.clock.Now() + shutdownTimeout(l.settings)
 	for _, r := range l.requests.byID {
