--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -44,7 +44,7 @@
 	}
 	listener, err := listen(c.Listen, log)
 	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+		return nil, fmt.Errorf("listening for client connections: %w", err)
 	}
 	server := frontend.NewServer(listener, c, agentClock, loop, log)
 	return &Agent{loop: loop, frontend: server, log: log, acceptDuration: acceptDuration}, nil
--- a/internal/testutil/server.go
+++ b/internal/testutil/server.go
@@ -70,7 +70,7 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.Listener.Addr().String() }
 
-// Respond writes a response with further header lines, each terminated by CRLF.
+// Respond writes a response. headers holds additional header lines, each terminated by CRLF.
 func Respond(conn net.Conn, status int, headers, body string) {
 	// An error means that the peer has disconnected, which tests allow.
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
