--- a/cmd/ashshunt/faults_test.go
+++ b/cmd/ashshunt/faults_test.go
@@ -13,7 +13,7 @@
 	"ashshunt/internal/testutil"
 )
 
-// logPipe is a pipe that an agent writes its log to. The test has both ends.
+// logPipe is the pipe to which an agent writes its log. The test process has both ends open.
 type logPipe struct{ reader, writer *os.File }
 
 // startWithLogPipe starts the agent with a pipe as its log.
@@ -30,10 +30,11 @@
 	return startWithLog(t, config, command, reader), pipe
 }
 
-// close closes the test's ends, which may be closed already.
+// close closes both ends in the test process. It ignores that they may be closed.
 func (p logPipe) close() { _, _ = p.reader.Close(), p.writer.Close() }
 
-// fill writes to the pipe until it is full. It opens the pipe again, so that the agent's own end still blocks.
+// fill writes to the pipe until it is full. It opens a new non-blocking descriptor for this, so that writes of the
+// agent still block.
 func (p logPipe) fill(t *testing.T) {
 	t.Helper()
 	path := fmt.Sprintf("/proc/self/fd/%d", p.writer.Fd())
@@ -52,11 +53,11 @@
 	}
 }
 
-// An agent whose log is closed by its reader, or is not read any more, goes on.
-func TestBrokenLog(t *testing.T) {
+// The agent must continue to serve, reload and shut down if the reader of its log closes the pipe or stops reading.
+func TestUnreadableLogDoesNotStopAgent(t *testing.T) {
 	tests := []struct {
 		name   string
-		closed bool // otherwise it is full
+		closed bool // the pipe is closed; otherwise it is full
 	}{
 		{"closed", true},
 		{"not read", false},
@@ -68,8 +69,8 @@
 			file := newConfigFile(t)
 			file.write(t, configText(first, "", 300))
 			process, pipe := startWithLogPipe(t, file)
-			addr := process.addr(t)
-			expectWatch(t, firstWatches, "follow=1&since=0")
+			addr := process.waitForAddr(t)
+			waitForWatch(t, firstWatches, "follow=1&since=0")
 			if tt.closed {
 				pipe.close()
 			} else {
@@ -77,27 +78,27 @@
 			}
 			file.write(t, configText(second, "", 300))
 			process.signal(t, syscall.SIGHUP)
-			expectWatch(t, secondWatches, "follow=1")
+			waitForWatch(t, secondWatches, "follow=1")
 			client := testutil.Dial(t, addr, requestText(1, 250))
 			if status := testutil.ReadStatus(t, client); status != http.StatusServiceUnavailable {
-				t.Errorf("status %d, want 503 since there is no endpoint", status)
+				t.Errorf("got status %d, want 503, since there are no endpoints", status)
 			}
 			process.signal(t, syscall.SIGTERM)
 			if err := process.Wait(); err != nil {
-				t.Errorf("it ends with %v", err)
+				t.Errorf("got exit error %v, want exit status 0", err)
 			}
 		})
 	}
 }
 
-// A signal to reload is not lost when the file can't be read for a moment, or is incomplete.
-func TestReloadOnceTheFileCanBeRead(t *testing.T) {
+// The agent must retry a reload whose file is missing or incomplete, without a further signal.
+func TestReloadRetriesUnreadableFile(t *testing.T) {
 	tests := []struct {
 		name, text string
 		missing    bool
 	}{
 		{name: "missing", missing: true},
-		{name: "half-written", text: `{"name":"n0",`},
+		{name: "incomplete", text: `{"name":"n0",`},
 		{name: "empty", text: ""},
 	}
 	for _, tt := range tests {
@@ -107,41 +108,41 @@
 			file := newConfigFile(t)
 			file.write(t, configText(first, "", 300))
 			process := startAgent(t, file)
-			expectWatch(t, firstWatches, "follow=1&since=0")
+			waitForWatch(t, firstWatches, "follow=1&since=0")
 			if tt.missing {
 				file.remove(t)
 			} else {
 				file.write(t, tt.text)
 			}
 			process.signal(t, syscall.SIGHUP)
-			process.expectLine(t, "invalid configuration, keeping the old one")
+			process.waitForLogLine(t, "invalid configuration, keeping the old one")
 			file.write(t, configText(second, "", 300))
-			expectWatch(t, secondWatches, "follow=1")
+			waitForWatch(t, secondWatches, "follow=1")
 		})
 	}
 }
 
-// An address that can't be listened on for a moment does not end the start.
-func TestStartOnceItCanListen(t *testing.T) {
+// The start must retry to listen on an address that is temporarily in use.
+func TestStartRetriesListen(t *testing.T) {
 	listener := testutil.Listen(t)
 	file := newConfigFile(t)
 	listen := fmt.Sprintf(`"listen":%q`, listener.Addr())
 	file.write(t, strings.Replace(configText("127.0.0.1:1", "", 300), `"listen":"127.0.0.1:0"`, listen, 1))
 	process := startAgent(t, file)
-	process.expectLine(t, "listen failed")
+	process.waitForLogLine(t, "listen failed")
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	process.addr(t)
+	process.waitForAddr(t)
 }
 
-// A configuration that is being written as the agent starts does not end the start.
-func TestStartOnceTheFileIsComplete(t *testing.T) {
+// The start must retry to read a configuration file that another process is still writing.
+func TestStartRetriesIncompleteFile(t *testing.T) {
 	file := newConfigFile(t)
 	text := configText("127.0.0.1:1", "", 300)
 	file.write(t, text[:len(text)/2])
 	process := startAgent(t, file)
-	process.expectLine(t, "configuration can't be read")
+	process.waitForLogLine(t, "configuration can't be read")
 	file.write(t, text)
-	process.addr(t)
+	process.waitForAddr(t)
 }
--- a/cmd/ashshunt/soak_discovery_test.go
+++ b/cmd/ashshunt/soak_discovery_test.go
@@ -20,47 +20,47 @@
 	StartedMs int64   `json:"started_ms"`
 }
 
-// soakList is an endpoint list, or the changes of one.
+// soakList is a complete endpoint list, or the changed entries of one.
 type soakList struct {
 	Version int         `json:"version"`
 	Full    bool        `json:"full"`
 	Servers []soakEntry `json:"servers"`
 }
 
-// json returns the list as discovery writes it.
+// json returns the list in the JSON format of discovery.
 func (l soakList) json() string {
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // the types have no value that can't be written
+		panic(err) // all values of soakList can be encoded
 	}
 	return string(text)
 }
 
 const (
-	// propagationTime is when a change counts as notified at the latest.
-	propagationTime = 6 * time.Second
-	// movedWatchTime is how long the watches of an address go on after discovery has moved.
-	movedWatchTime = 1500 * time.Millisecond
-	// heartbeatInterval is the time between two lines of a watch without changes.
+	// maxNotifyDelay is the time after a change at which the agent counts as notified even without a delivery.
+	maxNotifyDelay = 6 * time.Second
+	// movedWatchDuration is how long the watches of the old address continue after a switch of the address.
+	movedWatchDuration = 1500 * time.Millisecond
+	// heartbeatInterval is the time between two empty lines of a watch without changes.
 	heartbeatInterval = 2 * time.Second
-	// watchCapacity is how many changes a watch that is not read may be behind.
+	// watchCapacity is the number of undelivered changes that a watch can hold.
 	watchCapacity = 1000
 )
 
-// soakDiscovery is a stand-in for discovery, at two addresses of which one is in use.
+// soakDiscovery is a fake discovery service with two addresses, one of which is in use.
 type soakDiscovery struct {
 	addrs [2]string
 
-	mu       sync.Mutex // protects what follows
-	current  int        // position of the address in use
-	version  int
-	entries  []soakEntry
-	watches  map[*soakWatch]bool
-	drainsAt map[string]time.Time // when the agent counts as notified that an endpoint drains
+	mu              sync.Mutex // protects the fields below
+	currentIndex    int        // index in addrs of the address in use
+	version         int
+	entries         []soakEntry
+	watches         map[*soakWatch]bool
+	drainNotifiedAt map[string]time.Time // by endpoint ID: when the agent counts as notified of its drain
 }
 
 func newSoakDiscovery(s *soak) *soakDiscovery {
-	d := &soakDiscovery{watches: map[*soakWatch]bool{}, drainsAt: map[string]time.Time{}}
+	d := &soakDiscovery{watches: map[*soakWatch]bool{}, drainNotifiedAt: map[string]time.Time{}}
 	for i := range d.addrs {
 		d.addrs[i] = serveHTTP(s.t, func(w http.ResponseWriter, r *http.Request) { d.serveWatch(w, r, i) })
 	}
@@ -70,27 +70,27 @@
 func (d *soakDiscovery) currentAddr() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.addrs[d.current]
+	return d.addrs[d.currentIndex]
 }
 
-// completeList returns the endpoint list as discovery writes it.
+// completeList returns the complete endpoint list in the JSON format of discovery.
 func (d *soakDiscovery) completeList() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return soakList{Version: d.version, Full: true, Servers: d.entries}.json()
 }
 
-// move switches to the other address. The open watches go on for a while.
-func (d *soakDiscovery) move() {
+// switchAddr switches to the other address. Open watches continue for movedWatchDuration.
+func (d *soakDiscovery) switchAddr() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.current = 1 - d.current
+	d.currentIndex = 1 - d.currentIndex
 	for w := range d.watches {
-		time.AfterFunc(movedWatchTime, w.end)
+		time.AfterFunc(movedWatchDuration, w.stop)
 	}
 }
 
-// breakWatches ends all watches, or has them fall silent.
+// breakWatches stops all watches, or makes them silent: open but without further lines.
 func (d *soakDiscovery) breakWatches(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -98,13 +98,13 @@
 		if silent {
 			w.silent = true
 		} else {
-			w.end()
+			w.stop()
 		}
 	}
 }
 
-// change lists an entry, or another state of it.
-func (d *soakDiscovery) change(entry soakEntry) {
+// publish adds an entry to the list, or replaces it, and sends the change to all watches.
+func (d *soakDiscovery) publish(entry soakEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
@@ -117,82 +117,85 @@
 	}
 }
 
-// drain lists an endpoint as draining.
+// drain publishes that an endpoint is draining.
 func (d *soakDiscovery) drain(id string) {
-	entry := d.startDrain(id)
+	entry := d.recordDrain(id)
 	entry.State = "DRAINING"
-	d.change(entry)
+	d.publish(entry)
 }
 
-// startDrain notes when the agent counts as notified, and returns the entry of the endpoint.
-func (d *soakDiscovery) startDrain(id string) (entry soakEntry) {
+// recordDrain sets the latest time at which the agent counts as notified of an endpoint's drain, and returns the
+// endpoint's entry.
+func (d *soakDiscovery) recordDrain(id string) (entry soakEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if i := slices.IndexFunc(d.entries, func(e soakEntry) bool { return e.ID == id }); i >= 0 {
 		entry = d.entries[i]
 	}
-	d.drainsAt[id] = time.Now().Add(propagationTime)
+	d.drainNotifiedAt[id] = time.Now().Add(maxNotifyDelay)
 	return entry
 }
 
-// restarted notes that a new process has the current list in its configuration.
-func (d *soakDiscovery) restarted() {
+// recordRestart records that a new process of the agent gets the current list with its configuration.
+func (d *soakDiscovery) recordRestart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id := range d.drainsAt {
-		d.notifyLocked(id)
+	for id := range d.drainNotifiedAt {
+		d.recordNotifiedLocked(id)
 	}
 }
 
-// delivered notes that a list was written to the agent.
-func (d *soakDiscovery) delivered(list soakList) {
+// recordDelivery records that a list is sent to the agent.
+func (d *soakDiscovery) recordDelivery(list soakList) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range list.Servers {
-		if _, drains := d.drainsAt[e.ID]; drains && e.State != "SERVING" {
-			d.notifyLocked(e.ID)
+		if _, drains := d.drainNotifiedAt[e.ID]; drains && e.State != "SERVING" {
+			d.recordNotifiedLocked(e.ID)
 		}
 	}
 }
 
-// notifyLocked counts the agent as notified by now that an endpoint drains. The caller holds the mutex.
-func (d *soakDiscovery) notifyLocked(id string) {
-	if now := time.Now(); now.Before(d.drainsAt[id]) {
-		d.drainsAt[id] = now
+// recordNotifiedLocked records that the agent is notified of an endpoint's drain, now at the latest. The caller holds
+// the mutex.
+func (d *soakDiscovery) recordNotifiedLocked(id string) {
+	if now := time.Now(); now.Before(d.drainNotifiedAt[id]) {
+		d.drainNotifiedAt[id] = now
 	}
 }
 
-// notifiedOfDrain is when the agent counts as notified that an endpoint drains; zero: it does not.
-func (d *soakDiscovery) notifiedOfDrain(id string) time.Time {
+// drainNotificationTime returns when the agent counts as notified of an endpoint's drain, or zero if the endpoint is
+// not draining.
+func (d *soakDiscovery) drainNotificationTime(id string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.drainsAt[id]
+	return d.drainNotifiedAt[id]
 }
 
 // soakWatch is an open watch.
 type soakWatch struct {
 	changes chan soakList
 	silent  bool          // protected by soakDiscovery.mu
-	ended   chan struct{} // closed to end it
-	once    sync.Once     // closes ended
+	stopped chan struct{} // closed by stop
+	once    sync.Once     // closes stopped
 }
 
-func (w *soakWatch) end() { w.once.Do(func() { close(w.ended) }) }
+func (w *soakWatch) stop() { w.once.Do(func() { close(w.stopped) }) }
 
-// openWatch adds a watch, whose first list is the complete one. It returns nil at an address that is not in use.
-func (d *soakDiscovery) openWatch(address int) *soakWatch {
+// addWatch adds a watch that starts with the complete list. It returns nil for an address that is not in use.
+func (d *soakDiscovery) addWatch(addrIndex int) *soakWatch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if address != d.current {
+	if addrIndex != d.currentIndex {
 		return nil
 	}
-	watch := &soakWatch{changes: make(chan soakList, watchCapacity), ended: make(chan struct{})}
+	watch := &soakWatch{changes: make(chan soakList, watchCapacity), stopped: make(chan struct{})}
 	watch.changes <- soakList{Version: d.version, Full: true, Servers: slices.Clone(d.entries)}
 	d.watches[watch] = true
 	return watch
 }
 
-func (d *soakDiscovery) closeWatch(watch *soakWatch) {
+func (d *soakDiscovery) removeWatch(watch *soakWatch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.watches, watch)
@@ -204,21 +207,21 @@
 	return watch.silent
 }
 
-// serveWatch responds to a watch with the complete list and the changes after it.
-func (d *soakDiscovery) serveWatch(w http.ResponseWriter, r *http.Request, address int) {
-	watch := d.openWatch(address)
+// serveWatch responds to a watch with the complete list and subsequent changes.
+func (d *soakDiscovery) serveWatch(w http.ResponseWriter, r *http.Request, addrIndex int) {
+	watch := d.addWatch(addrIndex)
 	if watch == nil {
 		panic(http.ErrAbortHandler)
 	}
-	defer d.closeWatch(watch)
+	defer d.removeWatch(watch)
 	for {
 		line := ""
 		select {
 		case list := <-watch.changes:
 			line = list.json()
-			d.delivered(list)
+			d.recordDelivery(list)
 		case <-time.After(heartbeatInterval):
-		case <-watch.ended:
+		case <-watch.stopped:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			return
@@ -226,7 +229,7 @@
 		if d.isSilent(watch) {
 			continue
 		}
-		_, _ = w.Write([]byte(line + "\n")) // the agent may have gone
+		_, _ = w.Write([]byte(line + "\n")) // fails if the agent has disconnected
 		_ = http.NewResponseController(w).Flush()
 	}
 }
--- a/cmd/ashshunt/soak_random_test.go
+++ b/cmd/ashshunt/soak_random_test.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// lockedRand is a source of random numbers for several goroutines.
+// lockedRand is a random number generator that is safe for concurrent use.
 type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// newLockedRand returns the source of a run. The stream number keeps it apart from other sources of the same seed.
+// newLockedRand returns the generator of a run. The stream number separates it from other generators of the same seed.
 func newLockedRand(seed int) *lockedRand {
 	const stream = 3
 	return &lockedRand{rng: rand.New(rand.NewPCG(uint64(seed), stream))}
 }
 
-// float draws a number from [0, 1).
-func (r *lockedRand) float() float64 {
+// drawFloat draws a number from [0, 1).
+func (r *lockedRand) drawFloat() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.Float64()
 }
 
-// below draws a whole number from [0, bound).
-func (r *lockedRand) below(bound int) int { return int(r.float() * float64(bound)) }
+// drawInt draws an integer from [0, bound).
+func (r *lockedRand) drawInt(bound int) int { return int(r.drawFloat() * float64(bound)) }
 
-// between draws a time from [low, high).
-func (r *lockedRand) between(low, high time.Duration) time.Duration {
-	return low + time.Duration(r.float()*float64(high-low))
+// drawDuration draws a duration from [low, high).
+func (r *lockedRand) drawDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(r.drawFloat()*float64(high-low))
 }
 
-// chance is true with a probability.
-func (r *lockedRand) chance(probability float64) bool { return r.float() < probability }
+// drawBool returns true with the given probability.
+func (r *lockedRand) drawBool(probability float64) bool { return r.drawFloat() < probability }
--- a/cmd/ashshunt/soak_test.go
+++ b/cmd/ashshunt/soak_test.go
@@ -12,37 +12,39 @@
 )
 
 const (
-	// soakSeedsVariable names the seeds that TestSoak runs, as "FROM-TO"; without it, the four of CI are run.
-	soakSeedsVariable = "ASHSHUNT_SOAK_SEEDS"
-	// soakStrictVariable has TestSoak kill the agent at the earliest time and judge times by the protocol's slack, for
-	// which the machine must not be busy. Without it, an agent that shuts down may take its time, and only what never
-	// happens, or happens too often, is an error.
-	soakStrictVariable = "ASHSHUNT_SOAK_STRICT"
+	// soakSeedsEnvVar is the environment variable with the range of seeds that TestSoak runs, as "FROM-TO". The default
+	// is 1-4, which CI runs.
+	soakSeedsEnvVar = "ASHSHUNT_SOAK_SEEDS"
+	// soakStrictEnvVar is the environment variable that enables the strict mode of TestSoak. The strict mode needs an
+	// idle machine: it kills the agent at the earliest time that the protocol allows and uses strictSlack. Without it,
+	// the agent is not killed, and only events that never happen, or that happen too often, are errors.
+	soakStrictEnvVar = "ASHSHUNT_SOAK_STRICT"
 )
 
 const (
 	soakEndpoints    = 6
 	soakClients      = 14
-	soakIdleClients  = 90 // on some seeds
-	soakIncarnations = 3  // processes of the agent, one after the other
+	soakIdleClients  = 90 // if soak.idleClients is set
+	soakIncarnations = 3  // sequential processes of the agent
 )
 
 const (
-	// acceptPeriod is how long after SIGTERM clients still connect.
-	acceptPeriod = 400 * time.Millisecond
-	// killDelay is how long after SIGTERM and the longest deadline the agent may be killed.
+	// acceptDuration is how long after SIGTERM clients still open connections.
+	acceptDuration = 400 * time.Millisecond
+	// killDelay is the time from SIGTERM plus the longest deadline until the agent may be killed.
 	killDelay = 700 * time.Millisecond
-	// maxDeadline bounds the part of the longest deadline in that time.
+	// maxDeadline is the maximum part of the longest deadline that counts for the time of the kill.
 	maxDeadline = 3 * time.Second
 )
 
-// TestSoak runs an agent's process through reloads, shutdowns and kills. Clients keep using the connections that are
-// open, up to a kill at the earliest time that the protocol allows, while endpoints and discovery fail in many ways.
+// TestSoak runs processes of the agent through reloads, shutdowns and kills while endpoints and discovery fail in many
+// ways. It verifies the rules for all requests. Clients use their open connections until the agent is killed, at the
+// earliest time that the protocol allows.
 func TestSoak(t *testing.T) {
 	from, to := 1, 4
-	if seeds := os.Getenv(soakSeedsVariable); seeds != "" {
+	if seeds := os.Getenv(soakSeedsEnvVar); seeds != "" {
 		if _, err := fmt.Sscanf(seeds, "%d-%d", &from, &to); err != nil {
-			t.Fatalf("%s: %v", soakSeedsVariable, err)
+			t.Fatalf("parsing %s: %v", soakSeedsEnvVar, err)
 		}
 	}
 	for seed := from; seed <= to; seed++ {
@@ -53,15 +55,15 @@
 	}
 }
 
-// The words of the settings for kinds of idempotency and scopes of deduplication.
+// The values of Semantics and Group in the settings.
 const (
-	wordIdempotent    = "repeatable"
-	wordWithKey       = "by_key"
-	wordNotIdempotent = "once"
+	semanticsIdempotent        = "repeatable"
+	semanticsIdempotentWithKey = "by_key"
+	semanticsNotIdempotent     = "once"
 
-	wordEverywhere = "all"
-	wordInZone     = "zone"
-	wordInCell     = "cell"
+	dedupEverywhere = "all"
+	dedupInZone     = "zone"
+	dedupInCell     = "cell"
 )
 
 // soakClass is a class of requests.
@@ -70,31 +72,31 @@
 	deadline, dedupWindow         time.Duration
 }
 
-// soak is one run.
+// soak is a run of TestSoak with one seed.
 type soak struct {
 	t           *testing.T
 	rng         *lockedRand
 	classes     []soakClass
-	idleClients bool // there are soakIdleClients, and few descriptors
-	listen      string
+	idleClients bool   // run soakIdleClients with a low limit of descriptors
+	listen      string // the agent's address
 	file        configFile
-	judge       *soakJudge
+	verifier    *soakVerifier
 	discovery   *soakDiscovery
-	endpoints   []*soakEndpoint // owned by the goroutine of faults once it runs
+	endpoints   []*soakEndpoint // used only by the goroutine of runFaults after its start
 	stopped     chan struct{}   // closed at the end of the run
 
-	mu         sync.Mutex // protects what follows
-	mayConnect bool       // clients may open connections now
+	mu         sync.Mutex // protects the fields below
+	mayConnect bool       // clients may open connections
 }
 
 func newSoak(t *testing.T, seed int) *soak {
 	t.Helper()
 	rng := newLockedRand(seed)
-	longest := rng.between(50*time.Millisecond, 250*time.Millisecond)
-	if rng.chance(0.5) {
-		longest = rng.between(400*time.Millisecond, 2*time.Second)
+	longest := rng.drawDuration(50*time.Millisecond, 250*time.Millisecond)
+	if rng.drawBool(0.5) {
+		longest = rng.drawDuration(400*time.Millisecond, 2*time.Second)
 	}
-	scopes := []string{wordEverywhere, wordInZone, wordInCell}
+	scopes := []string{dedupEverywhere, dedupInZone, dedupInCell}
 	s := &soak{
 		t:           t,
 		rng:         rng,
@@ -102,13 +104,13 @@
 		file:        newConfigFile(t),
 		stopped:     make(chan struct{}),
 		classes: []soakClass{
-			{name: "look", idempotency: wordIdempotent, deadline: longest},
-			{name: "hold", idempotency: wordWithKey, dedupScope: scopes[seed%3], deadline: longest * 4 / 5,
-				dedupWindow: rng.between(200*time.Millisecond, 900*time.Millisecond)},
-			{name: "settle", idempotency: wordNotIdempotent, deadline: longest * 2 / 3},
+			{name: "look", idempotency: semanticsIdempotent, deadline: longest},
+			{name: "hold", idempotency: semanticsIdempotentWithKey, dedupScope: scopes[seed%3],
+				deadline: longest * 4 / 5, dedupWindow: rng.drawDuration(200*time.Millisecond, 900*time.Millisecond)},
+			{name: "settle", idempotency: semanticsNotIdempotent, deadline: longest * 2 / 3},
 		},
 	}
-	s.judge = newSoakJudge(t, s.classes, os.Getenv(soakStrictVariable) != "")
+	s.verifier = newSoakVerifier(t, s.classes, os.Getenv(soakStrictEnvVar) != "")
 	s.discovery = newSoakDiscovery(s)
 	for i := range soakEndpoints {
 		s.addEndpoint(fmt.Sprint("s", i), 0)
@@ -117,7 +119,8 @@
 	return s
 }
 
-// freeAddr returns an address that each process of the agent can listen on, as no other seed uses its host.
+// freeAddr returns an address for the processes of the agent to listen on. Its host depends on the seed, so that runs
+// with other seeds do not use the address.
 func freeAddr(t *testing.T, seed int) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.1:0", 10+seed/250, seed%250))
@@ -130,15 +133,15 @@
 	return listener.Addr().String()
 }
 
-// soakConfigFormat takes the agent's address, that of discovery, the limit of descriptors, the known endpoint list and
-// the classes.
+// soakConfigFormat is the format of the agent's configuration. Its arguments are the address of the agent, the address
+// of discovery, the limit of descriptors, the cached endpoint list and the classes.
 const soakConfigFormat = `{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"memory_mb":192,"sockets":%d},
  "known":%s,"settings":{"Balancers":1,"Me":0,"TickMs":5,"MembershipMode":"automatic","Dcs":["a"],"Kinds":["m"],
  "Contract":{"ColdFrom":0.3,"RampTimeMs":4000,"FallMs":1500,"FallMultiple":3,"DrainGraceMs":2000,"GraceToAnswerMs":20},
  "PolicyLimits":{"ConnectTimeoutMs":150,"TryLimit":5,"IdleCloseMs":60000,"RetryAfter":true,"MaxRetryAfterMs":3000,
  "Cancel":true,"StreamsPerConn":1},"Profiles":[%s]}}`
 
-// writeConfig writes the agent's configuration, with discovery as it is now.
+// writeConfig writes the agent's configuration with the current address and endpoint list of discovery.
 func (s *soak) writeConfig() {
 	var profiles []string
 	for _, c := range s.classes {
@@ -167,99 +170,101 @@
 	return s.mayConnect
 }
 
-// run runs the agent's processes, then judges all requests.
+// run runs the processes of the agent sequentially and then verifies all requests.
 func (s *soak) run() {
-	var others sync.WaitGroup
+	var workers sync.WaitGroup
 	for range soakClients {
-		others.Go(func() { newSoakClient(s).run() })
+		workers.Go(func() { newSoakClient(s).run() })
 	}
 	if s.idleClients {
 		for range soakIdleClients {
-			others.Go(s.runIdleClient)
+			workers.Go(s.runIdleClient)
 		}
 	}
-	others.Go(s.runFaults)
+	workers.Go(s.runFaults)
 	for incarnation := range soakIncarnations {
 		s.runAgent(incarnation)
 	}
 	s.setMayConnect(false)
 	close(s.stopped)
-	others.Wait()
-	s.judge.verdict()
+	workers.Wait()
+	s.verifier.verify()
 }
 
-// runAgent runs one process of the agent from its start to its end.
+// runAgent runs a process of the agent from its start until its exit.
 func (s *soak) runAgent(incarnation int) {
 	s.writeConfig()
-	s.discovery.restarted()
+	s.discovery.recordRestart()
 	process := startAgent(s.t, s.file)
-	process.addr(s.t)
-	logEnded := s.watchLog(process)
+	process.waitForAddr(s.t)
+	logEnded := s.recordInternalErrors(process)
 	s.setMayConnect(true)
 
-	time.Sleep(s.rng.between(1200*time.Millisecond, 2*time.Second))
-	for range s.rng.below(4) { // reloads in a row
+	time.Sleep(s.rng.drawDuration(1200*time.Millisecond, 2*time.Second))
+	for range s.rng.drawInt(4) {
 		s.reload(process)
 	}
-	time.Sleep(s.rng.between(500*time.Millisecond, 2*time.Second))
+	time.Sleep(s.rng.drawDuration(500*time.Millisecond, 2*time.Second))
 
-	s.shutDown(process)
+	s.stopAgent(process)
 	<-logEnded
-	s.awaitExit(process, incarnation)
+	s.waitForExit(process, incarnation)
 }
 
-// watchLog passes internal errors of the agent to the judge until the log ends, which closes the channel.
-func (s *soak) watchLog(process agentProcess) (ended <-chan struct{}) {
+// recordInternalErrors records the internal errors in the agent's log in the background. The returned channel is closed
+// at the end of the log.
+func (s *soak) recordInternalErrors(process agentProcess) (ended <-chan struct{}) {
 	logEnded := make(chan struct{})
 	go func() {
 		defer close(logEnded)
 		for process.log.Scan() {
 			if line := process.log.Text(); strings.Contains(line, "internal error") || strings.Contains(line, "panic") {
-				s.judge.logged(line)
+				s.verifier.recordLogLine(line)
 			}
 		}
 	}()
 	return logEnded
 }
 
-// reload has the agent read a configuration that may name another discovery. The file may be half-written at first.
+// reload makes the agent reload its configuration, which may have another address of discovery. Sometimes the file is
+// incomplete at a first signal.
 func (s *soak) reload(process agentProcess) {
-	if s.rng.chance(0.5) {
-		s.discovery.move()
+	if s.rng.drawBool(0.5) {
+		s.discovery.switchAddr()
 	}
-	if s.rng.chance(0.3) {
+	if s.rng.drawBool(0.3) {
 		s.file.write(s.t, `{"name":"n1",`)
-		_ = process.Process.Signal(syscall.SIGHUP) // it may have ended
-		time.Sleep(s.rng.between(0, 50*time.Millisecond))
+		_ = process.Process.Signal(syscall.SIGHUP) // fails if the process has exited
+		time.Sleep(s.rng.drawDuration(0, 50*time.Millisecond))
 	}
 	s.writeConfig()
 	_ = process.Process.Signal(syscall.SIGHUP)
-	time.Sleep(s.rng.between(0, 100*time.Millisecond))
+	time.Sleep(s.rng.drawDuration(0, 100*time.Millisecond))
 }
 
-// shutDown sends SIGTERM, and further signals in half of the cases. If the judge is strict, the agent is killed at the
+// stopAgent sends SIGTERM, and further signals with a probability of 0.5. In strict mode it kills the agent at the
 // earliest time that the protocol allows.
-func (s *soak) shutDown(process agentProcess) {
-	if !s.judge.strict { // no client is still connecting as the listener closes, however busy the machine is
+func (s *soak) stopAgent(process agentProcess) {
+	if !s.verifier.strict { // prevents connects while the listener is closed, even on a busy machine
 		s.setMayConnect(false)
 		time.Sleep(200 * time.Millisecond)
 	}
 	terminatedAt := time.Now()
 	process.signal(s.t, syscall.SIGTERM)
-	time.AfterFunc(acceptPeriod, func() { s.setMayConnect(false) })
-	if s.rng.chance(0.5) {
-		time.Sleep(s.rng.between(0, 200*time.Millisecond))
-		_ = process.Process.Signal(syscall.SIGTERM) // it may have ended
+	time.AfterFunc(acceptDuration, func() { s.setMayConnect(false) })
+	if s.rng.drawBool(0.5) {
+		time.Sleep(s.rng.drawDuration(0, 200*time.Millisecond))
+		_ = process.Process.Signal(syscall.SIGTERM) // fails if the process has exited
 		s.reload(process)
 	}
-	if s.judge.strict {
+	if s.verifier.strict {
 		time.Sleep(time.Until(terminatedAt.Add(s.longestDeadline() + killDelay)))
-		s.judge.killed(time.Now())
-		_ = process.Process.Kill() // it may have ended
+		s.verifier.recordKill(time.Now())
+		_ = process.Process.Kill() // fails if the process has exited
 	}
 }
 
-// longestDeadline is the part of the time after SIGTERM that depends on the classes.
+// longestDeadline returns the longest class deadline, limited to maxDeadline.
 func (s *soak) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.classes {
@@ -268,51 +273,52 @@
 	return min(longest, maxDeadline)
 }
 
-// awaitExit waits for the agent's end, which must be an exit with status 0 or a kill.
-func (s *soak) awaitExit(process agentProcess, incarnation int) {
+// waitForExit waits until the agent's process exits. It must exit with status 0 or be killed.
+func (s *soak) waitForExit(process agentProcess, incarnation int) {
 	err := process.Wait()
 	status, ok := process.ProcessState.Sys().(syscall.WaitStatus)
 	killed := ok && status.Signaled()
 	if err != nil && !killed {
-		s.judge.violated(ruleCrash, fmt.Sprintf("incarnation %d: %v", incarnation, err))
+		s.verifier.recordViolation(ruleCrash, fmt.Sprintf("incarnation %d: %v", incarnation, err))
 	}
 }
 
-// runFaults has endpoints fail, drain and be replaced, and watches break, until the end of the run.
+// runFaults injects faults at random intervals until the run is stopped.
 func (s *soak) runFaults() {
 	for number := soakEndpoints; ; number++ {
 		select {
 		case <-s.stopped:
 			return
-		case <-time.After(s.rng.between(100*time.Millisecond, 700*time.Millisecond)):
+		case <-time.After(s.rng.drawDuration(100*time.Millisecond, 700*time.Millisecond)):
 			s.injectFault(fmt.Sprint("s", number))
 		}
 	}
 }
 
-// injectFault causes one fault. newID is for an endpoint that may be started.
+// injectFault either breaks all watches, or drains the oldest endpoint and adds one with newID, or makes an endpoint
+// fail.
 func (s *soak) injectFault(newID string) {
 	serving := s.endpoints[len(s.endpoints)-soakEndpoints:]
-	endpoint := serving[s.rng.below(len(serving))]
-	if s.rng.chance(0.15) {
-		s.discovery.breakWatches(s.rng.chance(0.5))
+	endpoint := serving[s.rng.drawInt(len(serving))]
+	if s.rng.drawBool(0.15) {
+		s.discovery.breakWatches(s.rng.drawBool(0.5))
 		return
 	}
-	if s.rng.chance(0.15) {
+	if s.rng.drawBool(0.15) {
 		oldest := serving[0]
 		s.discovery.drain(oldest.id)
 		s.addEndpoint(newID, time.Now().UnixMilli())
 		return
 	}
-	fault := endpointFault(s.rng.below(faultCount))
-	endpoint.fail(fault, s.rng.between(200*time.Millisecond, 1500*time.Millisecond))
+	fault := endpointFault(s.rng.drawInt(faultCount))
+	endpoint.injectFault(fault, s.rng.drawDuration(200*time.Millisecond, 1500*time.Millisecond))
 }
 
-// addEndpoint starts an endpoint and lists it.
+// addEndpoint starts an endpoint and publishes it as serving.
 func (s *soak) addEndpoint(id string, startedMs int64) {
 	e := newSoakEndpoint(s, id, len(s.endpoints)%2)
 	s.endpoints = append(s.endpoints, e)
-	s.discovery.change(soakEntry{
+	s.discovery.publish(soakEntry{
 		ID:        id,
 		Addr:      e.server.Addr(),
 		Zone:      "a",
