--- a/internal/upstream/framing.go
+++ b/internal/upstream/framing.go
@@ -44,7 +44,7 @@
 	case len(lengths)+len(encodings) == 0:
 		return framing{kind: framedByClose}, nil
 	case len(lengths)+len(encodings) != 1:
-		return framing{}, fmt.Errorf("response has %d Content-Length and %d Transfer-Encoding headers, want one",
+		return framing{}, fmt.Errorf("response has %d Content-Length and %d Transfer-Encoding headers, want only one",
 			len(lengths), len(encodings))
 	case len(encodings) == 1:
 		if !strings.EqualFold(encodings[0], "chunked") {
