--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,7 +6,7 @@
 	"ashshunt/balancer"
 )
 
-// Names holds the names, in the settings object, of what the decision module refers to by index.
+// Names holds the names of the classes, tenants, zones and machine kinds, which the decision module refers to by index.
 type Names struct {
 	Classes []string
 	Tenants []string
