--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -71,7 +71,7 @@
 	server, loop := startServer(t, testutil.Config(t, "127.0.0.1:1"), neverRespond, nil)
 	client := testutil.Dial(t, server.Addr(), testutil.Get(id))
 	request := testutil.Receive(t, loop.received)
-	go func() { _, _ = io.WriteString(client, strings.Repeat("x", 1<<16)) }() // ends with the connection
+	go func() { _, _ = io.WriteString(client, strings.Repeat("x", 1<<16)) }() // returns when the connection is closed
 	if abandoned := testutil.Receive(t, loop.abandoned); abandoned != request {
 		t.Errorf("got abandoned request %+v, want the submitted one", abandoned)
 	}
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -67,7 +67,7 @@
 	}, reclaimImmediately)
 	first := testutil.Dial(t, server.Addr(), testutil.Post(id, ""))
 	testutil.Receive(t, submitted)
-	second := testutil.Dial(t, server.Addr(), testutil.Post(otherID, "")) // waits in the system's queue
+	second := testutil.Dial(t, server.Addr(), testutil.Post(otherID, "")) // waits in the accept queue
 	if wait, ok := server.connections.ensureSlot(time.Now().Add(time.Hour)); ok {
 		t.Errorf("got a slot of an open request (wait %v), want none", wait)
 	}
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -54,7 +54,7 @@
 	return written, nil
 }
 
-// writeSome writes at least one byte. It retries writes that fail transiently without progress.
+// writeSome calls Write, and retries it while it fails transiently without writing any byte.
 func (c Conn) writeSome(p []byte) (n int, err error) {
 	delay := initialRetryDelay
 	for retries := 0; ; retries++ {
