--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -18,9 +18,9 @@
 // backoff computes the delays before a watch is restarted: exponential backoff with full jitter. It is not safe for
 // concurrent use.
 type backoff struct {
-	baseDelay time.Duration // Upper bound of the first delay.
-	maxDelay  time.Duration // Upper bound of all delays.
-	failures  int           // Number of delays since the last reset.
+	baseDelay time.Duration // upper bound of the first delay
+	maxDelay  time.Duration // upper bound of all delays
+	failures  int           // number of delays since the last reset
 	random    *rand.Rand
 }
 
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -12,7 +12,7 @@
 	client, _ := newClient(t, false)
 	client.source.backoff.failures = maxDoublings
 	client.source.backoff.baseDelay = time.Hour
-	client.source.pending = &watch{} // A pending watch prevents restartWatch from starting one.
+	client.source.pending = &watch{} // a pending watch prevents restartWatch from starting one
 	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
 	if client.restartWatch(ctx); ctx.Err() != nil {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -25,7 +25,7 @@
 	table              *endpoint.Table
 	onStaleConnections func(endpointID string)
 	onList             func(balancer.EndpointList)
-	converter          converter // Protected by applyMu.
+	converter          converter // protected by applyMu
 	cachedList         endpoint.List
 	autoWatch          bool
 	idleTimeout        time.Duration
--- a/internal/discovery/convert.go
+++ b/internal/discovery/convert.go
@@ -9,8 +9,8 @@
 
 // converter converts endpoint lists to events of the decision module. It is not safe for concurrent use.
 type converter struct {
-	zones  []string // Zone names; the index is the decision module's zone number.
-	kinds  []string // Kind names; the index is the decision module's kind number.
+	zones  []string // zone names; the index is the decision module's zone number
+	kinds  []string // kind names; the index is the decision module's kind number
 	starts *startTimes
 }
 
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -45,7 +45,7 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, err // A *url.Error with the method and the URL.
+		return nil, err // a *url.Error with the method and the URL
 	}
 	if response.StatusCode != http.StatusOK {
 		_ = response.Body.Close()
--- a/internal/discovery/listtimeout.go
+++ b/internal/discovery/listtimeout.go
@@ -18,7 +18,7 @@
 type adaptiveListTimeout struct {
 	minTimeout time.Duration
 
-	mu      sync.Mutex // Protects timeout.
+	mu      sync.Mutex // protects timeout
 	timeout time.Duration
 }
 
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	list.Complete = true // The response to a poll always has all entries, whether it is marked as complete or not.
+	list.Complete = true // the response to a poll always has all entries, whether it is marked as complete or not
 	c.applyPolledList(addr, list)
 	return nil
 }
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -38,10 +38,10 @@
 			client, events := newSubscribedClient(t, server, testutil.Timeout)
 			testutil.Receive(t, server.Watches)
 			server.Lines <- text
-			expectFailure(t, events) // Failure of the watch.
+			expectFailure(t, events) // failure of the watch
 			client.Poll(context.Background())
 			expectFailure(t, events)
-			expectServing(t, client, "s1", true) // From the cached list.
+			expectServing(t, client, "s1", true) // from the cached list
 		})
 	}
 }
@@ -63,13 +63,13 @@
 	server.Lines <- deltaListJSON(2, entryJSON("s0", "DRAINING"))
 	testutil.Receive(t, events)
 	close(gate)
-	expectEvent(t, events, balancer.ListDelta, 0) // Each poll has an event.
+	expectEvent(t, events, balancer.ListDelta, 0) // each poll has an event
 	server.Lines <- completeListJSON(1, entryJSON("s0", "SERVING"))
 	if event := testutil.Receive(t, events); len(event.Endpoints) != 0 {
 		t.Errorf("outdated list on the watch: got event %+v, want one without entries", event)
 	}
 	expectServing(t, client, "s0", false)
-	expectServing(t, client, "s1", true) // Would be removed if the outdated list were applied.
+	expectServing(t, client, "s1", true) // would be removed if the outdated list were applied
 	server.EndWatch <- struct{}{}
 	testutil.Receive(t, events)
 	client.Subscribe(context.Background())
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -18,21 +18,21 @@
 // source is safe for concurrent use. The agent's event loop locks its mutex, which is therefore never held
 // during I/O.
 type source struct {
-	mu      sync.Mutex // Protects the fields below.
-	addr    string     // Address of discovery, as host:port.
-	version int64      // Version of the last list from addr, or unknownVersion.
-	active  *watch     // Watch whose lists are applied; nil if none.
-	pending *watch     // Watch that will replace the active one; nil if none.
-	backoff backoff    // Backoff between a failed watch and the next one.
+	mu      sync.Mutex // protects the fields below
+	addr    string     // address of discovery, as host:port
+	version int64      // version of the last list from addr, or unknownVersion
+	active  *watch     // watch whose lists are applied; nil if none
+	pending *watch     // watch that will replace the active one; nil if none
+	backoff backoff    // backoff between a failed watch and the next one
 }
 
 // listFreshness is the result of the comparison of a list's version with the version of the last list.
 type listFreshness uint8
 
 const (
-	fresh        listFreshness = iota // At least as new as the last list.
-	outdated                          // Older than the last list from the same address.
-	incomparable                      // From an earlier address, whose versions are numbered independently.
+	fresh        listFreshness = iota // at least as new as the last list
+	outdated                          // older than the last list from the same address
+	incomparable                      // from an earlier address, whose versions are numbered independently
 )
 
 // currentAddr returns the address of discovery.
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -13,8 +13,8 @@
 
 // SlowStart describes how the capacity of an endpoint grows after its start.
 type SlowStart struct {
-	Duration    time.Duration // Time from the start of an endpoint until it has its full capacity.
-	MinCapacity float64       // Capacity at the start, as a fraction of the full capacity.
+	Duration    time.Duration // time from the start of an endpoint until it has its full capacity
+	MinCapacity float64       // capacity at the start, as a fraction of the full capacity
 }
 
 // listingDelay returns the assumed time between the start of an endpoint and its first listing, which may be added to
@@ -48,16 +48,16 @@
 type startTimes struct {
 	clock     clock.Clock
 	slowStart SlowStart
-	starts    map[string]start // Last start of each endpoint, by endpoint ID.
+	starts    map[string]start // last start of each endpoint, by endpoint ID
 
-	newestStartUnix time.Duration // Newest listed start, as time since the Unix epoch.
-	newestListedAt  time.Duration // Time of its first listing, on the agent's clock.
+	newestStartUnix time.Duration // newest listed start, as time since the Unix epoch
+	newestListedAt  time.Duration // time of its first listing, on the agent's clock
 }
 
 // start is a start of an endpoint.
 type start struct {
-	unix      time.Duration // Listed start, as time since the Unix epoch.
-	startedAt time.Duration // Estimated start, on the agent's clock.
+	unix      time.Duration // listed start, as time since the Unix epoch
+	startedAt time.Duration // estimated start, on the agent's clock
 }
 
 func newStartTimes(agentClock clock.Clock, slowStart SlowStart) *startTimes {
@@ -79,7 +79,7 @@
 	previous := s.starts
 	if list.Complete {
 		s.starts = make(map[string]start, len(list.Entries))
-	} // Otherwise previous is s.starts itself, since an entry of a delta replaces only its own start.
+	} // otherwise previous is s.starts itself, since an entry of a delta replaces only its own start
 	for _, entry := range list.Entries {
 		unix := entry.StartedAtUnix()
 		switch last, known := previous[entry.ID]; {
@@ -127,7 +127,7 @@
 // wallClockOnly is set, the estimated age is the age by the wall clock of this machine, without the minimum age.
 func (s *startTimes) estimateStart(unix time.Duration, last start, now time.Duration,
 	wallClockOnly bool) time.Duration {
-	if unix < last.unix { // A clock was set back. The restart was at an unknown time after the last list.
+	if unix < last.unix { // a clock was set back. The restart was at an unknown time after the last list.
 		return now
 	}
 	age := time.Duration(time.Now().UnixNano()) - unix
@@ -135,6 +135,6 @@
 		age = min(age, s.minAge(unix, now)+s.slowStart.listingDelay())
 	}
 	startedAt := now - max(0, age)
-	earliest := last.startedAt + 1 // 1 ns later, since the decision module distinguishes starts by their times.
+	earliest := last.startedAt + 1 // 1 ns later, since the decision module distinguishes starts by their times
 	return min(now, max(startedAt, earliest))
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -149,18 +149,18 @@
 	testutil.Receive(t, oldServer.Watches)
 	oldServer.Lines <- deltaListJSON(2)
 	testutil.Receive(t, events)
-	client.SetAddress(context.Background(), "127.0.0.1:1") // Connection refused, which has an event.
+	client.SetAddress(context.Background(), "127.0.0.1:1") // connection refused, which has an event
 	expectFailure(t, events)
 	oldServer.Lines <- deltaListJSON(3, entryJSON("s0", "DRAINING"))
-	expectEvent(t, events, balancer.ListDelta, 1) // From the watch of the old address, which continues.
+	expectEvent(t, events, balancer.ListDelta, 1) // from the watch of the old address, which continues
 	client.SetAddress(context.Background(), newServer.Addr)
-	client.SetAddress(context.Background(), newServer.Addr) // No effect.
-	expectWatch(t, newServer, "follow=1")                   // Without a version, for the complete list.
-	oldServer.EndWatch <- struct{}{}                        // No event, since the new watch is pending.
+	client.SetAddress(context.Background(), newServer.Addr) // no effect
+	expectWatch(t, newServer, "follow=1")                   // without a version, for the complete list
+	oldServer.EndWatch <- struct{}{}                        // no event, since the new watch is pending
 	newServer.Lines <- ""
 	newServer.Lines <- completeListJSON(1, entryJSON("s1", "SERVING"))
 	expectEvent(t, events, balancer.ListComplete, 1)
-	expectServing(t, client, "s0", false) // Not in the list of the new address.
+	expectServing(t, client, "s0", false) // not in the list of the new address
 	newServer.EndWatch <- struct{}{}
 	expectFailure(t, events)
 	client.Subscribe(context.Background())
--- a/internal/discovery/watchreader.go
+++ b/internal/discovery/watchreader.go
@@ -11,13 +11,13 @@
 // received bytes do not reset: a list whose bytes trickle in forever must time out.
 type watchReader struct {
 	body        io.Reader
-	idleTimer   *time.Timer // Ends the watch when no data is received between lists; stopped within a list.
+	idleTimer   *time.Timer // ends the watch when no data is received between lists; stopped within a list
 	idleTimeout time.Duration
-	listTimer   *time.Timer // Ends the watch when a list exceeds listTimeout; stopped between lists.
+	listTimer   *time.Timer // ends the watch when a list exceeds listTimeout; stopped between lists
 
-	bytesRemaining int           // Number of bytes that may still be read for the current list.
-	listTimeout    time.Duration // Timeout from the first byte of a list to its end.
-	listStartedAt  time.Time     // Time of the list's first byte; zero before it was received.
+	bytesRemaining int           // number of bytes that may still be read for the current list
+	listTimeout    time.Duration // timeout from the first byte of a list to its end
+	listStartedAt  time.Time     // time of the list's first byte; zero before it was received
 }
 
 // newWatchReader returns a reader that resets idleTimer, which must be running, when it receives data between lists.
@@ -25,7 +25,7 @@
 func newWatchReader(body io.Reader, idleTimer *time.Timer, idleTimeout time.Duration,
 	onListTimeout func()) *watchReader {
 	listTimer := time.AfterFunc(idleTimeout, onListTimeout)
-	listTimer.Stop() // Started by the first byte of a list.
+	listTimer.Stop() // started by the first byte of a list
 	return &watchReader{body: body, idleTimer: idleTimer, idleTimeout: idleTimeout, listTimer: listTimer}
 }
 
@@ -41,7 +41,7 @@
 
 // listDuration returns the time since the first byte of the list that was read last.
 func (r *watchReader) listDuration() time.Duration {
-	if r.listStartedAt.IsZero() { // The list was buffered together with the previous one.
+	if r.listStartedAt.IsZero() { // the list was buffered together with the previous one
 		return 0
 	}
 	return time.Since(r.listStartedAt)
--- a/internal/endpoint/entry.go
+++ b/internal/endpoint/entry.go
@@ -38,7 +38,7 @@
 	Cell            int     `json:"cell"`
 	State           State   `json:"state"`
 	Weight          float64 `json:"weight"`
-	StartedAtUnixMs float64 `json:"started_ms"` // Start of the process, as Unix time in milliseconds; 0 means long ago.
+	StartedAtUnixMs float64 `json:"started_ms"` // start of the process, as Unix time in milliseconds; 0 means long ago
 }
 
 // BalancerState returns the state of the endpoint as a state of the decision module.
--- a/internal/endpoint/list.go
+++ b/internal/endpoint/list.go
@@ -12,7 +12,7 @@
 // List is the complete endpoint list, or a list of the entries that changed.
 type List struct {
 	Version  int64
-	Complete bool // The list has all entries; endpoints without an entry have been removed.
+	Complete bool // the list has all entries; endpoints without an entry have been removed
 	Entries  []Entry
 }
 
--- a/internal/endpoint/table.go
+++ b/internal/endpoint/table.go
@@ -6,8 +6,8 @@
 // right before it sends its request, so that a change takes effect at once and not only when the decision module has
 // handled it. Table is safe for concurrent use.
 type Table struct {
-	mu      sync.RWMutex     // Protects entries; held only for map accesses.
-	entries map[string]Entry // Entries by endpoint ID.
+	mu      sync.RWMutex     // protects entries; held only for map accesses
+	entries map[string]Entry // entries by endpoint ID
 }
 
 // NewTable returns an empty table.
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -4,15 +4,15 @@
 
 // Header names, in the canonical form of net/http.
 const (
-	HeaderRequestID      = "X-Call-Id"       // ID of the request: 16 hexadecimal digits, unique.
-	HeaderTimeout        = "X-Budget-Ms"     // Time that the sender waits for the response, in whole milliseconds.
-	HeaderIdempotencyKey = "Idempotency-Key" // Deduplication key of an idempotent request.
-	HeaderTenant         = "X-Caller"        // Name of the tenant in the settings.
-	HeaderAffinityKey    = "X-Route-Hash"    // Key for cache affinity and ordering.
-	HeaderClientRetry    = "X-Again"         // FlagTrue on a retry by the client, if clients mark retries.
-	HeaderWorkEstimate   = "X-Call-Cost"     // Client's estimate of the request's work, in microseconds.
-	HeaderRejected       = "X-Rejected"      // FlagTrue on a response whose request was rejected without running.
-	HeaderLoadReport     = "X-Load-Report"   // Load report of the endpoint.
+	HeaderRequestID      = "X-Call-Id"       // ID of the request: 16 hexadecimal digits, unique
+	HeaderTimeout        = "X-Budget-Ms"     // time that the sender waits for the response, in whole milliseconds
+	HeaderIdempotencyKey = "Idempotency-Key" // deduplication key of an idempotent request
+	HeaderTenant         = "X-Caller"        // name of the tenant in the settings
+	HeaderAffinityKey    = "X-Route-Hash"    // key for cache affinity and ordering
+	HeaderClientRetry    = "X-Again"         // FlagTrue on a retry by the client, if clients mark retries
+	HeaderWorkEstimate   = "X-Call-Cost"     // client's estimate of the request's work, in microseconds
+	HeaderRejected       = "X-Rejected"      // FlagTrue on a response whose request was rejected without running
+	HeaderLoadReport     = "X-Load-Report"   // load report of the endpoint
 )
 
 // FlagTrue is the value of a flag header that is set.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -27,8 +27,8 @@
 
 // Bounds limits when an attempt may start and when it must finish.
 type Bounds struct {
-	Deadline time.Time // Time by which the attempt must have finished.
-	NotAfter time.Time // Latest start of the attempt; zero means no limit.
+	Deadline time.Time // time by which the attempt must have finished
+	NotAfter time.Time // latest start of the attempt; zero means no limit
 }
 
 // allowsStart reports whether an attempt may start now.
@@ -89,7 +89,7 @@
 func (c *Client) connect(ctx context.Context, endpointID string, deadline time.Time) (*connection, *connectError) {
 	for {
 		entry, serving := c.table.LookupServing(endpointID)
-		if !serving { // Nothing was sent, so the request may be sent to another endpoint.
+		if !serving { // nothing was sent, so the request may be sent to another endpoint
 			return nil, &connectError{endpointID, balancer.ConnectFailed, ErrNotServing}
 		}
 		conn, failure := c.takeIdleOrDial(ctx, entry, deadline)
@@ -144,7 +144,7 @@
 func (c *Client) exchange(ctx context.Context, conn *connection, request *http.Request,
 	deadline time.Time) (balancer.Result, Response) {
 	encoded, err := encodeRequest(request)
-	if err != nil { // No byte was sent, so the request can't have run.
+	if err != nil { // no byte was sent, so the request can't have run
 		c.pool.release(conn)
 		return balancer.NotSent, unsentResponse(err)
 	}
@@ -174,7 +174,7 @@
 	case response.Err == nil || errors.Is(response.Err, ErrMalformedResponse):
 		return balancer.ServerError
 	case !outcome.requestWritten:
-		return balancer.ConnectFailed // The request was not sent completely, so it can't have run.
+		return balancer.ConnectFailed // the request was not sent completely, so it can't have run
 	case cancelled:
 		return balancer.Cancelled
 	case socket.IsTimeout(response.Err):
@@ -186,8 +186,8 @@
 // connectionSnapshot is the state of a connection right before an exchange.
 type connectionSnapshot struct {
 	endpointID   string
-	idleSince    time.Time     // Start of the idle time; zero for a new connection.
-	idleDuration time.Duration // Idle time until the exchange; 0 for a new connection.
+	idleSince    time.Time     // start of the idle time; zero for a new connection
+	idleDuration time.Duration // idle time until the exchange; 0 for a new connection
 }
 
 // closeDeadConnections closes the idle connections to an endpoint that are presumed dead, given the result of an
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -84,7 +84,7 @@
 			}
 			client.CloseIdle("s0")
 			if tt.name != requestFinished {
-				testutil.Receive(t, server.Closed) // The connection is closed without a request on it.
+				testutil.Receive(t, server.Closed) // the connection is closed without a request on it
 			}
 			if len(server.Received) != 0 {
 				t.Error("endpoint received a request, want none")
@@ -105,7 +105,7 @@
 	}
 	for _, tt := range []struct {
 		name  string
-		idle  bool // Use an idle connection to the earlier process that is not closed yet.
+		idle  bool // use an idle connection to the earlier process that is not closed yet
 		entry func(old, other string) endpoint.Entry
 	}{
 		{"restarted during the dial", false, restarted},
@@ -175,7 +175,7 @@
 func TestAttemptNotStartedAfterBound(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
-		timeLeft time.Duration // Time until NotAfter when the attempt is called.
+		timeLeft time.Duration // time until NotAfter when the attempt is called
 		stall    time.Duration
 		want     balancer.Result
 	}{
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -29,11 +29,11 @@
 
 // Options are the parameters of a Client.
 type Options struct {
-	Table               *endpoint.Table           // Consulted right before each attempt sends its request.
-	LoadReports         balancer.LoadReportSource // If not LoadReportsNone, health checks request load reports.
-	ConnectTimeout      time.Duration             // Timeout of a dial.
-	EndpointIdleTimeout time.Duration             // Idle timeout of the endpoints; 0 means that they have none.
-	MaxConnections      int                       // Maximum number of connections to all endpoints; 0 means no limit.
+	Table               *endpoint.Table           // consulted right before each attempt sends its request
+	LoadReports         balancer.LoadReportSource // if not LoadReportsNone, health checks request load reports
+	ConnectTimeout      time.Duration             // timeout of a dial
+	EndpointIdleTimeout time.Duration             // idle timeout of the endpoints; 0 means that they have none
+	MaxConnections      int                       // maximum number of connections to all endpoints; 0 means no limit
 	Log                 *slog.Logger
 	// DialControl is the Control function of the net.Dialer. It may be nil.
 	DialControl func(network, address string, conn syscall.RawConn) error
@@ -45,7 +45,7 @@
 	table              *endpoint.Table
 	loadReports        balancer.LoadReportSource
 	healthCheckTimeout time.Duration
-	stallTimeout       time.Duration // Maximum pause within a response; a response that pauses for longer is malformed.
+	stallTimeout       time.Duration // maximum pause within a response; a response that pauses for longer is malformed
 	log                *slog.Logger
 }
 
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -10,10 +10,10 @@
 // connection is a connection to an endpoint. Between takeIdle or dial and release or close, it is used by one goroutine
 // alone.
 type connection struct {
-	netConn   net.Conn // Closed only by the pool, which counts connections.
+	netConn   net.Conn // closed only by the pool, which counts connections
 	group     *endpointGroup
-	entry     endpoint.Entry // Table entry of the endpoint at the time of the dial.
-	idleSince time.Time      // Time of the last release; zero before the first one. Written under pool.mu.
+	entry     endpoint.Entry // table entry of the endpoint at the time of the dial
+	idleSince time.Time      // time of the last release; zero before the first one. Written under pool.mu.
 }
 
 func (c *connection) endpointID() string { return c.group.endpointID }
@@ -30,8 +30,8 @@
 type endpointGroup struct {
 	endpointID string
 
-	idle    []*connection // Idle connections by idleSince, oldest first.
-	numOpen int           // Connections that are idle, in use or being dialled.
+	idle    []*connection // idle connections by idleSince, oldest first
+	numOpen int           // connections that are idle, in use or being dialled
 
 	// draining is set when the group is removed from the pool because its endpoint is draining, was removed or was
 	// restarted. Connections that are in use are then closed on release.
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -19,7 +19,7 @@
 // connectError is the failure of an attempt to get a connection. No byte of the request was sent.
 type connectError struct {
 	endpointID string
-	result     balancer.Result // Result of the attempt.
+	result     balancer.Result // result of the attempt
 	cause      error
 }
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -19,8 +19,8 @@
 // exchangeOutcome is the outcome of one request on one connection.
 type exchangeOutcome struct {
 	response       Response
-	requestWritten bool // The request was written completely.
-	reusable       bool // The connection may be used for another request.
+	requestWritten bool // the request was written completely
+	reusable       bool // the connection may be used for another request
 }
 
 // encodeRequest returns the encoded bytes of a request.
@@ -47,7 +47,7 @@
 	buffer.Reset(reader)
 	response, keepAlive := reader.readResponse()
 	response.EndedAt = time.Now()
-	hasUnreadBytes := buffer.Buffered() > 0 // They would be read as the response to the next request.
+	hasUnreadBytes := buffer.Buffered() > 0 // they would be read as the response to the next request
 	putBuffer(buffer)
 	return exchangeOutcome{
 		response:       response,
@@ -67,6 +67,6 @@
 }
 
 func putBuffer(buffer *bufio.Reader) {
-	buffer.Reset(nil) // Drops the reference to the connection, so that it can be garbage-collected.
+	buffer.Reset(nil) // drops the reference to the connection, so that it can be garbage-collected
 	bufferPool.Put(buffer)
 }
--- a/internal/upstream/framing.go
+++ b/internal/upstream/framing.go
@@ -19,7 +19,7 @@
 const (
 	framedByLength framingKind = iota // Content-Length
 	framedByChunks                    // Transfer-Encoding: chunked
-	framedByClose                     // The body ends when the connection is closed.
+	framedByClose                     // the body ends when the connection is closed
 )
 
 // Number format of a Content-Length. 31 bits fit into an int on all platforms.
@@ -31,7 +31,7 @@
 // framing determines the end of a response body.
 type framing struct {
 	kind   framingKind
-	length int // Length of the body in bytes; used only with framedByLength.
+	length int // length of the body in bytes; used only with framedByLength
 }
 
 // parseFraming parses the framing of the body from the header. It returns an error for more than one Content-Length or
@@ -73,7 +73,7 @@
 		_, err := io.ReadFull(in, body)
 		return body, err
 	}
-	return nil, fmt.Errorf("unknown framing kind %d", f.kind) // Unreachable: all kinds are handled above.
+	return nil, fmt.Errorf("unknown framing kind %d", f.kind) // unreachable: all kinds are handled above
 }
 
 func readChunkedBody(in *bufio.Reader) ([]byte, error) {
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -99,7 +99,7 @@
 	})
 	client = newTestClient(t, server.Addr())
 	results := make(chan balancer.Result, 2)
-	for range 2 { // The attempts run concurrently, so that they need two connections.
+	for range 2 { // the attempts run concurrently, so that they need two connections
 		client.startAttempt(results)
 	}
 	for range 2 {
@@ -138,7 +138,7 @@
 		t.Fatalf("got a socket address of type %T, want *syscall.SockaddrInet4", name)
 	}
 	addr := fmt.Sprintf("127.0.0.1:%d", inet.Port)
-	for range 20 { // The listener accepts no connections.
+	for range 20 { // the listener accepts no connections
 		conn, err := net.DialTimeout("tcp", addr, time.Second)
 		if err != nil {
 			return addr
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -19,14 +19,14 @@
 // The pool has no permanent goroutine. While connections are idle, a timer runs sweep, which closes those that have
 // exceeded the idle timeout and schedules the next sweep.
 type pool struct {
-	idleTimeout    time.Duration // A connection that is idle for longer is closed.
-	maxConnections int           // Maximum of numOpen; 0 means no limit.
+	idleTimeout    time.Duration // a connection that is idle for longer is closed
+	maxConnections int           // maximum of numOpen; 0 means no limit
 	dialer         socket.Dialer
 
-	mu             sync.Mutex                // Protects the fields below and the groups.
-	numOpen        int                       // Connections that are idle, in use or being dialled.
-	groups         map[string]*endpointGroup // Groups with numOpen > 0, by endpoint ID.
-	sweepScheduled bool                      // A timer for sweep is running.
+	mu             sync.Mutex                // protects the fields below and the groups
+	numOpen        int                       // connections that are idle, in use or being dialled
+	groups         map[string]*endpointGroup // groups with numOpen > 0, by endpoint ID
+	sweepScheduled bool                      // a timer for sweep is running
 }
 
 func newPool(idleTimeout, connectTimeout time.Duration, maxConnections int) *pool {
@@ -115,7 +115,7 @@
 		p.closeLocked(conn)
 		return
 	}
-	_ = conn.netConn.SetDeadline(time.Time{}) // Fails on a closed connection, which takeIdle will detect.
+	_ = conn.netConn.SetDeadline(time.Time{}) // fails on a closed connection, which takeIdle will detect
 	conn.idleSince = time.Now()
 	conn.group.idle = append(conn.group.idle, conn)
 	p.scheduleSweepLocked(p.idleTimeout)
@@ -166,7 +166,7 @@
 // closeLocked closes a connection and decrements the counts of open connections, so it must be called exactly once for
 // each connection. The connection must not be in its group's idle list. The caller holds p.mu.
 func (p *pool) closeLocked(conn *connection) {
-	_ = conn.netConn.Close() // No data is left to be written.
+	_ = conn.netConn.Close() // no data is left to be written
 	p.decrementOpenLocked(conn.group)
 }
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -36,12 +36,12 @@
 	var requests atomic.Int32
 	server := testutil.NewServer(t, func(conn net.Conn, request *http.Request, body []byte) bool {
 		testutil.Echo(conn, request, body)
-		return requests.Add(1) > 1 // Close the first connection after its response, without a Connection header.
+		return requests.Add(1) > 1 // close the first connection after its response, without a Connection header
 	})
 	client := newTestClient(t, server.Addr())
 	client.mustServe(t)
 	testutil.WaitFor(t, "the close", func() bool { return socket.Peek(client.oldestIdle()) != socket.Empty })
-	client.mustServe(t) // Uses a new connection.
+	client.mustServe(t) // uses a new connection
 }
 
 // The pool closes connections that exceed its idle timeout, which is below that of the endpoints.
@@ -95,7 +95,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			client, next := newClientWithTwoIdle(t, closeConnection)
 			client.pool.mu.Lock()
-			for i, conn := range client.pool.groups["s0"].idle { // Oldest first.
+			for i, conn := range client.pool.groups["s0"].idle { // oldest first
 				conn.idleSince = time.Now().Add(-tt.idleDuration - time.Duration(1-i)*time.Microsecond)
 			}
 			client.pool.mu.Unlock()
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -24,14 +24,14 @@
 // responseReader reads one response from a connection, with limits on its time and size.
 type responseReader struct {
 	conn         net.Conn
-	ctx          context.Context // Context of the attempt; cancelling it interrupts reads.
-	buffer       *bufio.Reader   // Reads through this responseReader.
-	deadline     time.Time       // Deadline of the whole response.
-	stallTimeout time.Duration   // Maximum time of one read after the response has started.
+	ctx          context.Context // context of the attempt; cancelling it interrupts reads
+	buffer       *bufio.Reader   // reads through this responseReader
+	deadline     time.Time       // deadline of the whole response
+	stallTimeout time.Duration   // maximum time of one read after the response has started
 
-	started        bool  // At least one byte of the current response was received.
-	bytesRemaining int   // Number of bytes that may still be read for the current head or body.
-	connErr        error // Last error of the connection.
+	started        bool  // at least one byte of the current response was received
+	bytesRemaining int   // number of bytes that may still be read for the current head or body
+	connErr        error // last error of the connection
 }
 
 // readResponse reads one complete response; a partial response is never returned. keepAlive reports whether another
@@ -44,7 +44,7 @@
 			return r.failedResponse(err), false
 		}
 		if head.isInformational() {
-			r.setReadDeadline(r.deadline) // The stall timeout does not apply until the next response starts.
+			r.setReadDeadline(r.deadline) // the stall timeout does not apply until the next response starts
 			continue
 		}
 		framing, err := head.parseFraming()
@@ -87,7 +87,7 @@
 	if at.After(r.deadline) {
 		at = r.deadline
 	}
-	_ = r.conn.SetReadDeadline(at) // Fails on a closed connection, where the read fails as well.
+	_ = r.conn.SetReadDeadline(at) // fails on a closed connection, where the read fails as well
 	if r.ctx.Err() != nil {
 		_ = r.conn.SetDeadline(pastDeadline)
 	}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -15,11 +15,11 @@
 // Request is a client's request in the form in which it is forwarded to endpoints.
 type Request struct {
 	ID             string
-	IdempotencyKey string // Empty if the client sent none.
+	IdempotencyKey string // empty if the client sent none
 	Method, Host   string
-	Target         *url.URL // Path and query as sent by the client.
+	Target         *url.URL // path and query as sent by the client
 	Body           []byte
-	Lifetime       context.Context // Cancelled when the request has finished; no attempt may start after that.
+	Lifetime       context.Context // cancelled when the request has finished; no attempt may start after that
 	// ClientGone reports whether the client will get no response, because it closed its connection or sent too many
 	// bytes after its request. It may become true before Lifetime is cancelled.
 	ClientGone func() bool
@@ -51,6 +51,6 @@
 
 func newHTTPRequest(method string, target *url.URL, host string) *http.Request {
 	return &http.Request{Method: method, URL: target, Host: host, Header: http.Header{
-		"User-Agent": {""}, // An empty value omits the header; without an entry, net/http adds its own.
+		"User-Agent": {""}, // an empty value omits the header; without an entry, net/http adds its own
 	}}
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -20,7 +20,7 @@
 	Status  int
 	Header  textproto.MIMEHeader
 	Body    []byte
-	EndedAt time.Time // Time of the last byte, of the error, or of the decision not to send the request.
+	EndedAt time.Time // time of the last byte, of the error, or of the decision not to send the request
 	Err     error
 }
 
@@ -55,7 +55,7 @@
 type responseHead struct {
 	status    int
 	header    textproto.MIMEHeader
-	keepAlive bool // Whether the version and the header allow another response on the connection.
+	keepAlive bool // whether the version and the header allow another response on the connection
 }
 
 // readHead reads the status line and the header.
