--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -29,8 +29,8 @@
 // applyAndPublish applies a list to the table and publishes it as an event. An outdated list, such as a poll response
 // that is older than the last list of the watch, is replaced by an empty delta: it must not change the table, but each
 // poll must have an event, and each list of a watch shows the decision module that discovery responds. A list from a
-// watch of an earlier address, which stays active until the new watch is, has an incomparable version and is applied.
-// The caller holds applyMu.
+// watch of an earlier address, which stays active until the new watch becomes active, has an incomparable version and
+// is applied. The caller holds applyMu.
 func (c *Client) applyAndPublish(list endpoint.List, freshness listFreshness) {
 	if freshness == outdated {
 		list = endpoint.List{}
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -8,10 +8,12 @@
 const (
 	// minDelayBound is the minimum value of backoff.baseDelay and backoff.maxDelay. A delay itself may be as low as 0.
 	minDelayBound = 10 * time.Millisecond
-	// drainGraceDivisor is the minimum ratio of the drain grace to backoff.maxDelay.
+	// drainGraceDivisor is the number of maximum delays that must fit into the drain grace, unless minDelayBound
+	// applies.
 	drainGraceDivisor = 4
-	// maxDoublings is the maximum number of times that the upper bound of the delay is doubled. All agents of a data
-	// center may lose their watches at the same time.
+	// maxDoublings is the maximum number of times that the upper bound of the delay is doubled. Delays grow because all
+	// agents of a data center may lose their watches at the same time. The growth is bounded, here and by
+	// backoff.maxDelay, because a change must be received before the drain grace expires.
 	maxDoublings = 3
 )
 
@@ -20,7 +22,7 @@
 type backoff struct {
 	baseDelay time.Duration // upper bound of the first delay
 	maxDelay  time.Duration // upper bound of all delays
-	failures  int           // number of delays since the last reset
+	failures  int           // number of failures since the last reset
 	random    *rand.Rand
 }
 
@@ -34,8 +36,8 @@
 	}
 }
 
-// next records a failure and returns the delay after it: a random number between 0 and baseDelay * 2^failures, at most
-// maxDelay.
+// next records a failure and returns the delay after it, a random duration between 0 and an upper bound. The bound is
+// baseDelay after the first failure and doubles with each further one, at most maxDoublings times and up to maxDelay.
 func (b *backoff) next() time.Duration {
 	bound := min(b.baseDelay<<min(b.failures, maxDoublings), b.maxDelay)
 	b.failures++
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -35,12 +35,12 @@
 	source             *source
 
 	// applyMu serializes the processing of lists, from the comparison of their version to their event, so that events
-	// have the order of the versions. It is held during calls to OnList. Lock order: applyMu before source.mu.
+	// have the order of the versions. It is held while OnList is called with a list. Lock order: applyMu before
+	// source.mu.
 	applyMu sync.Mutex
 }
 
-// New returns a client and applies the cached list to the table. The client sends no request before Start, Subscribe or
-// Poll is called.
+// New returns a client and applies the cached list to the table. It sends no request.
 func New(options Options) *Client {
 	c := &Client{
 		http:               newHTTPClient(),
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -40,8 +40,8 @@
 	}, events
 }
 
-// newClient returns a client without a discovery service, and its settings. subscribe is Settings.Subscribe: the
-// decision module, and not the client, decides when to watch.
+// newClient returns a client without a discovery service, and its settings. subscribe is Settings.Subscribe: if it is
+// set, the decision module and not the client decides when to watch.
 func newClient(t *testing.T, subscribe bool) (*Client, balancer.Settings) {
 	t.Helper()
 	c := testutil.Config(t, "127.0.0.1:1")
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -24,8 +24,8 @@
 var errRefused = errors.New("discovery responded with a status other than 200")
 
 // newHTTPClient returns a client without connection reuse, since net/http may resend a request on its own if a reused
-// connection fails. Its timeouts are constant: a shorter Options.CallTimeout applies through the request's context, a
-// longer one has no effect on the dial and the response header.
+// connection fails. Its timeouts are constant: a shorter Options.CallTimeout applies through the request's context, and
+// a longer one does not extend the dial or the wait for the response header.
 func newHTTPClient() *http.Client {
 	dialer := &socket.Dialer{Dialer: net.Dialer{Timeout: defaultCallTimeout}}
 	return &http.Client{Transport: &http.Transport{
@@ -36,8 +36,8 @@
 	}}
 }
 
-// get requests the endpoint list from discovery and returns the body of the response. It returns errRefused for a
-// status other than 200.
+// get requests the endpoint list from discovery and returns the body of the response. For a status other than 200, it
+// returns an error that wraps errRefused.
 func (c *Client) get(ctx context.Context, addr, query string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+listPath+query, nil)
 	if err != nil {
--- a/internal/discovery/listtimeout.go
+++ b/internal/discovery/listtimeout.go
@@ -41,7 +41,7 @@
 }
 
 // update sets the timeout from the duration of a received list. A list that was received together with the previous one
-// has duration 0, which sets the minimum timeout.
+// has duration 0, which sets the timeout to its minimum.
 func (l *adaptiveListTimeout) update(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -10,27 +10,28 @@
 // its versions differently, so the version is not kept when the address changes.
 const unknownVersion = -1
 
-// source is the state of the source of lists: the address of discovery, the version of its last list, and the watches.
+// source holds the address of discovery, the version of the last list from it, and the watches.
 //
-// A new watch is pending at first. It becomes active, and replaces the previous active watch, when discovery responds
-// to it, or, if it does not continue from a version, when its complete list is received.
+// A new watch is pending at first. A watch that continues from a version becomes active when discovery responds to it.
+// A watch without a version becomes active when its complete list is received. It then replaces the previous active
+// watch, which is stopped.
 //
-// source is safe for concurrent use. The agent's event loop locks its mutex, which is therefore never held
-// during I/O.
+// source is safe for concurrent use. The agent's event loop locks its mutex, which is therefore held only briefly and
+// never during I/O.
 type source struct {
 	mu      sync.Mutex // protects the fields below
 	addr    string     // address of discovery, as host:port
-	version int64      // version of the last list from addr, or unknownVersion
+	version int64      // version of the last list that was applied from addr, or unknownVersion
 	active  *watch     // watch whose lists are applied; nil if none
 	pending *watch     // watch that will replace the active one; nil if none
 	backoff backoff    // backoff between a failed watch and the next one
 }
 
-// listFreshness is the result of the comparison of a list's version with the version of the last list.
+// listFreshness is the result of comparing the version of a list with that of the last applied list.
 type listFreshness uint8
 
 const (
-	fresh        listFreshness = iota // at least as new as the last list
+	fresh        listFreshness = iota // at least as new as the last list from the same address
 	outdated                          // older than the last list from the same address
 	incomparable                      // from an earlier address, whose versions are numbered independently
 )
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -17,12 +17,13 @@
 	MinCapacity float64       // capacity at the start, as a fraction of the full capacity
 }
 
-// listingDelay returns the assumed time between the start of an endpoint and its first listing, which may be added to
-// its minimum age (see startTimes.minAge). If the endpoint is listed sooner and the wall clock of this machine is
-// ahead, the estimated age is too high by up to this delay. The delay is limited so that this error at most doubles
-// the estimated capacity.
+// listingDelay returns the assumed time between the start of an endpoint and its first listing. It is added to the
+// minimum age of the endpoint (see startTimes.minAge), as far as the wall clock of this machine allows. If the endpoint
+// is listed sooner and that clock is ahead, the estimated age is too high by up to this delay. The delay is limited so
+// that this error at most doubles the estimated capacity.
 //
-// Capacity grows linearly from m = MinCapacity to 1 within Duration, so it has doubled when it has grown by m.
+// Capacity grows linearly from m = MinCapacity to 1 within Duration, that is by 1-m. It has doubled when it has grown
+// by m, which takes m/(1-m) of Duration.
 func (s SlowStart) listingDelay() time.Duration {
 	if s.MinCapacity <= 0 || s.MinCapacity >= 1 {
 		return maxListingDelay
@@ -40,15 +41,15 @@
 //   - the age by the wall clock of this machine;
 //   - the minimum age that follows from the newest listed start (see minAge), plus SlowStart.listingDelay.
 //
-// If fewer than half of the endpoints of a complete list are warm by their minimum age, the second age is not used (see
+// The second age is not used for a complete list that does not confirm at least half of its endpoints as warm (see
 // isMajorityUnconfirmed).
 //
 // All endpoints are assumed to share one clock. The listed start that is furthest ahead of the agent's clock determines
-// the lower bound of its time.
+// the lower bound of the time on that shared clock.
 type startTimes struct {
 	clock     clock.Clock
 	slowStart SlowStart
-	starts    map[string]start // last start of each endpoint, by endpoint ID
+	starts    map[string]start // last listed start of each endpoint that has one, by endpoint ID
 
 	newestStartUnix time.Duration // newest listed start, as time since the Unix epoch
 	newestListedAt  time.Duration // time of its first listing, on the agent's clock
@@ -101,8 +102,8 @@
 	}
 }
 
-// minAge returns the minimum age of an endpoint that started at unix. The clock of the endpoints has at least the time
-// of the newest listed start plus the time since its listing. unix is Unix time, now is on the agent's clock.
+// minAge returns the minimum age of an endpoint that started at unix. The clock of the endpoints shows at least the
+// time of the newest listed start plus the time since its listing. unix is Unix time, now is on the agent's clock.
 func (s *startTimes) minAge(unix, now time.Duration) time.Duration {
 	minEndpointClock := s.newestStartUnix + (now - s.newestListedAt)
 	return minEndpointClock - unix
@@ -123,11 +124,12 @@
 }
 
 // estimateStart returns the estimated start of an endpoint on the agent's clock: now minus its estimated age, but after
-// its last start. unix is the listed start in Unix time, and last is the previous start of the endpoint, if any. If
-// wallClockOnly is set, the estimated age is the age by the wall clock of this machine, without the minimum age.
+// its last start and not in the future. unix is the listed start in Unix time, and last is the previous start of the
+// endpoint, if any. If wallClockOnly is set, the estimated age is the age by the wall clock of this machine, without
+// the minimum age.
 func (s *startTimes) estimateStart(unix time.Duration, last start, now time.Duration,
 	wallClockOnly bool) time.Duration {
-	if unix < last.unix { // a clock was set back. The restart was at an unknown time after the last list.
+	if unix < last.unix { // a clock was set back, and the restart was at an unknown time after the last list
 		return now
 	}
 	age := time.Duration(time.Now().UnixNano()) - unix
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -11,8 +11,8 @@
 // may respond slowly or not at all.
 //
 // The watch runs on a new goroutine. It ends when ctx is cancelled, when Unsubscribe or a later watch stops it, or when
-// it fails. After a failure the goroutine calls Options.OnList with the failure or, with Options.AutoWatch, starts the
-// next watch after a backoff.
+// it fails. After a failure, unless another watch is pending, the goroutine calls Options.OnList with the failure or,
+// with Options.AutoWatch, starts the next watch after a backoff.
 func (c *Client) Subscribe(ctx context.Context) {
 	watchCtx, stop := context.WithCancel(ctx)
 	w := c.source.addWatch(stop)
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// The timeouts and delays below keep the propagation of a change within maxPropagationDelay. Discovery treats a change
-// as received that long after it had the change and was reachable, regardless of failed calls; from then on, a request
-// that is sent to a draining endpoint counts as an error of the agent. The following must fit into that time:
+// The timeouts and delays below keep the propagation of a change within maxPropagationDelay. Once discovery has had a
+// change and has been reachable for that time, it treats the change as received, whether calls failed or not. From then
+// on, a request that is sent to a draining endpoint counts as an error of the agent. The following must fit into that
+// time:
 //
 //   - If the decision module subscribes and polls: an idle watch or a hanging poll until its timeout, the delay of the
 //     next call (SubscribeSpread), and the time of that call in discovery's queue.
@@ -18,7 +19,7 @@
 	defaultCallTimeout = 2500 * time.Millisecond
 	// maxQueueTime is the time that a call may wait in discovery's queue before discovery refuses it.
 	maxQueueTime = 2 * time.Second
-	// maxPropagationDelay is the maximum time until a change has reached this agent.
+	// maxPropagationDelay is the maximum time until this agent has received a change.
 	maxPropagationDelay = 6 * time.Second
 	// SubscribeSpread is the interval over which agents spread their calls after a start or a failure.
 	SubscribeSpread = maxPropagationDelay - max(defaultIdleTimeout, defaultCallTimeout) - maxQueueTime
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -25,7 +25,7 @@
 // discovery treats a change as received.
 func TestRestartsFitMaxPropagationDelay(t *testing.T) {
 	client, settings := newClient(t, false)
-	// The remaining 0.5 s are for the next watch, which a slow machine may need.
+	// The remaining 0.5 s are for the next watch, which may take that long on a slow machine.
 	worst := client.idleTimeout + client.callTimeout + 2*client.source.backoff.maxDelay
 	if worst > 5500*time.Millisecond {
 		t.Errorf("got %v for two idle watches, want at most 5.5 s", worst)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -22,7 +22,7 @@
 // watch is a watch of one address. It runs on the goroutine that Subscribe starts.
 type watch struct {
 	addr  string
-	since int64              // version to continue from; with unknownVersion, the first list is complete
+	since int64              // version to continue from; if unknownVersion, the first list must be complete
 	stop  context.CancelFunc // stops the watch
 }
 
@@ -65,7 +65,7 @@
 		if err != nil {
 			return err
 		}
-		if ctx.Err() != nil { // the watch was replaced or has timed out, so the list must not be applied
+		if ctx.Err() != nil { // replaced or timed out: another watch receives the list
 			return ctx.Err()
 		}
 		c.listTimeout.update(reader.listDuration())
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -149,12 +149,12 @@
 	testutil.Receive(t, oldServer.Watches)
 	oldServer.Lines <- deltaListJSON(2)
 	testutil.Receive(t, events)
-	client.SetAddress(context.Background(), "127.0.0.1:1") // connection refused, which has an event
+	client.SetAddress(context.Background(), "127.0.0.1:1") // refused, so the new watch fails
 	expectFailure(t, events)
 	oldServer.Lines <- deltaListJSON(3, entryJSON("s0", "DRAINING"))
 	expectEvent(t, events, balancer.ListDelta, 1) // from the watch of the old address, which continues
 	client.SetAddress(context.Background(), newServer.Addr)
-	client.SetAddress(context.Background(), newServer.Addr) // no effect
+	client.SetAddress(context.Background(), newServer.Addr) // no effect, since the address is unchanged
 	expectWatch(t, newServer, "follow=1")                   // without a version, for the complete list
 	oldServer.EndWatch <- struct{}{}                        // no event, since the new watch is pending
 	newServer.Lines <- ""
--- a/internal/endpoint/entry.go
+++ b/internal/endpoint/entry.go
@@ -52,13 +52,13 @@
 	return max(0, clock.FromMilliseconds(e.StartedAtUnixMs))
 }
 
-// IsSameProcess reports whether two entries of an endpoint describe the same process, which is so if their addresses
-// and start times are equal.
+// IsSameProcess reports whether two entries of an endpoint describe the same process: their addresses and start times
+// are equal.
 func (e Entry) IsSameProcess(other Entry) bool {
 	return e.Addr == other.Addr && e.StartedAtUnixMs == other.StartedAtUnixMs
 }
 
-// validate returns an ErrMalformedList if the entry is invalid.
+// validate returns an error that wraps ErrMalformedList if the entry is invalid.
 func (e Entry) validate() error {
 	if e.ID == "" {
 		return fmt.Errorf("%w: entry without an id", ErrMalformedList)
--- a/internal/endpoint/list.go
+++ b/internal/endpoint/list.go
@@ -17,7 +17,7 @@
 }
 
 // ParseList parses a list in the JSON format of the discovery service. It returns an error if any entry is invalid,
-// since applying only the valid ones could remove healthy endpoints. All its errors are ErrMalformedList.
+// since applying only the valid ones could remove healthy endpoints. All its errors wrap ErrMalformedList.
 func ParseList(raw []byte) (List, error) {
 	// The field names are lower case on the wire; encoding/json ignores the case. The fields have no tags, since tags
 	// would change the field names in the errors of encoding/json, which are logged.
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -70,8 +70,8 @@
 	return name, value, true
 }
 
-// FromValues returns the report with the given values, whose keys are the names above. For a nil map, the report is
-// invalid.
+// FromValues returns the report with the given values, whose keys are the constants InFlight to ErrorsPerSecond. For a
+// nil map, the report is invalid.
 func FromValues(values map[string]float64) balancer.LoadReport {
 	value := func(name string) float64 {
 		if v, ok := values[name]; ok {
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -4,7 +4,7 @@
 
 // Header names, in the canonical form of net/http.
 const (
-	HeaderRequestID      = "X-Call-Id"       // ID of the request: 16 hexadecimal digits, unique
+	HeaderRequestID      = "X-Call-Id"       // unique ID of the request: 16 hexadecimal digits
 	HeaderTimeout        = "X-Budget-Ms"     // time that the sender waits for the response, in whole milliseconds
 	HeaderIdempotencyKey = "Idempotency-Key" // deduplication key of an idempotent request
 	HeaderTenant         = "X-Caller"        // name of the tenant in the settings
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -58,8 +58,8 @@
 	return c.exchange(ctx, conn, newForwardedRequest(request, bounds.Deadline), bounds.Deadline)
 }
 
-// HealthCheck sends a health check to an endpoint. If load reports are enabled, it requests a load report instead of
-// the health path.
+// HealthCheck sends a health check to an endpoint. If load reports are enabled, it requests protocol.LoadReportPath
+// instead of protocol.HealthPath.
 func (c *Client) HealthCheck(ctx context.Context, endpointID string) (balancer.Result, Response) {
 	deadline := time.Now().Add(c.healthCheckTimeout)
 	conn, failure := c.connect(ctx, endpointID, deadline)
@@ -81,8 +81,8 @@
 func unsentResponse(err error) Response { return Response{EndedAt: time.Now(), Err: err} }
 
 // connect returns an idle or a new connection to an endpoint. The endpoint may start to drain or be restarted during
-// the dial, so the connection is compared with the endpoint table and replaced if it leads to an earlier process: a
-// reset by a process that has exited can't be told from a reset of a request that may have run.
+// the dial, so the connection is compared with the endpoint table and replaced if it leads to an earlier process. If
+// a request were sent to a process that has exited, the reset could not be told from one after the request has run.
 //
 // It returns a *connectError instead of an error, because each failure carries the result of its attempt, and because
 // a nil *connectError in an error interface would not compare equal to nil.
@@ -162,8 +162,8 @@
 	return result, outcome.response
 }
 
-// classify returns the result of an exchange. If it is unknown whether the request ran, the result says that it may
-// have run.
+// classify returns the result that the protocol defines for the outcome of an exchange. If it is unknown whether the
+// request ran, the result says that it may have run.
 func classify(outcome exchangeOutcome, cancelled bool) balancer.Result {
 	response := outcome.response
 	switch {
@@ -196,8 +196,8 @@
 func (c *Client) closeDeadConnections(snapshot connectionSnapshot, result balancer.Result) {
 	switch {
 	case result == balancer.TimedOut:
-		// If the machine has vanished, a request on an idle connection is lost without an error. A dial fails instead,
-		// and proves that the request did not run.
+		// If the machine has vanished, a request on an idle connection is lost without an error. A dial fails within
+		// the connect timeout instead, which proves that the request did not run.
 		c.pool.closeIdle(snapshot.endpointID)
 	case (result == balancer.Reset || result == balancer.ConnectFailed) && snapshot.idleDuration > minIdleBeforeFailure:
 		// The cause, such as a middlebox or a restart of the machine, has also ended the connections that were idle for
@@ -207,7 +207,8 @@
 	}
 }
 
-// logUnexpectedResponse logs malformed responses and responses with a status that the protocol does not define.
+// logUnexpectedResponse logs malformed responses, and responses with an unexpected status: any but 200, 500, and 503 or
+// 504 with the X-Rejected header.
 func (c *Client) logUnexpectedResponse(endpointID string, result balancer.Result, response Response) {
 	if errors.Is(response.Err, ErrMalformedResponse) {
 		c.log.Warn(telemetry.MsgMalformedResponse, telemetry.Endpoint(endpointID), telemetry.Err(response.Err))
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -21,7 +21,8 @@
 	defaultIdleTimeout = time.Minute
 	// healthCheckTimeoutFactor is the timeout of a health check as a multiple of the connect timeout.
 	healthCheckTimeoutFactor = 2
-	// stallTimeoutFactor is the stall timeout as a multiple of the connect timeout.
+	// stallTimeoutFactor is the stall timeout, the maximum pause within a response, as a multiple of the connect
+	// timeout.
 	stallTimeoutFactor = 2
 	// minStallTimeout is the lower bound of the stall timeout.
 	minStallTimeout = 100 * time.Millisecond
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -13,7 +13,7 @@
 	netConn   net.Conn // closed only by the pool, which counts connections
 	group     *endpointGroup
 	entry     endpoint.Entry // table entry of the endpoint at the time of the dial
-	idleSince time.Time      // time of the last release; zero before the first one. Written under pool.mu.
+	idleSince time.Time      // time of the last release, zero before the first one; written under pool.mu
 }
 
 func (c *connection) endpointID() string { return c.group.endpointID }
--- a/internal/upstream/framing.go
+++ b/internal/upstream/framing.go
@@ -35,7 +35,8 @@
 }
 
 // parseFraming parses the framing of the body from the header. It returns an error for more than one Content-Length or
-// Transfer-Encoding, which would leave the end of the body ambiguous, and for a Content-Length above the limit.
+// Transfer-Encoding header in total, which would leave the end of the body ambiguous. It also returns an error for a
+// Content-Length above the limit, so that such a body is not read.
 func (h responseHead) parseFraming() (framing, error) {
 	lengths, encodings := h.header["Content-Length"], h.header["Transfer-Encoding"]
 	switch {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -25,7 +25,7 @@
 
 	mu             sync.Mutex                // protects the fields below and the groups
 	numOpen        int                       // connections that are idle, in use or being dialled
-	groups         map[string]*endpointGroup // groups with numOpen > 0, by endpoint ID
+	groups         map[string]*endpointGroup // groups with numOpen > 0 that are not draining, by endpoint ID
 	sweepScheduled bool                      // a timer for sweep is running
 }
 
@@ -45,7 +45,8 @@
 	defer p.mu.Unlock()
 	for group := p.groups[endpointID]; group != nil && len(group.idle) > 0; {
 		conn := group.popNewest()
-		// A connection that is not Quiet was closed, has received bytes after its last response, or can't be examined.
+		// In any state but Empty, the connection was closed, has received bytes after its last response, or can't be
+		// examined.
 		if socket.Peek(conn.netConn) == socket.Empty && time.Since(conn.idleSince) < p.idleTimeout {
 			return conn
 		}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// If a connection fails that was idle before, connections that were idle for as long are presumed dead and must be
-// closed. The failure of a connection that was not idle implies nothing about the others, and closing them would cost
-// one handshake each.
+// If a connection fails that was idle before, connections that were idle for as long or longer are presumed dead and
+// must be closed. The failure of a connection that was not idle implies nothing about the others, and closing them
+// would cost one handshake each.
 func TestIdleConnectionsAfterFailure(t *testing.T) {
 	closeConnection := func(net.Conn, *http.Request, []byte) bool { return false }
 	for _, tt := range []struct {
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -34,8 +34,8 @@
 	connErr        error // last error of the connection
 }
 
-// readResponse reads one complete response; a partial response is never returned. keepAlive reports whether another
-// response may follow on the connection.
+// readResponse reads the final response and skips the informational responses before it. A partial response is never
+// returned. keepAlive reports whether another response may follow on the connection.
 func (r *responseReader) readResponse() (response Response, keepAlive bool) {
 	for range maxInformationalResponses + 1 {
 		r.bytesRemaining, r.started = maxHeadSize, r.buffer.Buffered() > 0
@@ -94,7 +94,8 @@
 }
 
 // failedResponse returns the response of a failed read. Its error is that of the connection if there is one, and
-// ErrMalformedResponse otherwise. A response that stalls is malformed too, although its read failed with a timeout.
+// ErrMalformedResponse otherwise. A response that starts and then stalls is malformed too, although its read failed
+// with a timeout: the endpoint keeps the connection open and sends no more.
 func (r *responseReader) failedResponse(err error) Response {
 	if r.connErr != nil && !r.isStalled() {
 		return Response{Err: r.connErr}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -14,8 +14,8 @@
 	"ashshunt/internal/protocol"
 )
 
-// Response is the response to a request. If Err is set, or Status is 0 because the request was deliberately not sent,
-// there is no response.
+// Response is the response to a request. If there is none, Status is 0, and Err is set unless the request was
+// deliberately not sent.
 type Response struct {
 	Status  int
 	Header  textproto.MIMEHeader
@@ -30,7 +30,7 @@
 	return unavailable && r.Header.Get(protocol.HeaderRejected) == protocol.FlagTrue
 }
 
-// LoadReport returns the load report in the response header, or an invalid one if there is none.
+// LoadReport returns the load report in the response header. It is invalid if there is none or if it can't be parsed.
 func (r Response) LoadReport() balancer.LoadReport {
 	return loadreport.Parse(r.Header.Get(protocol.HeaderLoadReport))
 }
@@ -55,7 +55,7 @@
 type responseHead struct {
 	status    int
 	header    textproto.MIMEHeader
-	keepAlive bool // whether the version and the header allow another response on the connection
+	keepAlive bool // the version and the header allow another response on the connection
 }
 
 // readHead reads the status line and the header.
