--- a/internal/endpoint/entry.go
+++ b/internal/endpoint/entry.go
@@ -38,7 +38,7 @@
 	Cell            int     `json:"cell"`
 	State           State   `json:"state"`
 	Weight          float64 `json:"weight"`
-	StartedAtUnixMs float64 `json:"started_ms"` // Start of the process, as Unix time in milliseconds; 0 means long ago.
+	StartedAtUnixMs float64 `json:"started_ms"` // start of the process, as Unix time in milliseconds; 0 means long ago
 }
 
 // BalancerState returns the state of the endpoint as a state of the decision module.
@@ -52,13 +52,13 @@
 	return max(0, clock.FromMilliseconds(e.StartedAtUnixMs))
 }
 
-// IsSameProcess reports whether two entries of an endpoint describe the same process, which is so if their addresses
-// and start times are equal.
+// IsSameProcess reports whether two entries of an endpoint describe the same process: their addresses and start times
+// are equal.
 func (e Entry) IsSameProcess(other Entry) bool {
 	return e.Addr == other.Addr && e.StartedAtUnixMs == other.StartedAtUnixMs
 }
 
-// validate returns an ErrMalformedList if the entry is invalid.
+// validate returns an error that wraps ErrMalformedList if the entry is invalid.
 func (e Entry) validate() error {
 	if e.ID == "" {
 		return fmt.Errorf("%w: entry without an id", ErrMalformedList)
