--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -30,7 +30,7 @@
 	deadline     time.Duration
 	relativeWork float64 // expected work as a multiple of the mean of the class; 1 if unknown
 	attempts     []auditedAttempt
-	finished     bool
+	isFinished   bool
 	abandonedAt  time.Duration // time at which the client disconnected: actions in the same step are allowed
 	isStreaming  bool
 	key          string        // key of an ordered request; "": not ordered
@@ -41,7 +41,7 @@
 type auditedAttempt struct {
 	endpoint   string
 	sentAt     time.Duration
-	inFlight   bool
+	isInFlight bool
 	mayHaveRun bool
 }
 
@@ -89,8 +89,8 @@
 			r.isStreaming = true
 		}
 	case balancer.Abandoned:
-		if r := a.requests[e.Request]; r != nil && !r.finished {
-			r.finished, r.abandonedAt = true, a.now
+		if r := a.requests[e.Request]; r != nil && !r.isFinished {
+			r.isFinished, r.abandonedAt = true, a.now
 		}
 	case balancer.EndpointList:
 		a.handleEndpointList(e)
@@ -118,17 +118,17 @@
 
 func (a *auditor) handleOutcome(e balancer.Outcome) {
 	r := a.requests[e.Request]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].inFlight {
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].isInFlight {
 		return
 	}
 	attempt := &r.attempts[e.Attempt]
-	attempt.inFlight = false
+	attempt.isInFlight = false
 	rejectedMayHaveRun := e.Result == balancer.Rejected && a.settings.RejectedMayHaveRun
 	attempt.mayHaveRun = !e.Result.NeverRan() || rejectedMayHaveRun
 	if e.Result == balancer.TimedOut || e.Result == balancer.Reset || e.Result == balancer.Cancelled {
 		r.quietUntil = a.now + a.settings.KeyQuietPeriod
 	}
-	r.finished = r.finished || e.Done
+	r.isFinished = r.isFinished || e.Done
 }
 
 func (a *auditor) handleEndpointList(e balancer.EndpointList) {
@@ -195,7 +195,7 @@
 	mayBeRepeated := r.class.Idempotency == balancer.Idempotent ||
 		r.class.Idempotency == balancer.IdempotentWithKey && r.class.DedupScope == balancer.DedupEverywhere
 	for _, attempt := range r.attempts {
-		if (attempt.mayHaveRun || attempt.inFlight) && !mayBeRepeated {
+		if (attempt.mayHaveRun || attempt.isInFlight) && !mayBeRepeated {
 			a.recordViolation("%s was rejected although an attempt may have run", act.Request)
 		}
 	}
@@ -207,12 +207,12 @@
 	case r == nil:
 		a.recordViolation("final answer for unknown request %s", id)
 		return nil
-	case r.finished && r.abandonedAt != a.now:
+	case r.isFinished && r.abandonedAt != a.now:
 		a.recordViolation("%s got a second final answer", id)
 	case a.now > r.deadline+a.settings.ResponseGrace && !r.isStreaming:
 		a.recordViolation("%s got its final answer after its deadline", id)
 	}
-	r.finished, r.abandonedAt = true, 0
+	r.isFinished, r.abandonedAt = true, 0
 	return r
 }
 
@@ -222,7 +222,7 @@
 		a.recordViolation("send of request %q to endpoint %q, one of which is unknown", act.Request, act.Endpoint)
 		return
 	}
-	if r.finished && r.abandonedAt != a.now {
+	if r.isFinished && r.abandonedAt != a.now {
 		a.recordViolation("%s was sent after it was finished", act.Request)
 	}
 	if len(r.attempts) >= max(1, a.settings.MaxAttempts) {
@@ -234,7 +234,7 @@
 	}
 	a.auditKeyOrder(act.Request, r)
 	a.auditRepeat(act.Request, r, ep)
-	r.attempts = append(r.attempts, auditedAttempt{endpoint: act.Endpoint, sentAt: a.now, inFlight: true})
+	r.attempts = append(r.attempts, auditedAttempt{endpoint: act.Endpoint, sentAt: a.now, isInFlight: true})
 	ep.sends = append(ep.sends, sentWork{a.now, r.relativeWork})
 	a.auditSlowStart(ep)
 }
@@ -246,9 +246,9 @@
 		if earlier == r {
 			break
 		}
-		open := !earlier.finished
+		open := !earlier.isFinished
 		for _, attempt := range earlier.attempts {
-			open = open || attempt.inFlight
+			open = open || attempt.isInFlight
 		}
 		if open {
 			a.recordViolation("%s was sent before an earlier request of its key finished", id)
@@ -263,10 +263,10 @@
 	var first *auditedAttempt // first attempt that may have run
 	for i := range r.attempts {
 		attempt := &r.attempts[i]
-		if attempt.inFlight && !a.settings.AllowHedging {
+		if attempt.isInFlight && !a.settings.AllowHedging {
 			a.recordViolation("%s has two attempts in flight", id)
 		}
-		if first == nil && (attempt.inFlight || attempt.mayHaveRun) {
+		if first == nil && (attempt.isInFlight || attempt.mayHaveRun) {
 			first = attempt
 		}
 	}
@@ -330,9 +330,9 @@
 // auditOverdue records a violation for each request without a final answer after its deadline.
 func (a *auditor) auditOverdue() {
 	for id, r := range a.requests {
-		if !r.finished && !r.isStreaming && a.now > r.deadline+a.settings.ResponseGrace {
+		if !r.isFinished && !r.isStreaming && a.now > r.deadline+a.settings.ResponseGrace {
 			a.recordViolation("%s got no final answer by its deadline", id)
-			r.finished = true
+			r.isFinished = true
 		}
 	}
 }
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -64,10 +64,10 @@
 // updateTimeout updates the median timeout with that of a new request. It reports whether the timeout
 // identifies the request as a client's retry: clients give all first tries the same timeout, and a last try
 // only the time left until their deadline.
-func (c *classStats) updateTimeout(timeout, tick time.Duration, markedRetry bool) (isRetry bool) {
+func (c *classStats) updateTimeout(timeout, tick time.Duration, isMarkedRetry bool) (isRetry bool) {
 	c.medianTimeout = cmp.Or(c.medianTimeout, timeout)
 	difference := timeout - c.medianTimeout
-	if !markedRetry {
+	if !isMarkedRetry {
 		// Steps of equal size in both directions converge to the median.
 		step := tick / timeoutStepsPerTick
 		c.medianTimeout += min(max(difference, -step), step)
@@ -99,12 +99,12 @@
 }
 
 // updateOnTimeShares updates the on-time shares of attempts over new and over existing connections.
-func (c *classStats) updateOnTimeShares(onTime, newConnection bool) {
+func (c *classStats) updateOnTimeShares(isOnTime, usesNewConnection bool) {
 	sample := 0.0
-	if onTime {
+	if isOnTime {
 		sample = 1
 	}
-	if newConnection {
+	if usesNewConnection {
 		c.newConnOnTimeShare += smoothing * (sample - c.newConnOnTimeShare)
 		return
 	}
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -16,8 +16,8 @@
 	limitDecreaseFactor = 0.9
 	// limitIncrease is the increase of the limit per endpoint, in attempts, over one round of responses.
 	limitIncrease = 0.7
-	// minUtilizationToGrow is the share of the limit that must be in flight for the limit to increase.
-	minUtilizationToGrow = 0.9
+	// minUtilizationToIncrease is the share of the limit that must be in flight for the limit to increase.
+	minUtilizationToIncrease = 0.9
 
 	// maxTargetRatio is the objective ratio above which the limit always decreases.
 	maxTargetRatio = 0.35
@@ -56,7 +56,7 @@
 	perEndpoint   float64       // limit per endpoint, in attempts in flight of all agents together
 	meanRatio     float64       // moving average of the objective ratio
 	baselineRatio float64       // estimate of meanRatio without queueing: falls slowly, rises far more slowly
-	samples       float64       // number of objective ratios so far
+	sampleCount   float64       // number of objective ratios so far
 	decreasedAt   time.Duration // time of the latest decrease; 0: none
 }
 
@@ -95,9 +95,9 @@
 func (l *concurrencyLimiter) update(
 	now, minDecreaseInterval time.Duration, ratio, activeInFlight float64, fleet fleetSummary,
 ) {
-	l.samples++
-	if l.samples <= initialRatioSamples {
-		l.meanRatio += (min(ratio, maxRatioSample) - l.meanRatio) / l.samples
+	l.sampleCount++
+	if l.sampleCount <= initialRatioSamples {
+		l.meanRatio += (min(ratio, maxRatioSample) - l.meanRatio) / l.sampleCount
 		l.baselineRatio = l.meanRatio
 		return
 	}
@@ -108,7 +108,7 @@
 	case l.meanRatio > target && now-l.decreasedAt > minDecreaseInterval:
 		l.perEndpoint = max(minLimitPerEndpoint, l.perEndpoint*limitDecreaseFactor)
 		l.decreasedAt = now
-	case l.meanRatio < target && activeInFlight+1 >= limit*minUtilizationToGrow:
+	case l.meanRatio < target && activeInFlight+1 >= limit*minUtilizationToIncrease:
 		l.perEndpoint += limitIncrease / limit
 	}
 }
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -133,15 +133,15 @@
 // The limit per endpoint increases as fast with many agents as with one, so that agents that increase their
 // limits together do not overshoot.
 func TestLimitGrowsPerEndpoint(t *testing.T) {
-	if one, many := inFlightAfterGrowth(t, 1), inFlightAfterGrowth(t, 20); one < 100 || many > one*3/2 {
+	if one, many := inFlightAfterIncrease(t, 1), inFlightAfterIncrease(t, 20); one < 100 || many > one*3/2 {
 		t.Errorf("got %d attempts in flight with one agent, want at least 100; got %d with 20, want 1.5 times at most",
 			one, many)
 	}
 }
 
-// inFlightAfterGrowth returns the attempts in flight of all agents together after four rounds of fast
+// inFlightAfterIncrease returns the attempts in flight of all agents together after four rounds of fast
 // responses.
-func inFlightAfterGrowth(t *testing.T, agents int) int {
+func inFlightAfterIncrease(t *testing.T, agents int) int {
 	t.Helper()
 	s := settings()
 	s.Agents = agents
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -204,7 +204,7 @@
 			continue
 		}
 		outcome.Latency = time.Duration(d.rng.IntN(900)) * ms
-		outcome.Done = outcome.Result == balancer.Served || d.auditor.requests[outcome.Request].finished
+		outcome.Done = outcome.Result == balancer.Served || d.auditor.requests[outcome.Request].isFinished
 		events = append(events, outcome)
 		if d.rng.IntN(10) == 0 {
 			events = append(events, outcome) // repeated
