--- a/balancer/validation.go
+++ b/balancer/validation.go
@@ -12,7 +12,7 @@
 }
 
 func (e *SettingError) Error() string {
-	return fmt.Sprintf("settings: %s: %v makes no sense", e.Field, e.Value)
+	return fmt.Sprintf("settings: %s: invalid value %v", e.Field, e.Value)
 }
 
 // withDefaults returns the settings with defaults for absent values.
--- a/cmd/ashshunt-sim/main_test.go
+++ b/cmd/ashshunt-sim/main_test.go
@@ -61,7 +61,7 @@
 	tests := []struct{ name, in, want string }{
 		{"instance not open", batch("1", `{"msg":"Reminder","Agent":8,"Cookie":1}`), "line 2: instance 8 is not open"},
 		{"invalid settings", batch("1", strings.Replace(open, `"Balancers":1`, `"Balancers":0`, 1)),
-			"Balancers: 0"},
+			"Balancers: invalid value 0"},
 		{"malformed line", batch("1", "{"), "line 2: "},
 	}
 	for _, tt := range tests {
