--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Action is something that the agent must do at once. Actions are carried out in the order in which Step
+// Action is an instruction to the agent. The agent carries out actions at once, in the order in which Step
 // returns them.
 //
 // Balancer returns Send, Cancel, Reject, Fail, SetTimer and Subscribe. The other actions are part of the wire
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -6,11 +6,11 @@
 	// overdueObjectiveShare is the minimum time without a response after which an attempt is overdue, as a
 	// share of the objective.
 	overdueObjectiveShare = 0.35
-	// overdueExpectedLatencies is the same in expected latencies. It exceeds the share of the objective where
-	// all endpoints are overloaded.
+	// overdueExpectedLatencies is the same in expected latencies. The longer of the two times applies. This
+	// is the longer one where all endpoints are overloaded, so that latencies are high.
 	overdueExpectedLatencies = 6.0
 	// minInformativeTimeoutShare is the minimum time that a client must wait for the result of an attempt to
-	// carry information about the endpoint, as a share of the objective.
+	// carry information about the endpoint, as a share of the objective or, if shorter, the deadline.
 	minInformativeTimeoutShare = overdueObjectiveShare
 	// minExpectedLatencyNs keeps divisions by an expected latency finite.
 	minExpectedLatencyNs = 1.0
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -41,8 +41,8 @@
 	subscriber   subscriber
 }
 
-// New returns a Balancer without requests and endpoints. seed is the seed of all its random choices. An error
-// is a *SettingError.
+// New returns a Balancer without requests and endpoints. It seeds the generator of all random numbers with
+// seed. Any error is a *SettingError.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -9,7 +9,7 @@
 const (
 	// smoothing is the weight of a new sample in a moving average, which covers about the last 20 samples.
 	smoothing = 0.1
-	// slowSmoothing is the weight of a new sample in a slow moving average.
+	// slowSmoothing is the weight of a new sample in a moving average that must change slowly.
 	slowSmoothing = smoothing / 10
 	// arrivalDecay is the share that decayed counts lose with each arrival. They cover the last few hundred
 	// arrivals.
@@ -37,15 +37,15 @@
 type classStats struct {
 	Class
 	index                   int           // position in Settings.Classes
-	meanLatencyNs           float64       // moving average of the latencies of served requests
+	meanLatencyNs           float64       // moving average of latencies, scaled to a request of mean work
 	latencyUpdatedAt        time.Duration // time of the latest update of meanLatencyNs
-	meanWorkNs              float64       // moving average of the expected work of requests; 0: unknown
+	meanWorkNs              float64       // moving average of the expected work of requests; 0: none known
 	medianTimeout           time.Duration // running estimate of the median timeout of first tries
 	arrivals                float64       // decayed count of requests
 	servedOnTime            float64       // decayed count of requests served within their objective
 	newConnOnTimeShare      float64       // moving on-time share of attempts over new connections
 	existingConnOnTimeShare float64       // moving on-time share of attempts over existing connections
-	goalGainPerWork         float64       // gain in the operator's goal per nanosecond of work
+	goalGainPerWork         float64       // gain in the operator's goal per nanosecond of work, in this step
 }
 
 func newClassStats(class Class, index int) *classStats {
@@ -120,7 +120,7 @@
 	return c.newConnOnTimeShare >= c.existingConnOnTimeShare-significantOnTimeGap
 }
 
-// expectedLatencyNs returns the expected latency of a request with an expected work; 0 means unknown work.
+// expectedLatencyNs returns the expected latency of a request with the given expected work (0: unknown).
 func (c *classStats) expectedLatencyNs(workNs float64) float64 {
 	if workNs > 0 && c.meanWorkNs > 0 {
 		return c.meanLatencyNs * workNs / c.meanWorkNs
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -9,7 +9,7 @@
 	// minLimitPerEndpoint is the minimum and the initial limit per endpoint, in attempts in flight of all
 	// agents together.
 	minLimitPerEndpoint = 4.0
-	// minLimitedShare is the smallest share of the minimum limit, in attempts, with which an agent is
+	// minLimitedShare is the minimum share of the minimum limit, in attempts, with which an agent is
 	// limited. An agent with a smaller share has no limit.
 	minLimitedShare = 0.6
 	// limitDecreaseFactor is the factor by which each decrease multiplies the limit.
@@ -33,10 +33,10 @@
 	failedAttemptRatio = 1.0
 	// maxRatioSample is the maximum objective ratio that counts for one attempt.
 	maxRatioSample = 2.0
-	// maxSampleOverBaseline is a second maximum for one attempt, as a multiple of the baseline ratio. The
-	// lower maximum applies.
+	// maxSampleOverBaseline is a second bound on the objective ratio of one attempt, as a multiple of the
+	// baseline ratio. The lower of the two bounds applies.
 	maxSampleOverBaseline = 4.0
-	// minSampleBound is the minimum of the maximum that maxSampleOverBaseline gives, for low baselines.
+	// minSampleBound is the minimum of that second bound. It applies while the baseline ratio is low.
 	minSampleBound = 2 * minTargetRatio
 	// initialRatioSamples is the number of attempts whose mean is the first baseline. The limit is adjusted
 	// only after them.
@@ -64,8 +64,9 @@
 	return concurrencyLimiter{agents: float64(agents), perEndpoint: minLimitPerEndpoint}
 }
 
-// limit returns this agent's share of the limit, in attempts. It is infinite if the share is so small that
-// requests would queue behind any slow one. Then the throttle acts instead.
+// limit returns this agent's share of the limit, in attempts, and at least 1. It is infinite if the share of
+// the minimum limit is so small that requests would queue behind any slow one. Then the throttle acts
+// instead.
 func (l *concurrencyLimiter) limit(fleet fleetSummary) float64 {
 	if l.isUnlimited(fleet) {
 		return math.Inf(1)
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -9,7 +9,7 @@
 	"ashshunt/balancer"
 )
 
-// Latency above the target lowers the limit. Requests above the limit are queued and then rejected; a
+// A latency above the target decreases the limit. Requests above the limit are queued and then rejected; a
 // client's retry is rejected at once.
 func TestInFlightLimit(t *testing.T) {
 	s := settings()
@@ -85,7 +85,7 @@
 	}
 }
 
-// Latencies that vary a lot do not lower the limit of a busy agent if their mean is well within the
+// Latencies that vary a lot do not decrease the limit of a busy agent if their mean is well within the
 // objective.
 func TestLatencyVarianceDoesNotLowerLimit(t *testing.T) {
 	s := settings()
@@ -163,8 +163,8 @@
 	return len(inFlight) * agents
 }
 
-// The first responses set the baseline. A rise to seven times the baseline lowers the limit, although the
-// latency is far below the objective. A few heavy requests do not lower it.
+// The first responses set the baseline. A rise to seven times the baseline decreases the limit, although
+// the latency is far below the objective. A few heavy requests do not decrease it.
 func TestBaselineFromFirstResponses(t *testing.T) {
 	inFlight := func(latencies ...time.Duration) int {
 		h := newHarness(t, settings(), 1, endpoints(2))
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -32,7 +32,7 @@
 // attempts in flight are near the limit.
 //
 // All agents have equal shares of the limit. An agent whose share of the minimum limit is well under one
-// attempt has no limit, because its requests would queue behind any slow one. If the share is under one
+// attempt has no limit, because its requests would queue behind any slow one. If that share is under one
 // attempt, a throttle (throttle.go) bounds the work that is spent on late responses.
 //
 // The queue first sends the request that adds most to the operator's goal per unit of work (priority.go).
@@ -74,7 +74,7 @@
 // # Outlier ejection
 //
 // An endpoint is ejected (outlier.go, ejection.go) after consecutive failures. A single time-out ejects it if
-// it has served nothing since that attempt was sent. The duration doubles with each ejection. Ejection is
+// it has served nothing since that attempt was sent. Each further ejection lasts twice as long. Ejection is
 // necessary because an endpoint that fails fast is always idle and would get all traffic.
 //
 // The required number of failures depends on the failure rate of the fleet. Only part of the fleet is ejected
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -22,8 +22,8 @@
 // ejectionState holds the consecutive failures of one endpoint and its ejections.
 type ejectionState struct {
 	consecutiveFailures int
-	firstFailureAt      time.Duration // the first of the consecutive failures
-	isUnreachable       bool          // a connection has failed or broken since the latest served attempt
+	firstFailureAt      time.Duration // time of the first of the consecutive failures
+	isUnreachable       bool          // connections fail or break; see markUnreachable
 	level               float64       // raised by each ejection, lowered by each served attempt
 	ejectedAt           time.Duration
 	ejectedUntil        time.Duration
@@ -34,10 +34,11 @@
 // classEjection is the ejection of an endpoint for one class.
 type classEjection struct {
 	ejectedUntil time.Duration
-	level        float64 // as ejectionState.level, but raised by time-outs of this class
+	level        float64 // raised by each ejection, reset by a served attempt of the class
 }
 
-// eject ejects the endpoint for a number of objectives that doubles with each level, multiplied by jitter.
+// eject ejects the endpoint for a number of objectives that doubles with each level, multiplied by jitter. At
+// level 1 the number is 1.
 func (e *ejectionState) eject(now, objective time.Duration, jitter float64) {
 	e.level = min(e.level+1, maxEjectionLevel)
 	objectives := math.Exp2(e.level-1) * jitter
@@ -55,7 +56,8 @@
 // skipUntil makes the picker skip the endpoint until the given time.
 func (e *ejectionState) skipUntil(until time.Duration) { e.skippedUntil = until }
 
-// markUnreachable records that connections to the endpoint fail or break.
+// markUnreachable records that connections to the endpoint fail or break, after as many consecutive failures
+// as eject it. The record is reset when the endpoint serves an attempt or restarts.
 func (e *ejectionState) markUnreachable() { e.isUnreachable = true }
 
 func (e *ejectionState) isEjected(now time.Duration) bool { return now < e.ejectedUntil }
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -69,7 +69,8 @@
 // before the attempt was sent, although the list has not reported it yet: the endpoint was unreachable, its
 // consecutive failures started before the attempt was sent, and no later start is known.
 func (ep *endpoint) hasProbablyRestartedBefore(a *attempt) bool {
-	return ep.ejection.isUnreachable && ep.warmUp.startedAt < a.sentAt && ep.ejection.firstFailureAt < a.sentAt
+	return ep.ejection.isUnreachable && ep.warmUp.startedAt < a.sentAt &&
+		ep.ejection.firstFailureAt < a.sentAt
 }
 
 // isUsable reports whether the capacity of the endpoint counts as part of the fleet's.
@@ -113,10 +114,10 @@
 
 // responseStats holds the statistics of an endpoint's responses.
 type responseStats struct {
-	hasServed    bool // whether the endpoint has served anything since it started
+	hasServed    bool // the endpoint has served something since it started
 	lastServedAt time.Duration
 	latencyRatio float64 // mean of latency over expected latency; 0: no sample yet
-	sampleCount  float64 // number of samples in latencyRatio
+	sampleCount  float64 // number of samples since the latest attempt without a response
 }
 
 // ratio returns the mean of latency over expected latency, or 1 without samples.
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// hedgeDeviations is the number of mean deviations that the latency of an attempt may exceed the expected
-	// latency by before its request is hedged.
+	// hedgeDeviations is the number of mean deviations above the expected latency after which a request is
+	// hedged.
 	hedgeDeviations = 5.0
 	// initialLatencyDeviation is the mean deviation before the first response, as a multiple of the mean
 	// latency.
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -57,7 +57,7 @@
 	now      time.Duration
 	sent     map[string][]string // endpoints of the attempts, by request ID
 	timers   []pendingTimer
-	actions  []balancer.Action // actions of the last step
+	actions  []balancer.Action // actions of the latest step
 }
 
 // pendingTimer is a timer that a balancer has set.
--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// While latencies are high, the limit is multiplied by a factor, at most once per mean latency, down to the
-// minimum limit. While latencies are low, it grows if it binds.
+// While latencies are high, the limit is multiplied by limitDecreaseFactor, at most once per mean latency,
+// down to the minimum limit. While latencies are low, it increases if it is nearly used up.
 func TestLimitIsAdjusted(t *testing.T) {
 	const start, meanLatency = 20.0, 100 * time.Millisecond
 	fleet := fleetSummary{serving: 5, capacity: 5}
@@ -117,8 +117,8 @@
 	}{
 		{"high latency for a moment", 1, 0, 0, start * limitDecreaseFactor, start * limitDecreaseFactor},
 		{"high latency for long", 1, 0, 2 * meanLatency, minLimitPerEndpoint, minLimitPerEndpoint},
-		{"low latency, limit binds", 0.05, 150, 0, 1.01 * start, 1.5 * start},
-		{"low latency, limit does not bind", 0.05, 50, 0, start, start},
+		{"low latency, limit nearly used up", 0.05, 150, 0, 1.01 * start, 1.5 * start},
+		{"low latency, limit not nearly used up", 0.05, 50, 0, start, start},
 	}
 	for _, tt := range tests {
 		limiter := newConcurrencyLimiter(1)
@@ -135,7 +135,7 @@
 	}
 }
 
-// The throttle closes if this agent's part of the minimum limit is below one attempt, and if the requests
+// The throttle closes if this agent's share of the minimum limit is below one attempt, and if the requests
 // sent exceed a multiple of those served on time by at least the allowance.
 func TestIsThrottled(t *testing.T) {
 	tests := []struct {
@@ -147,7 +147,7 @@
 		{"allowance used up", 40, excessAllowance, 0, true},
 		{"enough served on time", 40, excessAllowance + 9*maxSentPerOnTime, 10, false},
 		{"too few served on time", 40, excessAllowance + 11*maxSentPerOnTime, 10, true},
-		{"part of one attempt", 8, 100, 0, false},
+		{"share of one attempt", 8, 100, 0, false},
 	}
 	for _, tt := range tests {
 		limiter, traffic := newConcurrencyLimiter(tt.agents), trafficStats{sent: tt.sent, servedOnTime: tt.onTime}
--- a/balancer/keyqueue.go
+++ b/balancer/keyqueue.go
@@ -56,8 +56,8 @@
 		qs.removeIfUnused(queue, now)
 		return 0
 	}
-	// Only the head of a queue has attempts, and none in a quiet period. So the request was the head, and its
-	// key has no other quiet period.
+	// The request has had an attempt. Only the head of a queue has attempts, and no attempt starts in a quiet
+	// period of its key. So the request was the head, and its key has no other quiet period.
 	queue.quietUntil = r.keyQuietUntil
 	qs.quiet = append(qs.quiet, queue)
 	return queue.quietUntil - now + timerResolution
@@ -73,7 +73,7 @@
 	}
 }
 
-// removeIfUnused removes a queue that is unused, unless the key has another queue in the meantime.
+// removeIfUnused removes a queue that is unused, unless its key has a newer queue.
 func (qs *keyQueues) removeIfUnused(queue *keyQueue, now time.Duration) {
 	if queue.isUnused(now) && qs.byKey[queue.key] == queue {
 		delete(qs.byKey, queue.key)
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// handleServed records that a request was served, and cancels its other attempts.
+// handleServed records that a request was served, and cancels its other attempts if Settings.AllowCancel is
+// set.
 func (b *Balancer) handleServed(r *request) {
 	b.retryTokens.refill()
 	if r.isOnTime(b.now) {
@@ -107,9 +108,9 @@
 	b.updateLimit(r.class.objectiveRatio(latency))
 }
 
-// handleAttemptTimedOut handles an attempt without a response. It ejects the endpoint if it has served
-// nothing since the attempt was sent. Otherwise it updates the limit and the latency ratio, as for a slow
-// response.
+// handleAttemptTimedOut handles a time-out. It ejects the endpoint for the class if the class lags behind the
+// best one. It ejects the endpoint for all classes if it has served nothing since the attempt was sent.
+// Otherwise it updates the limit and the latency ratio, as for a slow response.
 func (b *Balancer) handleAttemptTimedOut(r *request, a *attempt, latency time.Duration) {
 	ep := a.endpoint
 	b.outliers.ejectForClassIfLagging(ep, r.class, b.now)
@@ -150,8 +151,8 @@
 func (b *Balancer) handleLocalFailure(r *request, a *attempt, outcome *Outcome) {
 	b.outliers.skipBriefly(a.endpoint, r.class, b.now)
 	if len(r.attempts) == 1 {
-		// Nothing was sent. Only the first attempt of a request counts as sent, so that retries are not
-		// undone.
+		// Nothing was sent that may have been wasted work. Only the first attempt of a request is recorded
+		// as sent, so that only this one is reverted.
 		b.traffic.revertSent()
 	}
 	b.handleAttemptFailed(r, a, outcome)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -24,7 +24,7 @@
 	maxFailureRate = 0.3
 
 	// maxEjectedShare bounds ejections for errors: an endpoint is ejected only if at most this share of the
-	// serving endpoints is then ejected, for any cause. The other endpoints must carry the load.
+	// serving endpoints, or a single one, is then ejected, for any cause. The others must carry the load.
 	maxEjectedShare = 0.2
 	// unansweredDialDivisor divides the connect timeout: a dial that failed after more than the resulting
 	// time had no answer.
@@ -78,7 +78,8 @@
 	if outcome.Result == ServerError {
 		return false
 	}
-	isUnanswered := outcome.Result == ConnectFailed && outcome.Latency > d.connectTimeout/unansweredDialDivisor
+	isUnanswered := outcome.Result == ConnectFailed &&
+		outcome.Latency > d.connectTimeout/unansweredDialDivisor
 	hasOlderAttempt := len(ep.inFlight) > 0 && ep.inFlight[0].sentAt < ep.ejection.firstFailureAt
 	return hasOlderAttempt && !isUnanswered
 }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -18,7 +18,7 @@
 	// counts as overloaded where the throttle replaces the concurrency limit.
 	overloadedSentPerOnTime = 1.15
 	// maxLoadLimitMultiple bounds the attempts that one agent has in flight at one endpoint, as a multiple of
-	// the agent's part of the concurrency limit per endpoint.
+	// the agent's share of the concurrency limit per endpoint.
 	maxLoadLimitMultiple = 3.0
 	// newConnectionLoad is the number of attempts in flight at the least loaded endpoint from which on the
 	// picker opens a connection to a further endpoint.
@@ -77,9 +77,10 @@
 	maxLoad          float64 // load at which an endpoint gets no further attempt, in attempts
 }
 
-// pick selects an endpoint for a request: an idle one; otherwise the least loaded one; otherwise, if no
-// endpoint is healthy, the unhealthy one of lowest ejection level and load. It returns nil if no endpoint may
-// get the request now.
+// pick selects an endpoint for a request. It prefers an idle endpoint in the subset or with a connection. If
+// there is none, it selects the least loaded one, or an unconnected one if the least loaded one has a load of
+// newConnectionLoad or more. If no endpoint is healthy, it selects an unhealthy one of low ejection level and
+// load. It returns nil if no endpoint may get the request now.
 func (p *picker) pick(r *request, now time.Duration, fleet fleetSummary) *endpoint {
 	info := p.newPickInfo(r, now, fleet, minSubsetSize+subsetGrowthPerAttempt*p.traffic.peakInFlight)
 	candidates := &p.candidates
@@ -100,7 +101,9 @@
 }
 
 // newPickInfo returns the inputs of a pick for a request.
-func (p *picker) newPickInfo(r *request, now time.Duration, fleet fleetSummary, targetSubsetSize float64) pickInfo {
+func (p *picker) newPickInfo(
+	r *request, now time.Duration, fleet fleetSummary, targetSubsetSize float64,
+) pickInfo {
 	return pickInfo{
 		request:          r,
 		now:              now,
@@ -112,8 +115,8 @@
 	}
 }
 
-// collectCandidates fills candidates and returns the unhealthy endpoint of lowest ejection level and load, or
-// nil if there is none.
+// collectCandidates fills candidates and returns an unhealthy endpoint of low ejection level and load, or nil
+// if there is none.
 func (p *picker) collectCandidates(info *pickInfo, candidates *candidateSet) (unhealthy *endpoint) {
 	subsetSize := int(math.Ceil(info.targetSubsetSize))
 	if p.settings.CacheAffinity { // the endpoint of a key is drawn from all endpoints
@@ -126,7 +129,7 @@
 	return unhealthy
 }
 
-// collectObserved adds the healthy observed endpoints. It returns the unhealthy observed endpoint of lowest
+// collectObserved adds the healthy observed endpoints. It returns an unhealthy observed endpoint of low
 // ejection level and load, or nil if there is none.
 func (p *picker) collectObserved(info *pickInfo, candidates *candidateSet) (unhealthy *endpoint) {
 	minScore := math.Inf(1)
@@ -184,8 +187,8 @@
 	return ep.warmUp.isActive && largeFleetSubsetMultiple*info.targetSubsetSize < float64(info.fleet.serving)
 }
 
-// isEligible reports whether an observed endpoint may get the request, regardless of ejections. It renews an
-// expired slow start permit.
+// isEligible reports whether an observed endpoint may get the request, regardless of ejections. It renews the
+// slow start permit of the endpoint if that has expired.
 func (p *picker) isEligible(info *pickInfo, ep *endpoint) bool {
 	r := info.request
 	hasJustFailed := ep == r.lastFailedEndpoint && info.fleet.serving > 1
@@ -202,8 +205,8 @@
 	return ep.warmUp.allows(r, info.now)
 }
 
-// newCandidate returns an endpoint as a candidate. Its weight is the size of the endpoint, reduced while the
-// endpoint warms up, by its latency ratio, and by the price of crossing zones.
+// newCandidate returns an endpoint as a candidate. Its weight is the size of the endpoint times the warm-up
+// fraction, divided by the cube of the latency ratio and, in other zones, by crossZoneDivisor.
 func (p *picker) newCandidate(info *pickInfo, ep *endpoint, load, latencyRatio float64) candidate {
 	c := candidate{
 		endpoint:       ep,
@@ -257,7 +260,7 @@
 }
 
 // tier returns the tier of an idle candidate, given its position in the order of weighted rank. With cache
-// affinity, the subset is ignored while attempts over new connections are served on time as often as others.
+// affinity, the subset is ignored while hasOnTimeNewConnections holds for the class of the request.
 func (p *picker) tier(info *pickInfo, c *candidate, position int) int {
 	isSubsetIgnored := p.settings.CacheAffinity && info.request.class.hasOnTimeNewConnections()
 	isWarmingMember := (c.endpoint.warmUp.isActive && c.isConnected) || info.isWarmingMember(c.endpoint)
@@ -373,8 +376,8 @@
 
 // loadAndLatencyRatio returns the load of an endpoint and its latency over the expected latency. The load is
 // the number of attempts in flight without those that count as lost: they are overdue, and a later attempt
-// has been answered. The latency ratio is the mean of the responses or, if higher, that of the oldest attempt
-// sent after the latest answered one.
+// has been answered. The latency ratio is the mean of the responses or, if higher, inFlightLatencyFactor
+// times the ratio so far of the oldest attempt sent after the latest answered one.
 func loadAndLatencyRatio(ep *endpoint, now time.Duration) (load, latencyRatio float64) {
 	load, latencyRatio = float64(len(ep.inFlight)), ep.responses.ratio()
 	for _, a := range ep.inFlight {
--- a/balancer/priority.go
+++ b/balancer/priority.go
@@ -17,7 +17,7 @@
 // sum of the share of all priority that is served, and of the on-time share of the worst class. A unit of
 // work is one nanosecond of an endpoint's time.
 func updatePriorities(classes classList, settings *Settings) {
-	demand := 0.0 // priority of all recent requests
+	demand := 0.0 // sum of the priorities of recent requests
 	for _, class := range classes {
 		demand += class.arrivals * class.Priority * unitsPerRequest(class, settings)
 	}
@@ -32,8 +32,8 @@
 	}
 }
 
-// unitsPerRequest returns how many times Class.Priority counts for one request: its mean work in nanoseconds
-// if priorities are per unit of work, and 1 otherwise.
+// unitsPerRequest returns how many times Class.Priority counts for one request: its mean latency in
+// nanoseconds, an estimate of its work, if priorities are per unit of work, and 1 otherwise.
 func unitsPerRequest(class *classStats, settings *Settings) float64 {
 	if settings.PriorityByWork {
 		return class.meanLatencyNs
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -165,9 +165,9 @@
 	}
 }
 
-// Retry-After has full jitter, so that clients that are rejected together do not return together. Its maximum
-// is the shorter of what clients heed and the maximum backoff, 100 ms here. It is 0 where clients are not
-// sent it.
+// Retry-After has full jitter, so that clients that are rejected together do not retry together. Its maximum
+// is the lower of Settings.MaxRetryAfter and the maximum backoff, which is 100 ms here. It is 0 if
+// Settings.SendRetryAfter is off.
 func TestRetryAfterIsSpread(t *testing.T) {
 	for _, maxRetryAfter := range []time.Duration{60 * ms, time.Minute} {
 		waits, maxWait := collectRetryAfters(t, true, maxRetryAfter), min(maxRetryAfter, 100*ms)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,11 +8,11 @@
 // The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // a repeat never has a further effect
-	IdempotentWithKey                    // endpoints in DedupScope ignore a repeat within DedupWindow
+	IdempotentWithKey                    // endpoints in DedupScope drop a repeat within DedupWindow
 	NotIdempotent                        // may be repeated only if no attempt may have run
 )
 
-// DedupScope is the set of endpoints that ignore repeats of an IdempotentWithKey request.
+// DedupScope is the set of endpoints that drop repeats of an IdempotentWithKey request.
 type DedupScope uint8
 
 // The scopes of deduplication.
@@ -29,7 +29,7 @@
 	Priority     float64       // weight of a request, or of a unit of work if Settings.PriorityByWork is set
 	LatePriority float64       // share of Priority that a response between objective and deadline has
 	Idempotency  Idempotency   // effect of repeating a request
-	// DedupScope and DedupWindow apply to IdempotentWithKey. Endpoints in DedupScope ignore a repeat within
+	// DedupScope and DedupWindow apply to IdempotentWithKey. Endpoints in DedupScope drop a repeat within
 	// DedupWindow of the first attempt that may have run. A DedupWindow of 0 allows no repeats.
 	DedupScope  DedupScope
 	DedupWindow time.Duration
@@ -107,7 +107,7 @@
 	AllowHedging   bool          // a request may have two attempts in flight at once
 	AllowCancel    bool          // Balancer may return Cancel actions
 	SendRetryAfter bool          // the agent passes Reject.RetryAfter to clients
-	MaxRetryAfter  time.Duration // maximum Retry-After that clients honor; 0: none is returned
+	MaxRetryAfter  time.Duration // maximum Retry-After that clients honor; 0: none is sent
 	MaxOpen        int           // maximum number of open requests per agent; 0: no limit
 	Tick           time.Duration // minimum time between two steps, and resolution of timeouts; 0: none
 
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -48,7 +48,7 @@
 	overloadWindow   time.Duration // time over which that load counts; 0: endpoints cannot be overloaded
 	agents           float64
 
-	warmWorkNs float64 // decayed sum of the expected latencies that a warm endpoint served for this agent
+	warmWorkNs float64 // decayed sum of the expected latencies of served attempts, per warm endpoint
 	decayedAt  time.Duration
 }
 
@@ -114,13 +114,15 @@
 	if fleet.warm == 0 { // no traffic to warm endpoints determines the rate
 		utilization = max(utilization, minLimitPerEndpoint*coldFleetLimitShare/s.agents)
 	}
-	rateFactor := s.updateWarmUp(ep, now) * min(math.Sqrt(s.overloadMultiple), s.overloadMultiple/permitCarryOverFactor)
+	rateFactor := s.updateWarmUp(ep, now) *
+		min(math.Sqrt(s.overloadMultiple), s.overloadMultiple/permitCarryOverFactor)
 	delayNs := s.rng.ExpFloat64() * workNs / (rateFactor * utilization)
-	// The endpoint is warm at the end of the slow start, so that no permit is later than that.
+	// No delay is longer than the slow start, after which the endpoint is warm and needs no permit.
 	ep.warmUp.nextPermitAt = now + time.Duration(min(delayNs, float64(s.duration)))
 }
 
-// recordServed records the work of an attempt that a warm endpoint has served for this agent.
+// recordServed records the work of an attempt that a warm endpoint has served for this agent. The work is
+// spread over all warm endpoints.
 func (s *slowStart) recordServed(now time.Duration, workNs float64, fleet fleetSummary) {
 	s.warmWorkNs = s.decayWarmWork(now, fleet) + workNs/float64(max(fleet.warm, 1))
 }
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -58,7 +58,7 @@
 // those whose callers have timed out, and rejects calls if its queue is full.
 type discoveryService struct {
 	serviceTime   time.Duration // time to serve a call
-	callerTimeout time.Duration // time after which callers give up
+	callerTimeout time.Duration // time after which callers stop waiting
 	maxQueue      time.Duration // maximum waiting time in the queue
 	freeAt        time.Duration // time at which all accepted calls are served
 }
@@ -155,7 +155,7 @@
 		{"slow discovery", 80, 100 * ms, 0, 4 * pollWithin, 0},
 		{"large fleet with little time", 80, 60 * ms, 1500 * ms, 4 * pollWithin, 0},
 		{"very large fleet with little time", 300, 16 * ms, 1500 * ms, 4 * pollWithin, 0},
-		// Few agents have no reason to wait, and their cached lists may be stale.
+		// Few agents have no reason to wait, and their cached lists may be out of date.
 		{"few agents", 4, 60 * ms, 0, pollWithin / 16, 0},
 		// Agents whose watches break at the same time get their lists with one call each, from a discovery
 		// service that can serve them in the time allowed: 1.5 s of delay and 2 s of queue, after the 2.5 s
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -19,7 +19,7 @@
 // candidate is an endpoint that may get the request.
 type candidate struct {
 	endpoint       *endpoint
-	load           float64 // attempts in flight
+	load           float64 // see loadAndLatencyRatio; pickInfo.newEndpointLoad for a new endpoint
 	latencyRatio   float64 // latency over the expected latency
 	warmUpFraction float64 // share of the full capacity
 	isConnected    bool
--- a/balancer/unobserved.go
+++ b/balancer/unobserved.go
@@ -76,7 +76,8 @@
 		own, other := u.ownZone, u.otherZones
 		for len(own)+len(other) > 0 {
 			next, weightedRank := &own, own.minWeightedRank()
-			if otherRank := other.minWeightedRank() * crossZoneDivisor; len(own) == 0 || otherRank < weightedRank {
+			if otherRank := other.minWeightedRank() * crossZoneDivisor; len(own) == 0 ||
+				otherRank < weightedRank {
 				next, weightedRank = &other, otherRank
 			}
 			ep := (*next)[0]
--- a/balancer/validation.go
+++ b/balancer/validation.go
@@ -26,7 +26,9 @@
 
 // validate returns a *SettingError for the first invalid setting.
 func (s *Settings) validate() error {
-	groups := []func() error{s.validateBounds, s.validateCounts, s.validatePrices, s.validateTenants, s.validateTimes}
+	groups := []func() error{
+		s.validateBounds, s.validateCounts, s.validatePrices, s.validateTenants, s.validateTimes,
+	}
 	for _, validate := range groups {
 		if err := validate(); err != nil {
 			return err
