--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -87,7 +87,7 @@
 
 // Latencies that vary a lot do not decrease the limit of a busy agent if their mean is well within the
 // objective.
-func TestLatencyVarianceDoesNotLowerLimit(t *testing.T) {
+func TestLatencyVarianceDoesNotDecreaseLimit(t *testing.T) {
 	s := settings()
 	s.Agents = 2
 	h := newHarness(t, s, 1, endpoints(30))
@@ -117,7 +117,7 @@
 
 // The limit decreases if the mean latency rises to a multiple of its baseline, even far below the objective.
 // It does not decrease if the latency has been the same from the start.
-func TestLimitFallsWithRisingLatency(t *testing.T) {
+func TestLimitDecreasesWithRisingLatency(t *testing.T) {
 	inFlight := func(usual time.Duration) int {
 		h := newHarness(t, settings(), 1, endpoints(2))
 		h.serveWaves(400, 8, idempotent, usual)  // limited, so that the limit may increase
@@ -132,7 +132,7 @@
 
 // The limit per endpoint increases as fast with many agents as with one, so that agents that increase their
 // limits together do not overshoot.
-func TestLimitGrowsPerEndpoint(t *testing.T) {
+func TestLimitIncreasesPerEndpoint(t *testing.T) {
 	if one, many := inFlightAfterIncrease(t, 1), inFlightAfterIncrease(t, 20); one < 100 || many > one*3/2 {
 		t.Errorf("got %d attempts in flight with one agent, want at least 100; got %d with 20, want 1.5 times at most",
 			one, many)
--- a/balancer/fleetsim_test.go
+++ b/balancer/fleetsim_test.go
@@ -28,7 +28,7 @@
 	now       time.Duration
 	queue     eventQueue
 	list      []balancer.Endpoint
-	servers   []*simulatedEndpoint
+	endpoints []*simulatedEndpoint
 	agents    []*simulatedAgent
 	requests  int // requests that arrived after the change
 	responses int // responses after the change
@@ -87,18 +87,18 @@
 // runMany runs the simulation several times, since the results of one run vary by some hundredths. It returns
 // the maximum overload of an endpoint that started, and the mean share of the requests after the change that
 // were served.
-func (f fleetSimulation) runMany(t *testing.T) (worstOverload, servedShare float64) {
+func (f fleetSimulation) runMany(t *testing.T) (maxOverload, servedShare float64) {
 	t.Helper()
 	const runs = 8
 	for i := range uint64(runs) {
 		run := f
 		run.run(t, uint64(f.agentCount)+i)
-		for _, server := range run.servers[:f.startCount] {
-			worstOverload = max(worstOverload, run.overload(server))
+		for _, endpoint := range run.endpoints[:f.startCount] {
+			maxOverload = max(maxOverload, run.overload(endpoint))
 		}
 		servedShare += float64(run.responses) / float64(run.requests) / runs
 	}
-	return worstOverload, servedShare
+	return maxOverload, servedShare
 }
 
 // run runs the simulation once.
@@ -142,7 +142,7 @@
 	for i := range f.endpointCount {
 		entry := balancer.Endpoint{ID: fmt.Sprint("b", i), Zone: 0}
 		f.list = append(f.list, entry)
-		f.servers = append(f.servers, &simulatedEndpoint{Endpoint: entry})
+		f.endpoints = append(f.endpoints, &simulatedEndpoint{Endpoint: entry})
 	}
 }
 
@@ -198,11 +198,11 @@
 func (f *fleetSimulation) applyChange(t *testing.T, at time.Duration) {
 	t.Helper()
 	affected := f.startCount + f.removeCount
-	for i, server := range f.servers[:affected] {
+	for i, endpoint := range f.endpoints[:affected] {
 		if f.list[i].StartedAt = at; i >= f.startCount {
 			f.list[i].StartedAt, f.list[i].State = 0, balancer.Removed
 		}
-		server.Endpoint, server.coreFreeAt = f.list[i], [2]time.Duration{}
+		endpoint.Endpoint, endpoint.coreFreeAt = f.list[i], [2]time.Duration{}
 	}
 	for i, agent := range f.agents {
 		if f.restartAgents {
@@ -245,18 +245,18 @@
 // serve adds a request to the queue of an endpoint and returns its latency.
 func (f *fleetSimulation) serve(id string) time.Duration {
 	index := slices.IndexFunc(f.list, func(entry balancer.Endpoint) bool { return entry.ID == id })
-	server := f.servers[index]
+	endpoint := f.endpoints[index]
 	core := 0
-	if server.coreFreeAt[1] < server.coreFreeAt[0] {
+	if endpoint.coreFreeAt[1] < endpoint.coreFreeAt[0] {
 		core = 1
 	}
 	work := float64(f.meanWork) * f.rng.ExpFloat64()
-	if server.StartedAt > 0 {
-		server.arrivals = append(server.arrivals, f.now)
-		work /= warmUpFraction(f.settings, f.now-server.StartedAt)
+	if endpoint.StartedAt > 0 {
+		endpoint.arrivals = append(endpoint.arrivals, f.now)
+		work /= warmUpFraction(f.settings, f.now-endpoint.StartedAt)
 	}
-	server.coreFreeAt[core] = max(f.now, server.coreFreeAt[core]) + time.Duration(work)
-	return server.coreFreeAt[core] - f.now
+	endpoint.coreFreeAt[core] = max(f.now, endpoint.coreFreeAt[core]) + time.Duration(work)
+	return endpoint.coreFreeAt[core] - f.now
 }
 
 // warmUpFraction returns the minimum share of its capacity that an endpoint of the given age has.
@@ -266,7 +266,7 @@
 
 // overload returns the maximum number of requests that an endpoint got within an overload window during its
 // warm-up, over the number that the settings allow. The latter includes a margin for random variation.
-func (f *fleetSimulation) overload(e *simulatedEndpoint) (worst float64) {
+func (f *fleetSimulation) overload(e *simulatedEndpoint) (maxOverload float64) {
 	s := f.settings
 	first := 0
 	for i, at := range e.arrivals {
@@ -275,7 +275,7 @@
 		}
 		fraction := warmUpFraction(s, e.arrivals[first]-e.StartedAt)
 		n := s.SlowStartOverloadMultiple * fraction * 2 * s.SlowStartOverloadWindow.Seconds() / f.meanWork.Seconds()
-		worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
+		maxOverload = max(maxOverload, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 	}
-	return worst
+	return maxOverload
 }
--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -17,8 +17,8 @@
 		timers.add(r)
 		return r.timerToken
 	}
-	open, ended := &request{}, &request{phase: phaseFinished}
-	voided, latest, ofEnded, subscribe := add(open), add(open), add(ended), timers.nextToken()
+	open, finished := &request{}, &request{phase: phaseFinished}
+	voided, latest, ofFinished, subscribe := add(open), add(open), add(finished), timers.nextToken()
 	timers.setSubscribe(subscribe)
 	tests := []struct {
 		name        string
@@ -29,7 +29,7 @@
 		{"voided", voided, false, nil},
 		{"latest", latest, false, open},
 		{"latest, again", latest, false, nil},
-		{"of an ended request", ofEnded, false, nil},
+		{"of an ended request", ofFinished, false, nil},
 		{"subscribe", subscribe, true, nil},
 		{"subscribe, again", subscribe, false, nil},
 		{"no timer", 0, false, nil},
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -80,7 +80,7 @@
 }
 
 // A stalled endpoint is detected by the age of its oldest attempt in flight, before any outcome.
-func TestPickAvoidsStalledEndpoint(t *testing.T) {
+func TestPickAvoidsUnresponsiveEndpoint(t *testing.T) {
 	h := newHarness(t, settings(), 4, endpoints(3))
 	h.serve(60, idempotent, 20*ms)
 	h.burst("hanging", 3, idempotent) // one on each
