--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -29,7 +29,7 @@
 		{"voided", voided, false, nil},
 		{"latest", latest, false, open},
 		{"latest, again", latest, false, nil},
-		{"of an ended request", ofFinished, false, nil},
+		{"of a finished request", ofFinished, false, nil},
 		{"subscribe", subscribe, true, nil},
 		{"subscribe, again", subscribe, false, nil},
 		{"no timer", 0, false, nil},
@@ -172,7 +172,7 @@
 				set.connected = append(set.connected, excluded)
 			}
 			if isInSubset := !isExcluded || excluded != all[i]; isInSubset != admitted {
-				t.Errorf("seed %d: admits returned %v, but insertion into the subset: %v", seed, admitted, isInSubset)
+				t.Errorf("seed %d: got admits %v, want %v, as insert did", seed, admitted, isInSubset)
 			}
 		}
 		slices.SortFunc(all, compareWeightedRank)
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// A single broken connection is no sign of a restart, so that the endpoint does not warm up. Three in a row
-// are.
+// A single broken connection is no evidence of a restart, so that the endpoint does not warm up. Three
+// consecutive ones are.
 func TestSingleResetIsNotRestart(t *testing.T) {
 	responseOf := faultAtA(response{balancer.Reset, 10 * ms}, response{balancer.Served, 10 * ms})
 	servedAfter := func(resets int) int {
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -79,20 +79,20 @@
 	}
 }
 
-// A stalled endpoint is detected by the age of its oldest attempt in flight, before any outcome.
+// An unresponsive endpoint is detected by the age of its oldest attempt in flight, before any outcome.
 func TestPickAvoidsUnresponsiveEndpoint(t *testing.T) {
 	h := newHarness(t, settings(), 4, endpoints(3))
 	h.serve(60, idempotent, 20*ms)
-	h.burst("hanging", 3, idempotent) // one on each
+	h.burst("stalled", 3, idempotent) // one on each
 	for i := range 3 {
-		if id := fmt.Sprint("hanging", i); h.firstEndpoint(id) != "a" {
+		if id := fmt.Sprint("stalled", i); h.firstEndpoint(id) != "a" {
 			h.now += 10 * ms
 			h.outcome(id, balancer.Served, 20*ms)
 		}
 	}
 	h.now += 300 * ms
 	if n := h.burst("q", 6, idempotent)["a"]; n > 0 {
-		t.Errorf("%d of 6 requests went to the stalled endpoint, want none", n)
+		t.Errorf("%d of 6 requests went to the unresponsive endpoint, want none", n)
 	}
 }
 
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// A queued request gets another timer if its timer fires too early, because the mean latency has fallen since
-// the timer was set. Without it, an agent without traffic has no step in which the request expires.
+// A queued request gets another timer if its timer fires too early, because the mean latency has decreased
+// since the timer was set. Without it, an agent without traffic has no step in which the request expires.
 func TestQueuedRequestIsNotLost(t *testing.T) {
 	s := settings()
 	s.Agents = 5 // limits this agent to one attempt
@@ -41,7 +41,7 @@
 	if len(h.sent["old"]) > 0 || len(h.sent["new"]) > 0 {
 		t.Fatal("want both requests to be queued, but one was sent")
 	}
-	h.outcomeAfter("in flight", balancer.Served, 5*ms) // lowers the mean; the newest request is sent next
+	h.outcomeAfter("in flight", balancer.Served, 5*ms) // decreases the mean; the newest request is sent next
 	if len(h.sent["new"]) != 1 {
 		t.Fatal("the newest request was not sent next")
 	}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -157,7 +157,7 @@
 	for _, entry := range list[:4] {
 		n := counts[entry.ID]
 		sum += n
-		if n > 18 { // three mean shares of six attempts
+		if n > 18 { // three times the limit of four attempts per endpoint, with a margin
 			t.Errorf("%s has %d attempts in flight, want at most 18", entry.ID, n)
 		}
 	}
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -90,7 +90,7 @@
 	calls       int           // calls made
 }
 
-// advanceTo moves the clock, handles an answer that is due and makes the calls that the balancer asks for.
+// advanceTo advances the clock, handles an answer that is due and makes the calls that the balancer requests.
 func (a *subscribingAgent) advanceTo(now time.Duration, discovery *discoveryService, failure balancer.ListKind) {
 	actions := a.advance(now - a.now)
 	if a.answerAt > 0 && a.answerAt <= a.now {
