--- a/balancer/class.go
+++ b/balancer/class.go
@@ -9,7 +9,7 @@
 const (
 	// smoothing is the weight of a new sample in a moving average, which covers about the last 20 samples.
 	smoothing = 0.1
-	// slowSmoothing is the weight of a new sample in a slow moving average.
+	// slowSmoothing is the weight of a new sample in a moving average that must change slowly.
 	slowSmoothing = smoothing / 10
 	// arrivalDecay is the share that decayed counts lose with each arrival. They cover the last few hundred
 	// arrivals.
@@ -37,15 +37,15 @@
 type classStats struct {
 	Class
 	index                   int           // position in Settings.Classes
-	meanLatencyNs           float64       // moving average of the latencies of served requests
+	meanLatencyNs           float64       // moving average of latencies, scaled to a request of mean work
 	latencyUpdatedAt        time.Duration // time of the latest update of meanLatencyNs
-	meanWorkNs              float64       // moving average of the expected work of requests; 0: unknown
+	meanWorkNs              float64       // moving average of the expected work of requests; 0: none known
 	medianTimeout           time.Duration // running estimate of the median timeout of first tries
 	arrivals                float64       // decayed count of requests
 	servedOnTime            float64       // decayed count of requests served within their objective
 	newConnOnTimeShare      float64       // moving on-time share of attempts over new connections
 	existingConnOnTimeShare float64       // moving on-time share of attempts over existing connections
-	goalGainPerWork         float64       // gain in the operator's goal per nanosecond of work
+	goalGainPerWork         float64       // gain in the operator's goal per nanosecond of work, in this step
 }
 
 func newClassStats(class Class, index int) *classStats {
@@ -64,10 +64,10 @@
 // updateTimeout updates the median timeout with that of a new request. It reports whether the timeout
 // identifies the request as a client's retry: clients give all first tries the same timeout, and a last try
 // only the time left until their deadline.
-func (c *classStats) updateTimeout(timeout, tick time.Duration, markedRetry bool) (isRetry bool) {
+func (c *classStats) updateTimeout(timeout, tick time.Duration, isMarkedRetry bool) (isRetry bool) {
 	c.medianTimeout = cmp.Or(c.medianTimeout, timeout)
 	difference := timeout - c.medianTimeout
-	if !markedRetry {
+	if !isMarkedRetry {
 		// Steps of equal size in both directions converge to the median.
 		step := tick / timeoutStepsPerTick
 		c.medianTimeout += min(max(difference, -step), step)
@@ -99,12 +99,12 @@
 }
 
 // updateOnTimeShares updates the on-time shares of attempts over new and over existing connections.
-func (c *classStats) updateOnTimeShares(onTime, newConnection bool) {
+func (c *classStats) updateOnTimeShares(isOnTime, usesNewConnection bool) {
 	sample := 0.0
-	if onTime {
+	if isOnTime {
 		sample = 1
 	}
-	if newConnection {
+	if usesNewConnection {
 		c.newConnOnTimeShare += smoothing * (sample - c.newConnOnTimeShare)
 		return
 	}
@@ -120,7 +120,7 @@
 	return c.newConnOnTimeShare >= c.existingConnOnTimeShare-significantOnTimeGap
 }
 
-// expectedLatencyNs returns the expected latency of a request with an expected work; 0 means unknown work.
+// expectedLatencyNs returns the expected latency of a request with the given expected work (0: unknown).
 func (c *classStats) expectedLatencyNs(workNs float64) float64 {
 	if workNs > 0 && c.meanWorkNs > 0 {
 		return c.meanLatencyNs * workNs / c.meanWorkNs
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -9,15 +9,15 @@
 	// minLimitPerEndpoint is the minimum and the initial limit per endpoint, in attempts in flight of all
 	// agents together.
 	minLimitPerEndpoint = 4.0
-	// minLimitedShare is the smallest share of the minimum limit, in attempts, with which an agent is
+	// minLimitedShare is the minimum share of the minimum limit, in attempts, with which an agent is
 	// limited. An agent with a smaller share has no limit.
 	minLimitedShare = 0.6
 	// limitDecreaseFactor is the factor by which each decrease multiplies the limit.
 	limitDecreaseFactor = 0.9
 	// limitIncrease is the increase of the limit per endpoint, in attempts, over one round of responses.
 	limitIncrease = 0.7
-	// minUtilizationToGrow is the share of the limit that must be in flight for the limit to increase.
-	minUtilizationToGrow = 0.9
+	// minUtilizationToIncrease is the share of the limit that must be in flight for the limit to increase.
+	minUtilizationToIncrease = 0.9
 
 	// maxTargetRatio is the objective ratio above which the limit always decreases.
 	maxTargetRatio = 0.35
@@ -33,10 +33,10 @@
 	failedAttemptRatio = 1.0
 	// maxRatioSample is the maximum objective ratio that counts for one attempt.
 	maxRatioSample = 2.0
-	// maxSampleOverBaseline is a second maximum for one attempt, as a multiple of the baseline ratio. The
-	// lower maximum applies.
+	// maxSampleOverBaseline is a second bound on the objective ratio of one attempt, as a multiple of the
+	// baseline ratio. The lower of the two bounds applies.
 	maxSampleOverBaseline = 4.0
-	// minSampleBound is the minimum of the maximum that maxSampleOverBaseline gives, for low baselines.
+	// minSampleBound is the minimum of that second bound. It applies while the baseline ratio is low.
 	minSampleBound = 2 * minTargetRatio
 	// initialRatioSamples is the number of attempts whose mean is the first baseline. The limit is adjusted
 	// only after them.
@@ -56,7 +56,7 @@
 	perEndpoint   float64       // limit per endpoint, in attempts in flight of all agents together
 	meanRatio     float64       // moving average of the objective ratio
 	baselineRatio float64       // estimate of meanRatio without queueing: falls slowly, rises far more slowly
-	samples       float64       // number of objective ratios so far
+	sampleCount   float64       // number of objective ratios so far
 	decreasedAt   time.Duration // time of the latest decrease; 0: none
 }
 
@@ -64,8 +64,9 @@
 	return concurrencyLimiter{agents: float64(agents), perEndpoint: minLimitPerEndpoint}
 }
 
-// limit returns this agent's share of the limit, in attempts. It is infinite if the share is so small that
-// requests would queue behind any slow one. Then the throttle acts instead.
+// limit returns this agent's share of the limit, in attempts, and at least 1. It is infinite if the share of
+// the minimum limit is so small that requests would queue behind any slow one. Then the throttle acts
+// instead.
 func (l *concurrencyLimiter) limit(fleet fleetSummary) float64 {
 	if l.isUnlimited(fleet) {
 		return math.Inf(1)
@@ -95,9 +96,9 @@
 func (l *concurrencyLimiter) update(
 	now, minDecreaseInterval time.Duration, ratio, activeInFlight float64, fleet fleetSummary,
 ) {
-	l.samples++
-	if l.samples <= initialRatioSamples {
-		l.meanRatio += (min(ratio, maxRatioSample) - l.meanRatio) / l.samples
+	l.sampleCount++
+	if l.sampleCount <= initialRatioSamples {
+		l.meanRatio += (min(ratio, maxRatioSample) - l.meanRatio) / l.sampleCount
 		l.baselineRatio = l.meanRatio
 		return
 	}
@@ -108,7 +109,7 @@
 	case l.meanRatio > target && now-l.decreasedAt > minDecreaseInterval:
 		l.perEndpoint = max(minLimitPerEndpoint, l.perEndpoint*limitDecreaseFactor)
 		l.decreasedAt = now
-	case l.meanRatio < target && activeInFlight+1 >= limit*minUtilizationToGrow:
+	case l.meanRatio < target && activeInFlight+1 >= limit*minUtilizationToIncrease:
 		l.perEndpoint += limitIncrease / limit
 	}
 }
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -9,7 +9,7 @@
 	"ashshunt/balancer"
 )
 
-// Latency above the target lowers the limit. Requests above the limit are queued and then rejected; a
+// A latency above the target decreases the limit. Requests above the limit are queued and then rejected; a
 // client's retry is rejected at once.
 func TestInFlightLimit(t *testing.T) {
 	s := settings()
@@ -85,9 +85,9 @@
 	}
 }
 
-// Latencies that vary a lot do not lower the limit of a busy agent if their mean is well within the
+// Latencies that vary a lot do not decrease the limit of a busy agent if their mean is well within the
 // objective.
-func TestLatencyVarianceDoesNotLowerLimit(t *testing.T) {
+func TestLatencyVarianceDoesNotDecreaseLimit(t *testing.T) {
 	s := settings()
 	s.Agents = 2
 	h := newHarness(t, s, 1, endpoints(30))
@@ -117,7 +117,7 @@
 
 // The limit decreases if the mean latency rises to a multiple of its baseline, even far below the objective.
 // It does not decrease if the latency has been the same from the start.
-func TestLimitFallsWithRisingLatency(t *testing.T) {
+func TestLimitDecreasesWithRisingLatency(t *testing.T) {
 	inFlight := func(usual time.Duration) int {
 		h := newHarness(t, settings(), 1, endpoints(2))
 		h.serveWaves(400, 8, idempotent, usual)  // limited, so that the limit may increase
@@ -132,16 +132,16 @@
 
 // The limit per endpoint increases as fast with many agents as with one, so that agents that increase their
 // limits together do not overshoot.
-func TestLimitGrowsPerEndpoint(t *testing.T) {
-	if one, many := inFlightAfterGrowth(t, 1), inFlightAfterGrowth(t, 20); one < 100 || many > one*3/2 {
+func TestLimitIncreasesPerEndpoint(t *testing.T) {
+	if one, many := inFlightAfterIncrease(t, 1), inFlightAfterIncrease(t, 20); one < 100 || many > one*3/2 {
 		t.Errorf("got %d attempts in flight with one agent, want at least 100; got %d with 20, want 1.5 times at most",
 			one, many)
 	}
 }
 
-// inFlightAfterGrowth returns the attempts in flight of all agents together after four rounds of fast
+// inFlightAfterIncrease returns the attempts in flight of all agents together after four rounds of fast
 // responses.
-func inFlightAfterGrowth(t *testing.T, agents int) int {
+func inFlightAfterIncrease(t *testing.T, agents int) int {
 	t.Helper()
 	s := settings()
 	s.Agents = agents
@@ -163,8 +163,8 @@
 	return len(inFlight) * agents
 }
 
-// The first responses set the baseline. A rise to seven times the baseline lowers the limit, although the
-// latency is far below the objective. A few heavy requests do not lower it.
+// The first responses set the baseline. A rise to seven times the baseline decreases the limit, although
+// the latency is far below the objective. A few heavy requests do not decrease it.
 func TestBaselineFromFirstResponses(t *testing.T) {
 	inFlight := func(latencies ...time.Duration) int {
 		h := newHarness(t, settings(), 1, endpoints(2))
--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -17,8 +17,8 @@
 		timers.add(r)
 		return r.timerToken
 	}
-	open, ended := &request{}, &request{phase: phaseFinished}
-	voided, latest, ofEnded, subscribe := add(open), add(open), add(ended), timers.nextToken()
+	open, finished := &request{}, &request{phase: phaseFinished}
+	voided, latest, ofFinished, subscribe := add(open), add(open), add(finished), timers.nextToken()
 	timers.setSubscribe(subscribe)
 	tests := []struct {
 		name        string
@@ -29,7 +29,7 @@
 		{"voided", voided, false, nil},
 		{"latest", latest, false, open},
 		{"latest, again", latest, false, nil},
-		{"of an ended request", ofEnded, false, nil},
+		{"of a finished request", ofFinished, false, nil},
 		{"subscribe", subscribe, true, nil},
 		{"subscribe, again", subscribe, false, nil},
 		{"no timer", 0, false, nil},
@@ -103,8 +103,8 @@
 	}
 }
 
-// While latencies are high, the limit is multiplied by a factor, at most once per mean latency, down to the
-// minimum limit. While latencies are low, it grows if it binds.
+// While latencies are high, the limit is multiplied by limitDecreaseFactor, at most once per mean latency,
+// down to the minimum limit. While latencies are low, it increases if it is nearly used up.
 func TestLimitIsAdjusted(t *testing.T) {
 	const start, meanLatency = 20.0, 100 * time.Millisecond
 	fleet := fleetSummary{serving: 5, capacity: 5}
@@ -117,8 +117,8 @@
 	}{
 		{"high latency for a moment", 1, 0, 0, start * limitDecreaseFactor, start * limitDecreaseFactor},
 		{"high latency for long", 1, 0, 2 * meanLatency, minLimitPerEndpoint, minLimitPerEndpoint},
-		{"low latency, limit binds", 0.05, 150, 0, 1.01 * start, 1.5 * start},
-		{"low latency, limit does not bind", 0.05, 50, 0, start, start},
+		{"low latency, limit nearly used up", 0.05, 150, 0, 1.01 * start, 1.5 * start},
+		{"low latency, limit not nearly used up", 0.05, 50, 0, start, start},
 	}
 	for _, tt := range tests {
 		limiter := newConcurrencyLimiter(1)
@@ -135,7 +135,7 @@
 	}
 }
 
-// The throttle closes if this agent's part of the minimum limit is below one attempt, and if the requests
+// The throttle closes if this agent's share of the minimum limit is below one attempt, and if the requests
 // sent exceed a multiple of those served on time by at least the allowance.
 func TestIsThrottled(t *testing.T) {
 	tests := []struct {
@@ -147,7 +147,7 @@
 		{"allowance used up", 40, excessAllowance, 0, true},
 		{"enough served on time", 40, excessAllowance + 9*maxSentPerOnTime, 10, false},
 		{"too few served on time", 40, excessAllowance + 11*maxSentPerOnTime, 10, true},
-		{"part of one attempt", 8, 100, 0, false},
+		{"share of one attempt", 8, 100, 0, false},
 	}
 	for _, tt := range tests {
 		limiter, traffic := newConcurrencyLimiter(tt.agents), trafficStats{sent: tt.sent, servedOnTime: tt.onTime}
@@ -172,7 +172,7 @@
 				set.connected = append(set.connected, excluded)
 			}
 			if isInSubset := !isExcluded || excluded != all[i]; isInSubset != admitted {
-				t.Errorf("seed %d: admits returned %v, but insertion into the subset: %v", seed, admitted, isInSubset)
+				t.Errorf("seed %d: got admits %v, want %v, as insert did", seed, admitted, isInSubset)
 			}
 		}
 		slices.SortFunc(all, compareWeightedRank)
