--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -39,7 +39,7 @@
 
 // attemptDeadline returns the deadline, on the agent's clock, of an attempt that starts at now: r.attemptsUntil, or
 // earlier because of a shutdown or of timeout, the limit that the decision module sets. A timeout of 0 means no limit.
-func (l *eventLoop) attemptDeadline(now time.Duration, r *openRequest, timeout time.Duration) time.Duration {
+func (l *eventLoop) attemptDeadline(now time.Duration, r *trackedRequest, timeout time.Duration) time.Duration {
 	deadline := r.attemptsUntil
 	if l.isShuttingDown() {
 		deadline = min(deadline, l.shutdownDeadline-attemptMargin)
@@ -61,7 +61,7 @@
 
 // runAttempt executes an attempt and posts its outcome. startedAt is the start of the attempt on the agent's clock.
 // runAttempt runs on its own goroutine and reads only the immutable fields of the request.
-func (l *eventLoop) runAttempt(ctx context.Context, r *openRequest, outcome balancer.Outcome, startedAt time.Duration,
+func (l *eventLoop) runAttempt(ctx context.Context, r *trackedRequest, outcome balancer.Outcome, startedAt time.Duration,
 	bounds upstream.Bounds) {
 	result, response := l.upstream.Attempt(ctx, r.upstream, outcome.Endpoint, bounds)
 	outcome.Result = result
@@ -79,7 +79,7 @@
 
 // handleOutcome records the outcome of an attempt and queues it for the decision module. The body of the first served
 // attempt is sent to the client at once, without a step of the module.
-func (l *eventLoop) handleOutcome(r *openRequest, outcome balancer.Outcome, body []byte) {
+func (l *eventLoop) handleOutcome(r *trackedRequest, outcome balancer.Outcome, body []byte) {
 	r.finishAttempt(outcome.Attempt, l.settings.MayHaveRun(outcome.Result))
 	if outcome.Result == balancer.Served && !r.isFinished() {
 		l.answer(r, frontend.Response{Status: http.StatusOK, Body: body})
--- a/internal/agent/deadlineguard.go
+++ b/internal/agent/deadlineguard.go
@@ -21,9 +21,9 @@
 	guardMargin = 5 * time.Millisecond
 )
 
-// prepareRequest returns the event of a request with the timeout for the decision module, and sets the request's
+// setRequestTimeout returns the event of a request with the timeout for the decision module, and sets the request's
 // attemptsUntil.
-func (l *eventLoop) prepareRequest(now time.Duration, event balancer.Request) balancer.Request {
+func (l *eventLoop) setRequestTimeout(now time.Duration, event balancer.Request) balancer.Request {
 	r := l.requests.find(event.ID)
 	if r == nil {
 		return event
@@ -46,7 +46,7 @@
 
 // setDeadlineGuard sets or resets the deadline guard of a request: the timer that answers the request shortly before
 // its deadline if the decision module has not answered it.
-func (l *eventLoop) setDeadlineGuard(r *openRequest) {
+func (l *eventLoop) setDeadlineGuard(r *trackedRequest) {
 	if r.isFinished() {
 		return
 	}
@@ -61,7 +61,7 @@
 
 // removeDeadlineGuard removes the deadline guard of a request. Otherwise the timer would keep the request and its body
 // in memory until the deadline.
-func (l *eventLoop) removeDeadlineGuard(r *openRequest) {
+func (l *eventLoop) removeDeadlineGuard(r *trackedRequest) {
 	if r.deadlineGuard != nil {
 		l.timers.remove(r.deadlineGuard)
 		r.deadlineGuard = nil
@@ -74,7 +74,7 @@
 // Firing is expected during a shutdown, and for a client timeout of at most attemptMargin. Otherwise it is an internal
 // error. If it is expected and the request has had no attempts, not even one that was never sent, the request is
 // rejected, so that the client may retry it. All other requests fail.
-func (l *eventLoop) handleDeadlineGuard(r *openRequest) {
+func (l *eventLoop) handleDeadlineGuard(r *trackedRequest) {
 	if r.isFinished() {
 		return
 	}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -176,7 +176,7 @@
 func (l *eventLoop) step(ctx context.Context, now time.Duration) {
 	events := l.pending
 	l.pending = nil
-	l.prepareRequests(now, events)
+	l.setRequestTimeouts(now, events)
 	l.lastStepAt = now
 	for _, action := range l.stepModule(now, events) {
 		l.perform(ctx, now, action)
@@ -184,11 +184,11 @@
 	l.closeReady()
 }
 
-// prepareRequests replaces each request among the events of a step by the result of prepareRequest.
-func (l *eventLoop) prepareRequests(now time.Duration, events []balancer.Event) {
+// setRequestTimeouts replaces each request among the events of a step by the result of setRequestTimeout.
+func (l *eventLoop) setRequestTimeouts(now time.Duration, events []balancer.Event) {
 	for i, event := range events {
 		if request, ok := event.(balancer.Request); ok {
-			events[i] = l.prepareRequest(now, request)
+			events[i] = l.setRequestTimeout(now, request)
 		}
 	}
 }
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -20,7 +20,7 @@
 	requestAbandoned struct{ request *frontend.Request }
 	// attemptFinished reports the outcome of an attempt, and the response if there was one.
 	attemptFinished struct {
-		request  *openRequest
+		request  *trackedRequest
 		outcome  balancer.Outcome
 		response upstream.Response
 	}
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -25,8 +25,8 @@
 	phaseRemoved
 )
 
-// openRequest is a submitted request with the state of its attempts. It is in the requestTable until phaseRemoved.
-type openRequest struct {
+// trackedRequest is a submitted request with the state of its attempts. It is in the requestTable until phaseRemoved.
+type trackedRequest struct {
 	// These fields are immutable. The goroutines of attempts read upstream.
 	inbound        *frontend.Request  // the request as the client sent it
 	upstream       *upstream.Request  // the request as attempts send it
@@ -41,9 +41,9 @@
 	finishedMayHaveRun bool                 // a finished attempt may have run, according to its result
 }
 
-func newOpenRequest(inbound *frontend.Request) *openRequest {
+func newTrackedRequest(inbound *frontend.Request) *trackedRequest {
 	lifetime, cancelLifetime := context.WithCancel(context.Background())
-	return &openRequest{
+	return &trackedRequest{
 		inbound: inbound,
 		upstream: &upstream.Request{
 			ID:             inbound.Event.ID,
@@ -59,26 +59,26 @@
 	}
 }
 
-func (r *openRequest) id() string { return r.inbound.Event.ID }
+func (r *trackedRequest) id() string { return r.inbound.Event.ID }
 
 // isFinished reports whether the request is answered or abandoned. Attempts may still be in flight.
-func (r *openRequest) isFinished() bool { return r.phase != phaseOpen }
+func (r *trackedRequest) isFinished() bool { return r.phase != phaseOpen }
 
 // attemptCount returns the number of attempts so far, including those that were never sent.
-func (r *openRequest) attemptCount() int { return len(r.attemptCancels) }
+func (r *trackedRequest) attemptCount() int { return len(r.attemptCancels) }
 
 // mayHaveRun reports whether an attempt may have run at an endpoint or is in flight.
-func (r *openRequest) mayHaveRun() bool { return r.finishedMayHaveRun || r.inFlight > 0 }
+func (r *trackedRequest) mayHaveRun() bool { return r.finishedMayHaveRun || r.inFlight > 0 }
 
 // addAttempt adds an attempt in flight and returns its number.
-func (r *openRequest) addAttempt(cancel context.CancelFunc) (number int) {
+func (r *trackedRequest) addAttempt(cancel context.CancelFunc) (number int) {
 	r.attemptCancels = append(r.attemptCancels, cancel)
 	r.inFlight++
 	return len(r.attemptCancels) - 1
 }
 
 // finishAttempt records the end of an attempt.
-func (r *openRequest) finishAttempt(number int, mayHaveRun bool) {
+func (r *trackedRequest) finishAttempt(number int, mayHaveRun bool) {
 	r.cancelAttempt(number)
 	r.attemptCancels[number] = nil
 	r.inFlight--
@@ -87,7 +87,7 @@
 
 // cancelAttempt cancels an attempt if it is in flight. It ignores invalid numbers, which only an error of the decision
 // module can cause.
-func (r *openRequest) cancelAttempt(number int) {
+func (r *trackedRequest) cancelAttempt(number int) {
 	if number < 0 || number >= len(r.attemptCancels) {
 		return
 	}
@@ -97,7 +97,7 @@
 }
 
 // cancelAttempts cancels all attempts in flight.
-func (r *openRequest) cancelAttempts() {
+func (r *trackedRequest) cancelAttempts() {
 	for number := range r.attemptCancels {
 		r.cancelAttempt(number)
 	}
@@ -105,17 +105,17 @@
 
 // requestTable holds each request from its submission until it is finished and has no attempt in flight.
 type requestTable struct {
-	byID      map[string]*openRequest
+	byID      map[string]*trackedRequest
 	openCount int // number of requests in phaseOpen
 }
 
-func newRequestTable() requestTable { return requestTable{byID: map[string]*openRequest{}} }
+func newRequestTable() requestTable { return requestTable{byID: map[string]*trackedRequest{}} }
 
 // find returns the request with an ID, or nil.
-func (t *requestTable) find(id string) *openRequest { return t.byID[id] }
+func (t *requestTable) find(id string) *trackedRequest { return t.byID[id] }
 
 // findOpen returns the request with an ID if it is in phaseOpen, or nil.
-func (t *requestTable) findOpen(id string) *openRequest {
+func (t *requestTable) findOpen(id string) *trackedRequest {
 	if r := t.byID[id]; r != nil && !r.isFinished() {
 		return r
 	}
@@ -123,21 +123,21 @@
 }
 
 // add adds a request in phaseOpen. The table must not contain another request with its ID.
-func (t *requestTable) add(r *openRequest) {
+func (t *requestTable) add(r *trackedRequest) {
 	t.byID[r.id()] = r
 	t.openCount++
 }
 
 // answer moves a request to phaseAnswered and responds to its client.
-func (t *requestTable) answer(r *openRequest, response frontend.Response) {
+func (t *requestTable) answer(r *trackedRequest, response frontend.Response) {
 	r.inbound.Respond(response)
 	t.finish(r, phaseAnswered)
 }
 
 // abandon moves a request to phaseAbandoned.
-func (t *requestTable) abandon(r *openRequest) { t.finish(r, phaseAbandoned) }
+func (t *requestTable) abandon(r *trackedRequest) { t.finish(r, phaseAbandoned) }
 
-func (t *requestTable) finish(r *openRequest, phase requestPhase) {
+func (t *requestTable) finish(r *trackedRequest, phase requestPhase) {
 	r.phase = phase
 	r.cancelLifetime()
 	t.openCount--
@@ -145,7 +145,7 @@
 }
 
 // removeIfComplete removes a request from the table if it is finished and has no attempt in flight.
-func (t *requestTable) removeIfComplete(r *openRequest) {
+func (t *requestTable) removeIfComplete(r *trackedRequest) {
 	if !r.isFinished() || r.inFlight > 0 || r.phase == phaseRemoved {
 		return
 	}
--- a/internal/agent/openrequest_test.go
+++ b/internal/agent/openrequest_test.go
@@ -9,10 +9,10 @@
 )
 
 // addWithAttempt adds a request with one attempt in flight to a table.
-func addWithAttempt(table *requestTable) *openRequest {
+func addWithAttempt(table *requestTable) *trackedRequest {
 	inbound := frontend.NewRequest()
 	inbound.Event = balancer.Request{ID: id}
-	r := newOpenRequest(inbound)
+	r := newTrackedRequest(inbound)
 	table.add(r)
 	r.addAttempt(func() {})
 	return r
@@ -20,12 +20,12 @@
 
 // A request must stay in the table until it is finished and its last attempt is finished.
 func TestRequestPhases(t *testing.T) {
-	answer := func(table *requestTable, r *openRequest) {
+	answer := func(table *requestTable, r *trackedRequest) {
 		table.answer(r, frontend.Response{Status: http.StatusOK})
 	}
 	for _, test := range []struct {
 		name string
-		end  func(*requestTable, *openRequest)
+		end  func(*requestTable, *trackedRequest)
 		want requestPhase
 	}{
 		{"answered", answer, phaseAnswered},
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -19,7 +19,7 @@
 		inbound.Respond(frontend.Response{Status: http.StatusServiceUnavailable})
 		return
 	}
-	r := newOpenRequest(inbound)
+	r := newTrackedRequest(inbound)
 	l.requests.add(r)
 	l.setDeadlineGuard(r)
 	l.addEvent(inbound.Event)
@@ -44,7 +44,7 @@
 }
 
 // answer sends the only response of a request and finishes the request.
-func (l *eventLoop) answer(r *openRequest, response frontend.Response) {
+func (l *eventLoop) answer(r *trackedRequest, response frontend.Response) {
 	l.removeDeadlineGuard(r)
 	l.requests.answer(r, response)
 }
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -140,7 +140,7 @@
 
 // stepLate submits a request with a timeout of 6 s to an event loop with a tick of 1 ms and steps the loop after delay.
 // It returns the request, the time of the step and the timeout that the module gets.
-func stepLate(t *testing.T, delay time.Duration) (r *openRequest, now, timeout time.Duration) {
+func stepLate(t *testing.T, delay time.Duration) (r *trackedRequest, now, timeout time.Duration) {
 	t.Helper()
 	l := newTestLoop(t)
 	l.module = scriptedModule(func(_ time.Duration, event balancer.Event) []balancer.Action {
--- a/internal/agent/timers.go
+++ b/internal/agent/timers.go
@@ -12,9 +12,9 @@
 
 // timer is either a timer that the decision module has set, or the deadline guard of a request.
 type timer struct {
-	dueAt   time.Duration // on the agent's clock
-	token   int64         // token of a SetTimer; unused in a deadline guard
-	request *openRequest  // request of a deadline guard; nil in a timer of the module
+	dueAt   time.Duration   // on the agent's clock
+	token   int64           // token of a SetTimer; unused in a deadline guard
+	request *trackedRequest // request of a deadline guard; nil in a timer of the module
 
 	sequence int // order of insertion, for timers with equal dueAt
 	index    int // index in the heap, or notQueued
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -16,9 +16,9 @@
 	endpointParts   = 3
 )
 
-// descriptorsPerRequest bounds the open requests, to a third of the descriptors. Each open request holds a client
+// descriptorsPerOpenRequest bounds the open requests, to a third of the descriptors. Each open request holds a client
 // connection, and requests beyond the available client connections would wait where the balancer does not see them.
-const descriptorsPerRequest = 3
+const descriptorsPerOpenRequest = 3
 
 // MaxClientConnections returns the maximum number of client connections; 0: no limit.
 func (c *Config) MaxClientConnections() int { return c.descriptorShare(clientParts) }
@@ -35,7 +35,7 @@
 // limit that follows from MaxDescriptors if that is lower.
 func (c *Config) MaxOpenRequests() int {
 	limit := c.Settings.MaxOpen
-	if allowed := c.MaxDescriptors / descriptorsPerRequest; allowed > 0 && (limit == 0 || allowed < limit) {
+	if allowed := c.MaxDescriptors / descriptorsPerOpenRequest; allowed > 0 && (limit == 0 || allowed < limit) {
 		limit = allowed
 	}
 	return limit
--- a/internal/frontend/connectionstate.go
+++ b/internal/frontend/connectionstate.go
@@ -48,7 +48,7 @@
 
 	// Only idleList writes the following fields.
 	idleElement *list.Element // element of the table's idle list; nil if not in the list
-	idleAt      time.Time     // time at which the connection was added to the idle list
+	idleSince   time.Time     // time at which the connection was added to the idle list
 }
 
 // isFinished reports whether the connection can't serve any more requests.
@@ -76,7 +76,7 @@
 // when the request's timer has fired. A request with a single read has stalled by then. For a request with several
 // reads, Timeouts.ReadStall counts from the last read, and Timeouts.ReadTotal bounds the request as a whole.
 func (p *requestProgress) remaining(timeouts *Timeouts) time.Duration {
-	if p.hasSingleRead() {
+	if p.hasAtMostOneRead() {
 		return 0
 	}
 	deadline := p.lastReadAt.Add(timeouts.ReadStall)
@@ -86,8 +86,8 @@
 	return time.Until(deadline)
 }
 
-// hasSingleRead reports whether nothing has arrived since the first read of the request.
-func (p *requestProgress) hasSingleRead() bool { return p.readCount <= 1 }
+// hasAtMostOneRead reports whether nothing has arrived since the first read of the request.
+func (p *requestProgress) hasAtMostOneRead() bool { return p.readCount <= 1 }
 
 func (p *requestProgress) stopTimer() {
 	if p.timer != nil {
--- a/internal/frontend/connectiontable.go
+++ b/internal/frontend/connectiontable.go
@@ -108,7 +108,7 @@
 	wait = t.timeouts.ReclaimIdle
 	for c := range t.idle.all() {
 		minIdle := t.minIdleDuration(c)
-		if idle := now.Sub(c.state.idleAt); idle < minIdle {
+		if idle := now.Sub(c.state.idleSince); idle < minIdle {
 			wait = min(wait, minIdle-idle)
 			continue
 		}
--- a/internal/frontend/idlelist.go
+++ b/internal/frontend/idlelist.go
@@ -8,7 +8,7 @@
 
 // idleList holds the connections in phaseIdle in the order in which they became idle, with two exceptions. A connection
 // that is found with unread bytes is removed early. A connection that gets a response to a malformed request without
-// having been read again is in phaseServing and still in the list. Only idleList writes idleElement and idleAt in the
+// having been read again is in phaseServing and still in the list. Only idleList writes idleElement and idleSince in the
 // states of connections. The list is guarded by the mutex of the connections' table.
 type idleList struct{ elements list.List }
 
@@ -16,7 +16,7 @@
 
 // add appends a connection that has just become idle.
 func (l *idleList) add(c *connection) {
-	c.state.idleAt = time.Now()
+	c.state.idleSince = time.Now()
 	c.state.idleElement = l.elements.PushBack(c)
 }
 
--- a/internal/telemetry/messages.go
+++ b/internal/telemetry/messages.go
@@ -30,7 +30,7 @@
 	KeyRequest   = "id"
 	KeyEndpoint  = "endpoint"
 	KeyDiscovery = "discovery"
-	KeyError     = "err"
+	KeyErr       = "err"
 	KeyDropped   = "dropped_before" // the number of lines dropped by the rate limit since the previous line
 )
 
@@ -44,4 +44,4 @@
 func Discovery(addr string) slog.Attr { return slog.String(KeyDiscovery, addr) }
 
 // Err returns the attribute for an error.
-func Err(err error) slog.Attr { return slog.Any(KeyError, err) }
+func Err(err error) slog.Attr { return slog.Any(KeyErr, err) }
