--- a/cmd/ashshunt/main.go
+++ b/cmd/ashshunt/main.go
@@ -74,7 +74,7 @@
 	log := newLogger(logWriter)
 	c, err := loadConfig(path, log)
 	if err != nil {
-		return fmt.Errorf("loading the configuration: %w", err)
+		return fmt.Errorf("load configuration: %w", err)
 	}
 	setMemoryLimits(c.MaxMemoryMB)
 	log = log.With("agent", c.Name)
--- a/cmd/ashshunt/soak_client_test.go
+++ b/cmd/ashshunt/soak_client_test.go
@@ -180,7 +180,7 @@
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		c.soak.verifier.recordViolation(ruleResponse, fmt.Sprintf("%s: reading the response body: %v", request.id, err))
+		c.soak.verifier.recordViolation(ruleResponse, fmt.Sprintf("%s: read response body: %v", request.id, err))
 	}
 	c.soak.verifier.recordResponse(request, response.StatusCode, string(body))
 	if response.Close {
--- a/cmd/ashshunt/soak_endpoint_test.go
+++ b/cmd/ashshunt/soak_endpoint_test.go
@@ -79,7 +79,7 @@
 	id := request.Header.Get("X-Call-Id")
 	timeoutMs, err := strconv.Atoi(request.Header.Get("X-Budget-Ms"))
 	if err != nil {
-		e.soak.verifier.recordViolation(ruleAttempt, "parsing X-Budget-Ms: "+err.Error())
+		e.soak.verifier.recordViolation(ruleAttempt, "parse X-Budget-Ms: "+err.Error())
 	}
 	fault := e.currentFault()
 	attempt := &soakAttempt{
@@ -134,7 +134,7 @@
 func resetOnClose(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		panic(fmt.Sprintf("setting a reset on close: got a connection of type %T, want *net.TCPConn", conn))
+		panic(fmt.Sprintf("set reset on close: got a connection of type %T, want *net.TCPConn", conn))
 	}
 	_ = tcp.SetLinger(0) // fails if the connection has ended
 }
--- a/cmd/ashshunt/soak_test.go
+++ b/cmd/ashshunt/soak_test.go
@@ -44,7 +44,7 @@
 	from, to := 1, 4
 	if seeds := os.Getenv(soakSeedsEnvVar); seeds != "" {
 		if _, err := fmt.Sscanf(seeds, "%d-%d", &from, &to); err != nil {
-			t.Fatalf("parsing %s: %v", soakSeedsEnvVar, err)
+			t.Fatalf("parse %s: %v", soakSeedsEnvVar, err)
 		}
 	}
 	for seed := from; seed <= to; seed++ {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -44,7 +44,7 @@
 	}
 	listener, err := listen(c.Listen, log)
 	if err != nil {
-		return nil, fmt.Errorf("listening for client connections: %w", err)
+		return nil, fmt.Errorf("listen for client connections: %w", err)
 	}
 	server := frontend.NewServer(listener, c, agentClock, loop, log)
 	return &Agent{loop: loop, frontend: server, log: log, acceptDuration: acceptDuration}, nil
@@ -80,15 +80,15 @@
 	go func() { served <- a.frontend.Serve() }() // returns when the listener is closed
 	select {
 	case err := <-served:
-		return fmt.Errorf("serving client connections: %w", err)
+		return fmt.Errorf("serve client connections: %w", err)
 	case <-stopCtx.Done():
 		return a.shutDownGracefully(ctx, served)
 	}
 }
 
 // shutDownGracefully answers the open requests, and those that arrive while the agent still accepts connections. The
-// order of the steps matters: a connection is closed only between two requests, and while its client can still open a
-// new one.
+// order of the steps matters: a connection with an open request is closed only after the response, and an idle
+// connection that has had a request is closed while its client can still open a new one.
 func (a *Agent) shutDownGracefully(ctx context.Context, served <-chan error) error {
 	a.log.Info(telemetry.MsgShuttingDown)
 	a.frontend.StartShutdown()
@@ -97,7 +97,7 @@
 	a.frontend.CloseUsedIdle()
 	select {
 	case err := <-served:
-		return fmt.Errorf("serving client connections during the shutdown: %w", err)
+		return fmt.Errorf("serve client connections during the shutdown: %w", err)
 	case <-time.After(a.acceptDuration):
 	}
 	a.frontend.StopAccepting()
