--- a/cmd/ashshunt/reload.go
+++ b/cmd/ashshunt/reload.go
@@ -18,8 +18,8 @@
 	maxReloadBackoff        = 250 * time.Millisecond
 )
 
-// reloadRetryTimeout is how long after its signal a reload is retried. A file that is still invalid then is not merely
-// being written.
+// reloadRetryTimeout is how long after the signal a failed reload is retried. No writer of the file takes longer, so
+// that a file that is still unreadable or invalid needs the operator.
 const reloadRetryTimeout = 30 * time.Second
 
 // reloader reloads the configuration on each signal. For up to reloadRetryTimeout it retries a file that can't be read
@@ -43,7 +43,7 @@
 			r.backoff = initialReloadBackoff
 			r.retryUntil = time.Now().Add(reloadRetryTimeout)
 			if err := r.reload(); err != nil {
-				r.log.Warn(telemetry.MsgConfigurationInvalid, telemetry.Err(err))
+				r.log.Warn(telemetry.MsgConfigurationInvalid, telemetry.Err(err)) // also if the file is unreadable
 			}
 		case <-r.retryTimer:
 			_ = r.reload() // run has logged the error of the first try
--- a/cmd/ashshunt/soak_verify_test.go
+++ b/cmd/ashshunt/soak_verify_test.go
@@ -37,7 +37,7 @@
 }
 
 // verifyResponse verifies that a request got its response. The agent may close a reused connection while the next
-// request is in transit, but not after it has read the request, as it has if it has forwarded it.
+// request is in transit, but not after it has read the request. A forwarded request has been read.
 func (v *soakVerifier) verifyResponse(r *soakRequest) {
 	crossedClose := r.reusedConnection && len(r.attempts) == 0 && r.closedAt.Sub(r.firstByteAt) < closeWindow+v.slack
 	if !r.closed || crossedClose && !v.closedByKill(r) {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -71,7 +71,7 @@
 }
 
 // Run serves requests until stopCtx is done, then shuts down gracefully: it answers the accepted requests before it
-// returns.
+// returns. It returns an error only if the listener fails before the agent closes it.
 func (a *Agent) Run(stopCtx context.Context) error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stopCtx)) // open requests continue after stopCtx is done
 	defer cancel()
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -37,8 +37,9 @@
 // maxAttempts returns the maximum number of attempts of a request. It is at least 1.
 func (l *eventLoop) maxAttempts() int { return max(1, l.settings.MaxAttempts) }
 
-// attemptDeadline returns the deadline, on the agent's clock, of an attempt that starts at now: r.attemptsUntil, or
-// earlier because of a shutdown or of timeout, the limit that the decision module sets. A timeout of 0 means no limit.
+// attemptDeadline returns the deadline, on the agent's clock, of an attempt that starts at now. It is the earliest of
+// r.attemptsUntil, the end of timeout, which the decision module sets (0: no limit), and, during a shutdown,
+// attemptMargin before the shutdown deadline.
 func (l *eventLoop) attemptDeadline(now time.Duration, r *trackedRequest, timeout time.Duration) time.Duration {
 	deadline := r.attemptsUntil
 	if l.isShuttingDown() {
@@ -61,8 +62,8 @@
 
 // runAttempt executes an attempt and posts its outcome. startedAt is the start of the attempt on the agent's clock.
 // runAttempt runs on its own goroutine and reads only the immutable fields of the request.
-func (l *eventLoop) runAttempt(ctx context.Context, r *trackedRequest, outcome balancer.Outcome, startedAt time.Duration,
-	bounds upstream.Bounds) {
+func (l *eventLoop) runAttempt(ctx context.Context, r *trackedRequest, outcome balancer.Outcome,
+	startedAt time.Duration, bounds upstream.Bounds) {
 	result, response := l.upstream.Attempt(ctx, r.upstream, outcome.Endpoint, bounds)
 	outcome.Result = result
 	outcome.Latency = l.clock.FromTime(response.EndedAt) - startedAt
--- a/internal/agent/deadlineguard.go
+++ b/internal/agent/deadlineguard.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// attemptMargin is the time between the end of a request's attempts and the client's deadline. The decision module
-	// gets a deadline that is earlier by attemptMargin, so that its final answer is written in time.
+	// attemptMargin is the time between the end of a request's attempts and the client's deadline, or the shutdown
+	// deadline if that is earlier. The decision module gets a deadline that is attemptMargin before the client's, so
+	// that its final answer is written in time.
 	attemptMargin = 20 * time.Millisecond
 	// minAttemptMargin is the minimum time between the end of a request's attempts and the client's deadline when a
 	// delayed step has used up part of attemptMargin. The outcomes then still arrive before the deadline guard fires.
 	minAttemptMargin = 2 * guardMargin
 	// guardMargin is the time between the firing of the deadline guard and the client's deadline. It is the time for
-	// writing the response.
+	// writing the response. A guard that fires at the shutdown deadline needs no margin: finalWriteTimeout follows.
 	guardMargin = 5 * time.Millisecond
 )
 
@@ -36,16 +37,17 @@
 }
 
 // moduleTimeout returns the timeout that the decision module gets for a request in a step at now. The result is 0 or
-// negative if the client's timeout is at most attemptMargin.
+// negative if the client's timeout is at most attemptMargin plus the delay of the step (up to a tick).
 func (l *eventLoop) moduleTimeout(now time.Duration, inbound *frontend.Request) time.Duration {
 	// A step takes place within a tick of the arrival unless this machine is overloaded. A longer delay must not reduce
-	// the timeout: the module treats a request as a client's retry if its timeout differs from its class's usual one.
+	// the timeout: the module treats a request as a client's retry if its timeout differs from the class's usual one
+	// by more than two ticks.
 	stepDelay := min(now-inbound.ArrivedAt, l.tick)
 	return inbound.Deadline - attemptMargin - inbound.ArrivedAt - stepDelay
 }
 
-// setDeadlineGuard sets or resets the deadline guard of a request: the timer that answers the request shortly before
-// its deadline if the decision module has not answered it.
+// setDeadlineGuard sets or replaces the deadline guard of a request: the timer that answers the request shortly before
+// its deadline, or at the shutdown deadline if that is earlier, unless the decision module has answered it.
 func (l *eventLoop) setDeadlineGuard(r *trackedRequest) {
 	if r.isFinished() {
 		return
@@ -72,8 +74,8 @@
 // event for the decision module.
 //
 // Firing is expected during a shutdown, and for a client timeout of at most attemptMargin. Otherwise it is an internal
-// error. If it is expected and the request has had no attempts, not even one that was never sent, the request is
-// rejected, so that the client may retry it. All other requests fail.
+// error. If it is expected and the decision module has not started any attempt of the request, the request is rejected,
+// so that the client may retry it. Attempts that were not sent count as started. All other requests fail.
 func (l *eventLoop) handleDeadlineGuard(r *trackedRequest) {
 	if r.isFinished() {
 		return
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -20,7 +20,8 @@
 const (
 	// maxQueuedMessages is the capacity of the event loop's message queue. Senders block while it is full.
 	maxQueuedMessages = 1024
-	// maxTick is the maximum tick. Requests wait for the next step, so that only simulations use longer ticks.
+	// maxTick limits the tick of the settings. Requests wait for the next step, so that a longer tick is useful only in
+	// simulations.
 	maxTick = 10 * time.Millisecond
 	// maxSleep is the maximum time that the event loop sleeps without a message or a due timer.
 	maxSleep = time.Minute
@@ -34,7 +35,7 @@
 // eventLoop owns the decision module, the request table and the timers, and runs them on a single goroutine. Other
 // goroutines communicate with it by messages. It never blocks on I/O.
 type eventLoop struct {
-	// These fields are immutable after the call of run and safe for concurrent use.
+	// These fields are immutable once run is called, and safe for concurrent use.
 	clock     clock.Clock
 	settings  balancer.Settings // as configured: MaxOpen does not include the limit by descriptors
 	tick      time.Duration     // minimum time between two steps
@@ -193,7 +194,7 @@
 	}
 }
 
-// closeReady closes ready if it is not closed.
+// closeReady closes ready, unless an earlier step has closed it.
 func (l *eventLoop) closeReady() {
 	select {
 	case <-l.ready:
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -25,7 +25,8 @@
 	phaseRemoved
 )
 
-// trackedRequest is a submitted request with the state of its attempts. It is in the requestTable until phaseRemoved.
+// trackedRequest is a submitted request with the state of its attempts. It is in the requestTable until phaseRemoved:
+// after its final answer it stays there while attempts are in flight.
 type trackedRequest struct {
 	// These fields are immutable. The goroutines of attempts read upstream.
 	inbound        *frontend.Request  // the request as the client sent it
@@ -77,7 +78,8 @@
 	return len(r.attemptCancels) - 1
 }
 
-// finishAttempt records the end of an attempt.
+// finishAttempt records the end of an attempt and releases its context. mayHaveRun says whether the attempt may have
+// run at its endpoint.
 func (r *trackedRequest) finishAttempt(number int, mayHaveRun bool) {
 	r.cancelAttempt(number)
 	r.attemptCancels[number] = nil
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// The event loop must fail a request that may have run and must not run twice even if the module rejects it. Otherwise
-// it must execute the rejection with the module's Retry-After.
+// If the module rejects a request that may have run and must not run twice, the event loop must fail the request. It
+// must execute any other rejection, with the module's Retry-After.
 func TestRejections(t *testing.T) {
 	t.Parallel()
 	first := true
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// maxClassDeadline is the maximum part of the longest class deadline that a shutdown waits for.
+	// maxClassDeadline limits how long a shutdown waits for the longest class deadline.
 	maxClassDeadline = 3 * time.Second
-	// killDelay is the time after that wait at which the process may be killed.
+	// killDelay is the time from the end of that wait until the process may be killed.
 	killDelay = 700 * time.Millisecond
 	// shutdownMargin is the time between the answers to the last open requests and the earliest kill.
 	shutdownMargin = 300 * time.Millisecond
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -42,8 +42,8 @@
 	Name        string
 	Listen      string // host:port that clients connect to
 	Discovery   string // host:port of the discovery service
-	Seed        uint64 // of all random choices
-	MaxMemoryMB int    // memory limit of the process in megabytes; 0: no limit. Key limits.memory_mb.
+	Seed        uint64 // seed of all random choices
+	MaxMemoryMB int    // memory limit of the process in MiB; 0: no limit. Key limits.memory_mb.
 	// MaxDescriptors is the maximum number of open file descriptors; 0: no limit. Key limits.sockets.
 	MaxDescriptors int
 	Settings       balancer.Settings
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -16,8 +16,9 @@
 	endpointParts   = 3
 )
 
-// descriptorsPerOpenRequest bounds the open requests, to a third of the descriptors. Each open request holds a client
-// connection, and requests beyond the available client connections would wait where the balancer does not see them.
+// descriptorsPerOpenRequest limits the open requests to a third of the descriptors. Each open request holds a client
+// connection. The limit is below the number of client connections, which is half of the descriptors: requests beyond
+// the available client connections would wait where the balancer does not see them.
 const descriptorsPerOpenRequest = 3
 
 // MaxClientConnections returns the maximum number of client connections; 0: no limit.
@@ -32,7 +33,8 @@
 }
 
 // MaxOpenRequests returns the maximum number of open requests; 0: no limit. It is the limit of the settings, or the
-// limit that follows from MaxDescriptors if that is lower.
+// limit that follows from MaxDescriptors if that is lower. A MaxDescriptors of less than descriptorsPerOpenRequest sets
+// no limit.
 func (c *Config) MaxOpenRequests() int {
 	limit := c.Settings.MaxOpen
 	if allowed := c.MaxDescriptors / descriptorsPerOpenRequest; allowed > 0 && (limit == 0 || allowed < limit) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,7 +6,7 @@
 	"ashshunt/balancer"
 )
 
-// Names holds the names of the classes, tenants, zones and machine kinds, which the decision module refers to by index.
+// Names maps the indexes by which package balancer refers to classes, tenants, zones and machine kinds to their names.
 type Names struct {
 	Classes []string
 	Tenants []string
@@ -16,7 +16,7 @@
 
 // ParseSettings parses the settings object, which has the same form in the configuration file and in the simulator's
 // OpenInstance message. It ignores unknown keys, which later versions may add. The error is one of encoding/json or an
-// *UnknownWordError. Whether the values are in range is validated by balancer.New.
+// *UnknownWordError. balancer.New validates that the values are in range.
 func ParseSettings(raw []byte) (balancer.Settings, Names, error) {
 	var object settingsObject
 	if err := json.Unmarshal(raw, &object); err != nil {
--- a/internal/config/settings_object.go
+++ b/internal/config/settings_object.go
@@ -2,7 +2,7 @@
 
 // settingsObject is the settings object with its names on the wire. The suffix of a name is its unit: Ms milliseconds,
 // Us microseconds, PerS per second. Errors of encoding/json contain the names of the types in this file.
-// mapping.go maps each field to a field of balancer.Settings, which is documented there.
+// mapping.go maps each field to the field of balancer.Settings that documents it.
 type settingsObject struct {
 	Balancers      int    // number of agents
 	Me             int    // number of this agent, from 0
--- a/internal/frontend/connectionstate.go
+++ b/internal/frontend/connectionstate.go
@@ -17,14 +17,16 @@
 //	reading -> rejected  the request timed out, or a shutdown rejects it
 //	serving -> idle      the response is written
 //	serving -> reading   the response is written and the next request has already started
-//	any     -> closing   Close is called; the table also closes idle connections, to reclaim a slot or to shut down
+//	any     -> closing   Close is called, or the table closes an idle connection to reclaim its slot or to shut down
 //
+// The table is the connectionTable of the connection. It limits the number of open connections; each occupies a slot.
 // Only the enter... methods below change the phase. Their callers hold the table's mutex.
 type phase uint8
 
 const (
-	// phaseIdle: no byte of a request has been read. The connection is on the table's idle list, and may be closed at
-	// any time while it is on the list. It leaves the list early if unread bytes are found on it.
+	// phaseIdle: no byte of the next request has been read. The connection is on the table's idle list, and may be
+	// closed at any time while it is on the list. A connection that is found to have unread bytes is removed from the
+	// list.
 	phaseIdle phase = iota
 	// phaseReading: a request has started and is incomplete. The connection is in the table's set of incomplete
 	// requests. The request's timer replaces the read deadlines that net/http sets.
@@ -73,7 +75,7 @@
 }
 
 // remaining returns the time until the request must be rejected; zero or less if it must be rejected now. It is called
-// when the request's timer has fired. A request with a single read has stalled by then. For a request with several
+// when the request's timer has fired. A request with at most one read has stalled by then. For a request with several
 // reads, Timeouts.ReadStall counts from the last read, and Timeouts.ReadTotal bounds the request as a whole.
 func (p *requestProgress) remaining(timeouts *Timeouts) time.Duration {
 	if p.hasAtMostOneRead() {
@@ -86,7 +88,7 @@
 	return time.Until(deadline)
 }
 
-// hasAtMostOneRead reports whether nothing has arrived since the first read of the request.
+// hasAtMostOneRead reports whether no byte of the request has arrived after the first read.
 func (p *requestProgress) hasAtMostOneRead() bool { return p.readCount <= 1 }
 
 func (p *requestProgress) stopTimer() {
@@ -95,7 +97,8 @@
 	}
 }
 
-// The methods below handle the events of a connection. Each locks the table's mutex.
+// The methods below examine the state of a connection or handle its events. Each locks the table's mutex, except for
+// startCloseIfShuttingDown, whose caller holds it.
 
 func (c *connection) isIdle() bool {
 	c.table.mu.Lock()
@@ -198,8 +201,8 @@
 }
 
 // handleConnState handles a state change that net/http reports. It reports whether it has moved the connection to
-// phaseClosing, which the caller must then close. This happens in a shutdown if a response was written just before the
-// shutdown started, and therefore without a Connection: close header.
+// phaseClosing; if so, the caller must call finishClose. This happens in a shutdown if a response was written just
+// before the shutdown started, and therefore without a Connection: close header.
 func (c *connection) handleConnState(state http.ConnState) (closing bool) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
--- a/internal/frontend/connectiontable.go
+++ b/internal/frontend/connectiontable.go
@@ -13,9 +13,10 @@
 // minSlotRetryInterval is the minimum wait between two attempts to free a slot. It prevents a busy loop.
 const minSlotRetryInterval = time.Millisecond
 
-// connectionTable holds the open connections of a listener and limits their number. Each connection holds a descriptor,
-// and clients that stay silent, or keep their connection after one request, could otherwise use up all descriptors. The
-// mutex also guards the states of the connections. It is never held during I/O that may block.
+// connectionTable holds the open connections of a listener and limits their number: each connection occupies one of
+// maxOpen slots until it is closed. Each holds a descriptor, and clients that stay silent, or keep their connection
+// after one request, could otherwise use up all descriptors. The mutex also guards the states of the connections. It is
+// never held during I/O that may block.
 type connectionTable struct {
 	maxOpen  int           // maximum number of open connections; 0: no limit
 	timeouts *Timeouts     // the timeouts of the Server
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -21,7 +21,8 @@
 var (
 	// errDisconnected: the client has closed its connection.
 	errDisconnected = errors.New("client disconnected")
-	// errRejectedIncomplete: the request timed out before it was complete, and the client already has a response.
+	// errRejectedIncomplete: a timeout or a shutdown rejected the request before it was complete, and the client
+	// already has a response; or the connection was closed.
 	errRejectedIncomplete = errors.New("request rejected before it was complete")
 	// errLoopStopped: the event loop has stopped, so no response will arrive.
 	errLoopStopped = errors.New("event loop stopped")
@@ -88,8 +89,8 @@
 }
 
 // handleError handles a request that gets no response from the event loop. It writes a response if err is a
-// *RequestError or if the event loop has stopped, and aborts the connection otherwise. A *RequestError may also occur
-// after the request was submitted (errTooMuchUnread).
+// *RequestError and the connection still allows one, or if the event loop has stopped. Otherwise it aborts the
+// connection. A *RequestError may also occur after the request was submitted (errTooMuchUnread).
 func (h *handler) handleError(w http.ResponseWriter, r *http.Request, err error) {
 	if requestErr, ok := errors.AsType[*RequestError](err); ok {
 		if allowed := connectionOf(r).startResponse(); allowed {
--- a/internal/frontend/idlelist.go
+++ b/internal/frontend/idlelist.go
@@ -7,9 +7,9 @@
 )
 
 // idleList holds the connections in phaseIdle in the order in which they became idle, with two exceptions. A connection
-// that is found with unread bytes is removed early. A connection that gets a response to a malformed request without
-// having been read again is in phaseServing and still in the list. Only idleList writes idleElement and idleSince in the
-// states of connections. The list is guarded by the mutex of the connections' table.
+// that is found to have unread bytes is removed early. A connection that gets a response to a malformed request without
+// having been read again is in phaseServing and still in the list. Only idleList writes idleElement and idleSince in
+// the states of connections. The list is guarded by the mutex of the connections' table.
 type idleList struct{ elements list.List }
 
 func (l *idleList) len() int { return l.elements.Len() }
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -57,10 +57,10 @@
 	return &RequestError{Status: http.StatusBadRequest, Reason: reason}
 }
 
-// validateFraming validates the message framing before any of the body is read. It requires HTTP/1.1 with a
-// Content-Length and no Transfer-Encoding, to prevent request smuggling: net/http ignores the Content-Length of a
-// chunked request, and the Transfer-Encoding of an HTTP/1.0 request, whereas a server that does the opposite would find
-// a second request in the body.
+// validateFraming validates the message framing before any of the body is read. It requires HTTP/1.1 and allows no
+// Transfer-Encoding, so that only Content-Length determines the length of the body. This prevents request smuggling:
+// net/http ignores the Content-Length of a chunked request, and the Transfer-Encoding of an HTTP/1.0 request, whereas a
+// server that does the opposite would find a second request in the body.
 func validateFraming(r *http.Request) error {
 	switch {
 	case r.ProtoMajor != 1 || r.ProtoMinor != 1:
@@ -223,7 +223,9 @@
 	return 0
 }
 
-// parseTarget returns the path and query exactly as the client sent them.
+// parseTarget returns the path and query exactly as the client sent them. A target in another form, such as an absolute
+// URI, is returned as net/http has parsed it. A path that starts with "//" is an error, since net/url would write it
+// with a scheme.
 func parseTarget(r *http.Request) (*url.URL, error) {
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return r.URL, nil
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -43,7 +43,7 @@
 
 // EventLoop is the part of the agent's event loop that the frontend uses.
 type EventLoop interface {
-	// Submit passes a request to the loop, which responds to it exactly once.
+	// Submit passes a request to the loop, which responds to it once, unless it is abandoned or the loop stops.
 	Submit(*Request)
 	// Abandon reports that the client has disconnected and no longer waits for the response.
 	Abandon(*Request)
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -15,7 +15,7 @@
 	for _, test := range []struct {
 		name      string
 		cause     error
-		failures  int
+		failures  int // number of calls that fail before one succeeds, if that many calls are made
 		wantCalls int
 	}{
 		{"no failure", nil, 0, 1},
@@ -40,7 +40,7 @@
 				return calls, nil
 			})
 			if calls != test.wantCalls || retries != test.wantCalls-1 {
-				t.Errorf("got %d calls and %d retries reported, want %d calls and one retry less",
+				t.Errorf("got %d calls and %d retries reported, want %d calls and one fewer retry",
 					calls, retries, test.wantCalls)
 			}
 			if wantError := test.failures >= test.wantCalls; (err != nil) != wantError {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Do must return the error of a persistent failure after the policy's MaxElapsedTime.
+// Do must return the error of a persistent failure once the next retry would start after MaxElapsedTime.
 func TestDoGivesUp(t *testing.T) {
 	policy := retry.Policy{
 		MaxElapsedTime: 20 * time.Millisecond,
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -17,8 +17,8 @@
 
 func newDecoder() decoder { return decoder{lists: map[int][]balancer.Endpoint{}} }
 
-// eventDecoders maps each kind of message that holds an event to its decoder. A decoder validates the required fields
-// of its kind, except for Agent, which decodeEvent validates.
+// eventDecoders maps each kind of message that holds an event to its decoder. A decoder validates that the required
+// fields of its kind are present, except for Agent, which decodeEvent validates.
 var eventDecoders = map[string]func(*decoder, *message) (InstanceEvent, error){
 	KindOpenInstance: (*decoder).decodeOpenInstance,
 	kindRetire:       (*decoder).decodeRetire,
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -62,7 +62,7 @@
 	Outcome    *string            // result of an attempt or a health check
 	WaitTimeMs *float64           // latency
 	Backend    *string            // endpoint ID
-	SendNo     *int               // index of the attempt
+	SendNo     *int               // attempt number, from 0
 	Ended      bool               // the request has its final answer
 	Usage      map[string]float64 // load report
 	Cookie     *int64             // timer token
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -9,7 +9,7 @@
 	"ashshunt/balancer"
 )
 
-// allSettings is a settings object with all keys and an unknown one.
+// allSettings is a settings object with all keys, the unknown key Later and the unknown load report field "later".
 const allSettings = `{"Balancers":3,"Me":1,"Zone":2,"CountedBy":"work","MembershipMode":"subscribe",
 "TickMs":5,"Later":[1],
 "Profiles":[{"Name":"x","AimMs":400,"DeadlineMs":1500,"Worth":3,"LateValue":0.25,"Semantics":"by_key","Group":"cell",
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -11,7 +11,8 @@
 	// initialRetryDelay is the delay before the first retry of a read or a write. It doubles with each further retry.
 	initialRetryDelay = time.Millisecond
 	// maxRetries bounds the consecutive calls of a read or of a system call that examines a socket, and the retries of
-	// a write that makes no progress. The delays of 1 ms to 128 ms add up to about a quarter of a second.
+	// a write that makes no progress. The delays of a read or a write, 1 ms to 128 ms, add up to about a quarter of a
+	// second.
 	maxRetries = 8
 )
 
--- a/internal/socket/errors.go
+++ b/internal/socket/errors.go
@@ -14,8 +14,9 @@
 }
 
 // isLocalFailure reports whether the cause of a failed dial may lie with this machine or its network. Among the errors
-// of the system, only ECONNREFUSED and ECONNRESET certainly come from the peer; ETIMEDOUT does not. A dial that exceeds
-// a deadline of this process has no system error; it means that the peer did not respond, and is no local failure.
+// of the system, only ECONNREFUSED and ECONNRESET certainly come from the peer; ETIMEDOUT may have a local cause. A
+// dial that exceeds a deadline of this process has no system error; it means that the peer did not respond, and is no
+// local failure.
 func isLocalFailure(err error) bool {
 	var cause syscall.Errno
 	if !errors.As(err, &cause) {
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -68,7 +68,8 @@
 	Flooded bool // the peer has sent more than maxUnreadBytes after its request
 }
 
-// IsGone reports whether no response can be delivered to the peer, or none will be because it floods the connection.
+// IsGone reports whether the peer gets no response: it has closed its connection or its sending side, the connection
+// has failed, or the peer floods it.
 func (s PeerState) IsGone() bool { return s.Closed || s.Flooded }
 
 // Peer returns the state of the peer. It also detects a close that follows unread bytes.
--- a/internal/testutil/config.go
+++ b/internal/testutil/config.go
@@ -8,7 +8,7 @@
 	"ashshunt/internal/config"
 )
 
-// SettingsJSON is a settings object with one class of each kind of idempotency and long deadlines.
+// SettingsJSON is a settings object with three classes, one for each kind of idempotency. Their deadlines are long.
 const SettingsJSON = `{"Balancers":1,"Me":0,"TickMs":1,"Dcs":["dc"],"Kinds":["std"],"MembershipMode":"subscribe",
  "Profiles":[
   {"Name":"look","AimMs":5000,"DeadlineMs":8000,"Worth":1,"Semantics":"repeatable"},
@@ -19,12 +19,12 @@
  "Contract":{"ColdFrom":0.5,"AskWithinMs":640,"DrainGraceMs":250,"RampTimeMs":1000,"FallMs":1000,"FallMultiple":2}}`
 
 // configFormat is the format of a configuration file. Its arguments are the address of discovery, the entries of the
-// cached endpoint list and the settings object.
+// cached endpoint list (key known) and the settings object.
 const configFormat = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
  "limits":{"memory_mb":192,"sockets":1024},"known":{"version":1,"full":true,"servers":[%s]},"settings":%s}`
 
 // Config returns an agent's configuration with SettingsJSON, the given address of discovery and the given entries of
-// the cached endpoint list.
+// the cached endpoint list (key known).
 func Config(t *testing.T, discovery string, entries ...string) *config.Config {
 	t.Helper()
 	c, err := config.Parse([]byte(fmt.Sprintf(configFormat, discovery, strings.Join(entries, ","), SettingsJSON)))
