--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -237,13 +237,13 @@
 		t.Run(method.name, func(t *testing.T) {
 			t.Parallel()
 			server := testutil.NewServer(t, testutil.Echo)
-			dialling, gate := make(chan struct{}, 10), make(chan struct{})
+			dialing, gate := make(chan struct{}, 10), make(chan struct{})
 			recorder := newRequestRecorder()
 			c := newConfig(t, server)
 			a, _ := startAgentWith(t, c, func(a *Agent) {
 				options := upstreamOptions(c, a.loop.endpoints, a.log)
 				options.DialControl = func(_, _ string, _ syscall.RawConn) error {
-					dialling <- struct{}{}
+					dialing <- struct{}{}
 					<-gate
 					return nil
 				}
@@ -251,7 +251,7 @@
 				a.loop.module = scriptedModule(recorder.sendToS0)
 			})
 			client := testutil.Dial(t, a.Addr(), testutil.RawGet(id))
-			testutil.Receive(t, dialling)
+			testutil.Receive(t, dialing)
 			method.disconnect(t, client)
 			testutil.Receive(t, recorder.abandoned)
 			close(gate)
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -127,13 +127,13 @@
 		requestAbandoned{rejected}.handle(context.Background(), l)
 	}
 	if first.isFinished() || l.requests.openCount != 1 || len(l.requests.byID) != 1 || len(l.pending) != events {
-		t.Errorf("after the other disconnects: got phase %d, %d open, %d in the table, %d new events, want 0, 1, 1, 0",
+		t.Errorf("after the other disconnects: got phase %d, %d open, %d in table, %d events, want phaseOpen, 1, 1, 0",
 			first.phase, l.requests.openCount, len(l.requests.byID), len(l.pending)-events)
 	}
 	requestAbandoned{client}.handle(context.Background(), l)
 	if !first.isFinished() || l.requests.openCount != 0 || len(l.requests.byID) != 0 || l.timers.len() != 0 ||
 		len(l.pending) != events+1 {
-		t.Errorf("after its own disconnect: got phase %d, %d open, %d in the table, %d timers, want 3, 0, 0, 0",
+		t.Errorf("after its own disconnect: got phase %d, %d open, %d in table, %d timers, want phaseRemoved, 0, 0, 0",
 			first.phase, l.requests.openCount, len(l.requests.byID), l.timers.len())
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -43,8 +43,9 @@
 	return limit
 }
 
-// effectiveMaxDescriptors returns the lower of the configured limit and the system's limit on open file descriptors.
-// Without a limit, clients could use up all descriptors and leave none for discovery and endpoints.
+// effectiveMaxDescriptors returns the lower of the configured limit (0: none) and the system's limit on open file
+// descriptors (math.MaxInt32 or more: none). Without a limit, clients could use up all descriptors and leave none for
+// discovery and endpoints.
 func effectiveMaxDescriptors(configured int) (int, error) {
 	var system unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &system); err != nil {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -27,8 +27,8 @@
 // continueStatusPrefix starts an interim response, which net/http writes while it is still reading a request.
 var continueStatusPrefix = []byte("HTTP/1.1 100 ")
 
-// connection is an accepted client connection. It leaves phaseIdle when its first byte arrives, before net/http parses
-// a request. From then on the timeouts of the request apply instead of the idle timeout.
+// connection is an accepted client connection. It leaves phaseIdle when the first byte of a request arrives, before
+// net/http parses the request. From then on the timeouts of the request apply instead of the idle timeout.
 type connection struct {
 	net.Conn
 	table      *connectionTable
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
-	dialled, err := net.Dial("tcp", listener.Addr().String())
+	dialed, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,10 +26,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = dialled.Close(), local.Close() })
-	peer, ok := dialled.(*net.TCPConn)
+	t.Cleanup(func() { _, _ = dialed.Close(), local.Close() })
+	peer, ok := dialed.(*net.TCPConn)
 	if !ok {
-		t.Fatalf("got dialed connection of type %T, want *net.TCPConn", dialled)
+		t.Fatalf("got dialed connection of type %T, want *net.TCPConn", dialed)
 	}
 	return local, peer
 }
--- a/internal/telemetry/messages.go
+++ b/internal/telemetry/messages.go
@@ -25,7 +25,7 @@
 	MsgNoFinalAnswer            = "internal error: no final answer by the deadline"
 )
 
-// The keys of attributes that several messages share.
+// The keys of attributes that several messages share. The same thing has the same key in every message.
 const (
 	KeyRequest   = "id"
 	KeyEndpoint  = "endpoint"
