--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -11,8 +11,8 @@
 	"ashshunt/internal/upstream"
 )
 
-// startAttempt executes a Send. Each Send gets the request's next attempt number and exactly one outcome. The outcome
-// is NotSent if the request is finished, has used up its attempts or has no time left.
+// startAttempt executes a Send. Each Send of a request in the table gets the request's next attempt number and exactly
+// one outcome. The outcome is NotSent if the request is finished, has used up its attempts or has no time left.
 func (l *eventLoop) startAttempt(ctx context.Context, now time.Duration, action balancer.Send) {
 	r := l.requests.find(action.Request)
 	if r == nil {
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -16,7 +16,8 @@
 	// phaseOpen means that the request has no answer. Its deadline guard is set.
 	phaseOpen requestPhase = iota
 	// phaseAnswered means that the request's only response is sent to its client. No further attempt is sent, but
-	// attempts in flight continue, so that the decision module gets their outcomes.
+	// attempts in flight continue, unless the deadline guard or the decision module cancels them, so that the module
+	// gets their outcomes.
 	phaseAnswered
 	// phaseAbandoned is like phaseAnswered but without a response, since the client has disconnected.
 	phaseAbandoned
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -127,7 +127,7 @@
 		requestAbandoned{rejected}.handle(context.Background(), l)
 	}
 	if first.isFinished() || l.requests.openCount != 1 || len(l.requests.byID) != 1 || len(l.pending) != events {
-		t.Errorf("after the other disconnects: got phase %d, %d open, %d in table, %d events, want phaseOpen, 1, 1, 0",
+		t.Errorf("after other disconnects: got phase %d, %d open, %d in table, %d new events, want phaseOpen, 1, 1, 0",
 			first.phase, l.requests.openCount, len(l.requests.byID), len(l.pending)-events)
 	}
 	requestAbandoned{client}.handle(context.Background(), l)
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -115,8 +115,9 @@
 }
 
 // Close closes the connection and releases its slot. Closing a socket with unread bytes resets the connection, and a
-// response that is still in transit is lost. In that case the connection is closed in the background, after the sending
-// side has been closed and incoming bytes have been discarded.
+// response that is still in transit is lost. If there are such bytes, or if they may arrive because an incomplete
+// request was rejected, the connection is closed in the background, after the sending side has been closed and incoming
+// bytes have been discarded.
 func (c *connection) Close() error {
 	previous := c.startClose()
 	if previous == phaseClosing {
