--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -11,8 +11,8 @@
 	"ashshunt/internal/upstream"
 )
 
-// startAttempt executes a Send. Each Send gets the request's next attempt number and exactly one outcome. The outcome
-// is NotSent if the request is finished, has used up its attempts or has no time left.
+// startAttempt executes a Send. Each Send of a request in the table gets the request's next attempt number and exactly
+// one outcome. The outcome is NotSent if the request is finished, has used up its attempts or has no time left.
 func (l *eventLoop) startAttempt(ctx context.Context, now time.Duration, action balancer.Send) {
 	r := l.requests.find(action.Request)
 	if r == nil {
@@ -37,9 +37,10 @@
 // maxAttempts returns the maximum number of attempts of a request. It is at least 1.
 func (l *eventLoop) maxAttempts() int { return max(1, l.settings.MaxAttempts) }
 
-// attemptDeadline returns the deadline, on the agent's clock, of an attempt that starts at now: r.attemptsUntil, or
-// earlier because of a shutdown or of timeout, the limit that the decision module sets. A timeout of 0 means no limit.
-func (l *eventLoop) attemptDeadline(now time.Duration, r *openRequest, timeout time.Duration) time.Duration {
+// attemptDeadline returns the deadline, on the agent's clock, of an attempt that starts at now. It is the earliest of
+// r.attemptsUntil, the end of timeout, which the decision module sets (0: no limit), and, during a shutdown,
+// attemptMargin before the shutdown deadline.
+func (l *eventLoop) attemptDeadline(now time.Duration, r *trackedRequest, timeout time.Duration) time.Duration {
 	deadline := r.attemptsUntil
 	if l.isShuttingDown() {
 		deadline = min(deadline, l.shutdownDeadline-attemptMargin)
@@ -61,8 +62,8 @@
 
 // runAttempt executes an attempt and posts its outcome. startedAt is the start of the attempt on the agent's clock.
 // runAttempt runs on its own goroutine and reads only the immutable fields of the request.
-func (l *eventLoop) runAttempt(ctx context.Context, r *openRequest, outcome balancer.Outcome, startedAt time.Duration,
-	bounds upstream.Bounds) {
+func (l *eventLoop) runAttempt(ctx context.Context, r *trackedRequest, outcome balancer.Outcome,
+	startedAt time.Duration, bounds upstream.Bounds) {
 	result, response := l.upstream.Attempt(ctx, r.upstream, outcome.Endpoint, bounds)
 	outcome.Result = result
 	outcome.Latency = l.clock.FromTime(response.EndedAt) - startedAt
@@ -79,7 +80,7 @@
 
 // handleOutcome records the outcome of an attempt and queues it for the decision module. The body of the first served
 // attempt is sent to the client at once, without a step of the module.
-func (l *eventLoop) handleOutcome(r *openRequest, outcome balancer.Outcome, body []byte) {
+func (l *eventLoop) handleOutcome(r *trackedRequest, outcome balancer.Outcome, body []byte) {
 	r.finishAttempt(outcome.Attempt, l.settings.MayHaveRun(outcome.Result))
 	if outcome.Result == balancer.Served && !r.isFinished() {
 		l.answer(r, frontend.Response{Status: http.StatusOK, Body: body})
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// The event loop must fail a request that may have run and must not run twice even if the module rejects it. Otherwise
-// it must execute the rejection with the module's Retry-After.
+// If the module rejects a request that may have run and must not run twice, the event loop must fail the request. It
+// must execute any other rejection, with the module's Retry-After.
 func TestRejections(t *testing.T) {
 	t.Parallel()
 	first := true
@@ -127,20 +127,20 @@
 		requestAbandoned{rejected}.handle(context.Background(), l)
 	}
 	if first.isFinished() || l.requests.openCount != 1 || len(l.requests.byID) != 1 || len(l.pending) != events {
-		t.Errorf("after the other disconnects: got phase %d, %d open, %d in the table, %d new events, want 0, 1, 1, 0",
+		t.Errorf("after other disconnects: got phase %d, %d open, %d in table, %d new events, want phaseOpen, 1, 1, 0",
 			first.phase, l.requests.openCount, len(l.requests.byID), len(l.pending)-events)
 	}
 	requestAbandoned{client}.handle(context.Background(), l)
 	if !first.isFinished() || l.requests.openCount != 0 || len(l.requests.byID) != 0 || l.timers.len() != 0 ||
 		len(l.pending) != events+1 {
-		t.Errorf("after its own disconnect: got phase %d, %d open, %d in the table, %d timers, want 3, 0, 0, 0",
+		t.Errorf("after its own disconnect: got phase %d, %d open, %d in table, %d timers, want phaseRemoved, 0, 0, 0",
 			first.phase, l.requests.openCount, len(l.requests.byID), l.timers.len())
 	}
 }
 
 // stepLate submits a request with a timeout of 6 s to an event loop with a tick of 1 ms and steps the loop after delay.
 // It returns the request, the time of the step and the timeout that the module gets.
-func stepLate(t *testing.T, delay time.Duration) (r *openRequest, now, timeout time.Duration) {
+func stepLate(t *testing.T, delay time.Duration) (r *trackedRequest, now, timeout time.Duration) {
 	t.Helper()
 	l := newTestLoop(t)
 	l.module = scriptedModule(func(_ time.Duration, event balancer.Event) []balancer.Action {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -16,9 +16,10 @@
 	endpointParts   = 3
 )
 
-// descriptorsPerRequest bounds the open requests, to a third of the descriptors. Each open request holds a client
-// connection, and requests beyond the available client connections would wait where the balancer does not see them.
-const descriptorsPerRequest = 3
+// descriptorsPerOpenRequest limits the open requests to a third of the descriptors. Each open request holds a client
+// connection. The limit is below the number of client connections, which is half of the descriptors: requests beyond
+// the available client connections would wait where the balancer does not see them.
+const descriptorsPerOpenRequest = 3
 
 // MaxClientConnections returns the maximum number of client connections; 0: no limit.
 func (c *Config) MaxClientConnections() int { return c.descriptorShare(clientParts) }
@@ -32,17 +33,19 @@
 }
 
 // MaxOpenRequests returns the maximum number of open requests; 0: no limit. It is the limit of the settings, or the
-// limit that follows from MaxDescriptors if that is lower.
+// limit that follows from MaxDescriptors if that is lower. A MaxDescriptors of less than descriptorsPerOpenRequest sets
+// no limit.
 func (c *Config) MaxOpenRequests() int {
 	limit := c.Settings.MaxOpen
-	if allowed := c.MaxDescriptors / descriptorsPerRequest; allowed > 0 && (limit == 0 || allowed < limit) {
+	if allowed := c.MaxDescriptors / descriptorsPerOpenRequest; allowed > 0 && (limit == 0 || allowed < limit) {
 		limit = allowed
 	}
 	return limit
 }
 
-// effectiveMaxDescriptors returns the lower of the configured limit and the system's limit on open file descriptors.
-// Without a limit, clients could use up all descriptors and leave none for discovery and endpoints.
+// effectiveMaxDescriptors returns the lower of the configured limit (0: none) and the system's limit on open file
+// descriptors (math.MaxInt32 or more: none). Without a limit, clients could use up all descriptors and leave none for
+// discovery and endpoints.
 func effectiveMaxDescriptors(configured int) (int, error) {
 	var system unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &system); err != nil {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -27,8 +27,8 @@
 // continueStatusPrefix starts an interim response, which net/http writes while it is still reading a request.
 var continueStatusPrefix = []byte("HTTP/1.1 100 ")
 
-// connection is an accepted client connection. It leaves phaseIdle when its first byte arrives, before net/http parses
-// a request. From then on the timeouts of the request apply instead of the idle timeout.
+// connection is an accepted client connection. It leaves phaseIdle when the first byte of a request arrives, before
+// net/http parses the request. From then on the timeouts of the request apply instead of the idle timeout.
 type connection struct {
 	net.Conn
 	table      *connectionTable
@@ -115,8 +115,9 @@
 }
 
 // Close closes the connection and releases its slot. Closing a socket with unread bytes resets the connection, and a
-// response that is still in transit is lost. In that case the connection is closed in the background, after the sending
-// side has been closed and incoming bytes have been discarded.
+// response that is still in transit is lost. If there are such bytes, or if they may arrive because an incomplete
+// request was rejected, the connection is closed in the background, after the sending side has been closed and incoming
+// bytes have been discarded.
 func (c *connection) Close() error {
 	previous := c.startClose()
 	if previous == phaseClosing {
