--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -99,7 +99,7 @@
 // removeWatch removes a watch that failed and reports whether a new watch must be started. A new one is needed if w was
 // pending, even if there is an active watch, since that may be of an earlier address. It is not needed if w was active
 // and another watch is pending, or if w was already replaced.
-func (s *source) removeWatch(w *watch) (needsRestart bool) {
+func (s *source) removeWatch(w *watch) (needsNewWatch bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch w {
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -7,8 +7,8 @@
 	"ashshunt/internal/endpoint"
 )
 
-// maxListingDelay is the upper bound of SlowStart.listingDelay. It is the usual age of an endpoint when its start is
-// first listed.
+// maxListingDelay is the upper bound of SlowStart.listingDelay. Endpoints are usually of about this age when their
+// start is first listed.
 const maxListingDelay = 2 * time.Second
 
 // SlowStart describes how the capacity of an endpoint grows after its start.
@@ -17,8 +17,8 @@
 	MinCapacity float64       // capacity at the start, as a fraction of the full capacity
 }
 
-// listingDelay returns the assumed time between the start of an endpoint and its first listing. It is added to the
-// minimum age of the endpoint (see startTimes.minAge), as far as the wall clock of this machine allows. If the endpoint
+// listingDelay returns the assumed time between the start of an endpoint and its first listing. estimateStart adds it
+// to the minimum age of the endpoint, but limits the sum to the age by the wall clock of this machine. If the endpoint
 // is listed sooner and that clock is ahead, the estimated age is too high by up to this delay. The delay is limited so
 // that this error at most doubles the estimated capacity.
 //
@@ -39,20 +39,20 @@
 // overestimated may get too much traffic before it is warm. The estimated age is therefore the minimum of two ages:
 //
 //   - the age by the wall clock of this machine;
-//   - the minimum age that follows from the newest listed start (see minAge), plus SlowStart.listingDelay.
+//   - the minimum age that follows from the reference start (see minAge), plus SlowStart.listingDelay.
 //
-// The second age is not used for a complete list that does not confirm at least half of its endpoints as warm (see
-// isMajorityUnconfirmed).
+// The second age is not used for a complete list in which most endpoints are cold by their minimum age (see
+// isMajorityColdByMinAge).
 //
-// All endpoints are assumed to share one clock. The listed start that is furthest ahead of the agent's clock determines
-// the lower bound of the time on that shared clock.
+// All endpoints are assumed to share one clock. The reference start is the listed start that was furthest ahead of the
+// agent's clock when it was listed. The shared clock shows at least that start plus the time since its listing.
 type startTimes struct {
 	clock     clock.Clock
 	slowStart SlowStart
-	starts    map[string]start // last listed start of each endpoint that has one, by endpoint ID
+	starts    map[string]start // latest listed start of each endpoint that has one, by endpoint ID
 
-	newestStartUnix time.Duration // newest listed start, as time since the Unix epoch
-	newestListedAt  time.Duration // time of its first listing, on the agent's clock
+	referenceStartUnix time.Duration // reference start, as time since the Unix epoch; 0 before the first listed start
+	referenceListedAt  time.Duration // time of the reference start's listing, on the agent's clock
 }
 
 // start is a start of an endpoint.
@@ -74,62 +74,63 @@
 func (s *startTimes) update(list endpoint.List) {
 	now := s.clock.Now()
 	for _, entry := range list.Entries {
-		s.updateNewest(entry.StartedAtUnix(), now)
+		s.updateReference(entry.StartedAtUnix(), now)
 	}
-	wallClockOnly := list.Complete && s.isMajorityUnconfirmed(list, now)
-	previous := s.starts
+	wallClockOnly := list.Complete && s.isMajorityColdByMinAge(list, now)
+	previousStarts := s.starts
 	if list.Complete {
 		s.starts = make(map[string]start, len(list.Entries))
-	} // otherwise previous is s.starts itself, since an entry of a delta replaces only its own start
+	} // otherwise previousStarts is s.starts itself, since an entry of a delta replaces only its own start
 	for _, entry := range list.Entries {
 		unix := entry.StartedAtUnix()
-		switch last, known := previous[entry.ID]; {
+		switch previous, known := previousStarts[entry.ID]; {
 		case entry.State == endpoint.StateDeleted:
 			delete(s.starts, entry.ID)
-		case known && last.unix == unix:
-			s.starts[entry.ID] = last
+		case known && previous.unix == unix:
+			s.starts[entry.ID] = previous
 		case unix > 0:
-			s.starts[entry.ID] = start{unix: unix, startedAt: s.estimateStart(unix, last, now, wallClockOnly)}
+			s.starts[entry.ID] = start{unix: unix, startedAt: s.estimateStart(unix, previous, now, wallClockOnly)}
 		}
 	}
 }
 
-// updateNewest records a listed start as the newest one if it raises the lower bound of the endpoints' clock. unix is
-// Unix time, now is on the agent's clock.
-func (s *startTimes) updateNewest(unix, now time.Duration) {
-	if unix-now > s.newestStartUnix-s.newestListedAt {
-		s.newestStartUnix, s.newestListedAt = unix, now
+// updateReference records a listed start as the reference start if it raises the lower bound of the endpoints' shared
+// clock. unix is Unix time, now is on the agent's clock.
+func (s *startTimes) updateReference(unix, now time.Duration) {
+	if unix-now > s.referenceStartUnix-s.referenceListedAt {
+		s.referenceStartUnix, s.referenceListedAt = unix, now
 	}
 }
 
-// minAge returns the minimum age of an endpoint that started at unix. The clock of the endpoints shows at least the
-// time of the newest listed start plus the time since its listing. unix is Unix time, now is on the agent's clock.
+// minAge returns the minimum age of an endpoint that started at unix, given the lower bound of the endpoints' shared
+// clock: the reference start plus the time since its listing. unix is Unix time, now is on the agent's clock.
 func (s *startTimes) minAge(unix, now time.Duration) time.Duration {
-	minEndpointClock := s.newestStartUnix + (now - s.newestListedAt)
+	minEndpointClock := s.referenceStartUnix + (now - s.referenceListedAt)
 	return minEndpointClock - unix
 }
 
-// isMajorityUnconfirmed reports whether the minimum age of most endpoints of a complete list is below the slow start
-// duration. This is so if they started at about the same time, even long ago. Treating them all as cold would shed most
-// requests for the duration of a slow start.
-func (s *startTimes) isMajorityUnconfirmed(list endpoint.List, now time.Duration) bool {
-	unconfirmed := 0
+// isMajorityColdByMinAge reports whether the minimum age of most endpoints of a complete list is below the slow start
+// duration. This is so if they started at about the same time, even long ago: when they are first listed, the newest of
+// their starts is the reference start, so their minimum ages are only the differences from it. Treating them all as
+// cold would shed most requests for the duration of a slow start.
+func (s *startTimes) isMajorityColdByMinAge(list endpoint.List, now time.Duration) bool {
+	cold := 0
 	for _, entry := range list.Entries {
 		unix := entry.StartedAtUnix()
 		if unix > 0 && s.minAge(unix, now) < s.slowStart.Duration {
-			unconfirmed++
+			cold++
 		}
 	}
-	return unconfirmed > len(list.Entries)-unconfirmed
+	return cold > len(list.Entries)-cold
 }
 
 // estimateStart returns the estimated start of an endpoint on the agent's clock: now minus its estimated age, but after
-// its last start and not in the future. unix is the listed start in Unix time, and last is the previous start of the
-// endpoint, if any. If wallClockOnly is set, the estimated age is the age by the wall clock of this machine, without
-// the minimum age.
-func (s *startTimes) estimateStart(unix time.Duration, last start, now time.Duration,
+// its previous start and not in the future. unix is the listed start in Unix time. previous is the previous start of
+// the endpoint, or the zero value if none was listed. If wallClockOnly is set, the estimated age is the age by the wall
+// clock of this machine, without the minimum age.
+func (s *startTimes) estimateStart(unix time.Duration, previous start, now time.Duration,
 	wallClockOnly bool) time.Duration {
-	if unix < last.unix { // a clock was set back, and the restart was at an unknown time after the last list
+	if unix < previous.unix { // a clock was set back, and the restart was at an unknown time after the previous list
 		return now
 	}
 	age := time.Duration(time.Now().UnixNano()) - unix
@@ -137,6 +138,6 @@
 		age = min(age, s.minAge(unix, now)+s.slowStart.listingDelay())
 	}
 	startedAt := now - max(0, age)
-	earliest := last.startedAt + 1 // 1 ns later, since the decision module distinguishes starts by their times
+	earliest := previous.startedAt + 1 // 1 ns later, since the decision module distinguishes starts by their times
 	return min(now, max(startedAt, earliest))
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -55,7 +55,7 @@
 		c.pool.release(conn)
 		return balancer.NotSent, unsentResponse(nil)
 	}
-	return c.exchange(ctx, conn, newForwardedRequest(request, bounds.Deadline), bounds.Deadline)
+	return c.sendOn(ctx, conn, newForwardedRequest(request, bounds.Deadline), bounds.Deadline)
 }
 
 // HealthCheck sends a health check to an endpoint. If load reports are enabled, it requests protocol.LoadReportPath
@@ -70,7 +70,7 @@
 	if c.loadReports != balancer.LoadReportsNone {
 		path = protocol.LoadReportPath
 	}
-	result, response := c.exchange(ctx, conn, newHealthCheckRequest(path, conn.netConn.RemoteAddr().String()), deadline)
+	result, response := c.sendOn(ctx, conn, newHealthCheckRequest(path, conn.netConn.RemoteAddr().String()), deadline)
 	if path == protocol.LoadReportPath {
 		response.copyLoadReportToHeader()
 	}
@@ -139,9 +139,9 @@
 	return balancer.ConnectFailed
 }
 
-// exchange sends a request on a connection, reads the response, returns the connection to the pool or closes it, and
+// sendOn sends a request on a connection, reads the response, returns the connection to the pool or closes it, and
 // returns the classified result.
-func (c *Client) exchange(ctx context.Context, conn *connection, request *http.Request,
+func (c *Client) sendOn(ctx context.Context, conn *connection, request *http.Request,
 	deadline time.Time) (balancer.Result, Response) {
 	encoded, err := encodeRequest(request)
 	if err != nil { // no byte was sent, so the request can't have run
@@ -150,7 +150,7 @@
 	}
 	// After its release another goroutine may use the connection, so the state that is needed later is copied here.
 	snapshot := connectionSnapshot{conn.endpointID(), conn.idleSince, conn.idleDuration()}
-	outcome := roundTrip(ctx, conn.netConn, encoded, deadline, c.stallTimeout)
+	outcome := exchange(ctx, conn.netConn, encoded, deadline, c.stallTimeout)
 	if outcome.reusable {
 		c.pool.release(conn)
 	} else {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -32,8 +32,8 @@
 	return encoded.Bytes(), nil
 }
 
-// roundTrip writes a request with a single call to Write and reads its response. Cancelling ctx interrupts both.
-func roundTrip(ctx context.Context, conn net.Conn, request []byte, deadline time.Time,
+// exchange writes a request with a single call to Write and reads its response. Cancelling ctx interrupts both.
+func exchange(ctx context.Context, conn net.Conn, request []byte, deadline time.Time,
 	stallTimeout time.Duration) exchangeOutcome {
 	// SetDeadline fails on a closed connection, where the write and the read fail as well.
 	_ = conn.SetDeadline(deadline)
