--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -6,7 +6,7 @@
 )
 
 // applyWatchedList applies a list that was received on a watch and reports whether it did. The list is not applied if
-// the watch was replaced, or if the watch has no version yet and the list is not complete.
+// the watch was replaced or stopped, or if the watch has no version to continue from and its first list is a delta.
 func (c *Client) applyWatchedList(w *watch, list endpoint.List) bool {
 	c.applyMu.Lock()
 	defer c.applyMu.Unlock()
@@ -26,11 +26,14 @@
 	}
 }
 
-// applyAndPublish applies a list to the table and publishes it as an event. An outdated list, such as a poll response
-// that is older than the last list of the watch, is replaced by an empty delta: it must not change the table, but each
-// poll must have an event, and each list of a watch shows the decision module that discovery responds. A list from a
-// watch of an earlier address, which stays active until the new watch becomes active, has an incomparable version and
-// is applied. The caller holds applyMu.
+// applyAndPublish applies a list to the table and publishes it as an event. The caller holds applyMu.
+//
+// An outdated list, such as a poll response that is older than the last list of the watch, is replaced by an empty
+// delta. It must not change the table, but a poll must have an event even so, and each list of a watch shows the
+// decision module that discovery responds.
+//
+// A list with an incomparable version comes from a watch of an earlier address, which stays active until the new watch
+// becomes active. It is applied.
 func (c *Client) applyAndPublish(list endpoint.List, freshness listFreshness) {
 	if freshness == outdated {
 		list = endpoint.List{}
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -6,10 +6,11 @@
 )
 
 const (
-	// minDelayBound is the minimum value of backoff.baseDelay and backoff.maxDelay. A delay itself may be as low as 0.
+	// minDelayBound is the minimum value of backoff.baseDelay and backoff.maxDelay, which are upper bounds of delays. A
+	// delay itself may be as low as 0.
 	minDelayBound = 10 * time.Millisecond
-	// drainGraceDivisor is the number of maximum delays that must fit into the drain grace, unless minDelayBound
-	// applies.
+	// drainGraceDivisor is the number of maximum delays that must fit into the drain grace, unless minDelayBound is
+	// higher than the resulting maximum.
 	drainGraceDivisor = 4
 	// maxDoublings is the maximum number of times that the upper bound of the delay is doubled. Delays grow because all
 	// agents of a data center may lose their watches at the same time. The growth is bounded, here and by
@@ -17,10 +18,10 @@
 	maxDoublings = 3
 )
 
-// backoff computes the delays before a watch is restarted: exponential backoff with full jitter. It is not safe for
-// concurrent use.
+// backoff computes the delays between a failed watch and the next one: exponential backoff with full jitter. It is not
+// safe for concurrent use.
 type backoff struct {
-	baseDelay time.Duration // upper bound of the first delay
+	baseDelay time.Duration // upper bound of the first delay; also limited by maxDelay
 	maxDelay  time.Duration // upper bound of all delays
 	failures  int           // number of failures since the last reset
 	random    *rand.Rand
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,9 +1,9 @@
 // Package discovery implements the client of the discovery service. It watches and polls the endpoint list, applies
 // each list to the endpoint table and passes it to the decision module as an event.
 //
-// A watch (watch.go) is a streaming response that contains a list for each change, either the complete list or a delta
-// with the changed entries. The client starts and replaces watches (subscription.go). A poll (poll.go) requests the
-// complete list once.
+// A watch (watch.go) is a streaming response that contains a list for each change, as one JSON value: either the
+// complete list or a delta with the changed entries. The client starts and replaces watches (subscription.go). A poll
+// (poll.go) requests the complete list once.
 package discovery
 
 import (
@@ -25,12 +25,12 @@
 	table              *endpoint.Table
 	onStaleConnections func(endpointID string)
 	onList             func(balancer.EndpointList)
-	converter          converter // protected by applyMu
-	cachedList         endpoint.List
-	autoWatch          bool
-	idleTimeout        time.Duration
-	callTimeout        time.Duration
-	listTimeout        *adaptiveListTimeout
+	converter          converter            // protected by applyMu
+	cachedList         endpoint.List        // complete list from the configuration
+	autoWatch          bool                 // see Options.AutoWatch
+	idleTimeout        time.Duration        // maximum time without data between two lists of a watch
+	callTimeout        time.Duration        // timeout of a poll, and of a watch until its response
+	listTimeout        *adaptiveListTimeout // timeout of each list of a watch
 	log                *slog.Logger
 	source             *source
 
--- a/internal/discovery/listtimeout.go
+++ b/internal/discovery/listtimeout.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// listTimeoutFactor is the factor by which the timeout grows when it expires, and the ratio of the timeout to the
-	// duration of the last list.
+	// listTimeoutFactor is the factor by which the timeout grows when it expires, and the timeout after a received list
+	// as a multiple of that list's duration.
 	listTimeoutFactor = 2
 	// maxListTimeoutFactor is the maximum timeout as a multiple of the minimum timeout.
 	maxListTimeoutFactor = 8
@@ -33,22 +33,22 @@
 	return l.timeout
 }
 
-// increase increases the timeout after it has expired.
+// increase multiplies the timeout by listTimeoutFactor after it has expired.
 func (l *adaptiveListTimeout) increase() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.set(listTimeoutFactor * l.timeout)
 }
 
-// update sets the timeout from the duration of a received list. A list that was received together with the previous one
-// has duration 0, which sets the timeout to its minimum.
+// update sets the timeout to listTimeoutFactor times the duration of a received list. A list that was received together
+// with the previous one has duration 0, which sets the timeout to its minimum.
 func (l *adaptiveListTimeout) update(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.set(listTimeoutFactor * duration)
 }
 
-// set sets the timeout, clamped to its bounds. The caller holds mu.
+// set sets the timeout, limited to 1 to maxListTimeoutFactor times minTimeout. The caller holds mu.
 func (l *adaptiveListTimeout) set(timeout time.Duration) {
 	l.timeout = min(max(l.minTimeout, timeout), maxListTimeoutFactor*l.minTimeout)
 }
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -9,8 +9,9 @@
 	"ashshunt/internal/telemetry"
 )
 
-// Poll requests the complete list once and passes the list or the failure to Options.OnList. It returns at once; the
-// request runs on a new goroutine, which ends within the call timeout.
+// Poll requests the complete list once and passes the list or the failure to Options.OnList. It does not block: the
+// request runs on a new goroutine and is limited by Options.CallTimeout. OnList is not called for a failure after ctx
+// was cancelled, nor for a list from an address that SetAddress has replaced during the poll.
 func (c *Client) Poll(ctx context.Context) {
 	go func() {
 		if err := c.poll(ctx); err != nil && ctx.Err() == nil {
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// unknownVersion is the version of an address from which no list was received yet. Another discovery service may number
-// its versions differently, so the version is not kept when the address changes.
+// unknownVersion is the version after a change of the address, until a list from the new address is received. The
+// previous version is not kept, since another discovery service may number its versions differently.
 const unknownVersion = -1
 
-// source holds the address of discovery, the version of the last list from it, and the watches.
+// source holds the address of discovery, the version of the last list from it, and the watches. The first version is
+// that of the cached list.
 //
 // A new watch is pending at first. A watch that continues from a version becomes active when discovery responds to it.
 // A watch without a version becomes active when its complete list is received. It then replaces the previous active
@@ -21,10 +22,10 @@
 type source struct {
 	mu      sync.Mutex // protects the fields below
 	addr    string     // address of discovery, as host:port
-	version int64      // version of the last list that was applied from addr, or unknownVersion
+	version int64      // version of the last list from addr, or of the cached list; unknownVersion if there is none
 	active  *watch     // watch whose lists are applied; nil if none
 	pending *watch     // watch that will replace the active one; nil if none
-	backoff backoff    // backoff between a failed watch and the next one
+	backoff backoff    // delay between a failed watch and the next one
 }
 
 // listFreshness is the result of comparing the version of a list with that of the last applied list.
@@ -68,7 +69,7 @@
 	return fresh
 }
 
-// addWatch returns a new pending watch and stops the previous pending watch, if any.
+// addWatch adds and returns a new pending watch, which stop cancels. It stops the previous pending watch, if any.
 func (s *source) addWatch(stop context.CancelFunc) *watch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,10 +80,12 @@
 	return s.pending
 }
 
-// activateWatch is called when discovery has responded to a watch, and when a list was received on it; complete is set
-// if that list is complete. It activates a pending watch that meets the condition for it (see source), stops the
-// previous active watch, and reports whether w is the active watch now. All of that is done under one lock, since
-// another watch may replace w at any time.
+// activateWatch activates w if it is pending and meets the condition for it (see source). It then stops the previous
+// active watch and resets the backoff. It reports whether w is the active watch now. All of that is done under one
+// lock, since another watch may replace w at any time.
+//
+// It is called when discovery has responded to w, and for each list that is received on w. complete is set if there is
+// a list and it is complete.
 func (s *source) activateWatch(w *watch, complete bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/source_test.go
+++ b/internal/discovery/source_test.go
@@ -21,7 +21,7 @@
 	s, addWatch := newTestSource()
 	first, firstStopped := addWatch()
 	if !s.activateWatch(first, false) {
-		t.Error("watch with a version after its response: got inactive, want active")
+		t.Error("watch that continues from a version, after discovery responded: got inactive, want active")
 	}
 	if changed, watched := s.setAddr("b:1"); !changed || !watched || s.isWatched() {
 		t.Errorf("after setAddr: got changed %v, watched before %v, watched now %v, want true, true, false",
@@ -35,12 +35,12 @@
 		t.Error("after the complete list of the second watch: want it active and the first watch stopped")
 	}
 	if !s.removeWatch(second) || s.isWatched() {
-		t.Error("after the removal of the only watch: want a restart needed and no watch")
+		t.Error("after the removal of the only watch: want a new watch needed, and no watch active or pending")
 	}
 }
 
-// If an active watch fails while another one is pending, no further watch must be started. A new pending watch replaces
-// and stops the previous pending one.
+// If an active watch fails while another one is pending, no further watch is needed. A new pending watch replaces and
+// stops the previous pending one.
 func TestSourcePendingWatch(t *testing.T) {
 	s, addWatch := newTestSource()
 	active, _ := addWatch()
@@ -48,7 +48,7 @@
 	pending, pendingStopped := addWatch()
 	latest, latestStopped := addWatch()
 	if !*pendingStopped || s.removeWatch(pending) || s.removeWatch(active) || !s.removeWatch(latest) {
-		t.Error("want the first pending watch stopped, and a restart needed only after the latest watch failed")
+		t.Error("want the first pending watch stopped, and a new watch needed only after the latest one failed")
 	}
 	if *latestStopped {
 		t.Error("latest watch: got stopped, want running")
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -34,7 +34,7 @@
 // Unsubscribe stops all watches.
 func (c *Client) Unsubscribe() { c.source.stopWatches() }
 
-// restartWatch starts a watch after a backoff, unless another watch was started in the meantime.
+// restartWatch starts a watch after a backoff, unless the current address is watched again by then.
 func (c *Client) restartWatch(ctx context.Context) {
 	select {
 	case <-time.After(c.source.nextDelay()):
--- a/internal/discovery/watchreader.go
+++ b/internal/discovery/watchreader.go
@@ -7,8 +7,8 @@
 )
 
 // watchReader reads the response body of a watch and limits the size and the duration of each list. Between two lists,
-// each received byte resets the idle timer. Within a list, the idle timer is stopped and the list timer runs, which
-// received bytes do not reset: a list whose bytes trickle in forever must time out.
+// each received byte resets the idle timer. Within a list, the idle timer is stopped and the list timer runs. Received
+// bytes do not reset the list timer, so that a list whose bytes trickle in forever times out.
 type watchReader struct {
 	body        io.Reader
 	idleTimer   *time.Timer // ends the watch when no data is received between lists; stopped within a list
@@ -24,24 +24,26 @@
 // onListTimeout is called when a list exceeds its timeout.
 func newWatchReader(body io.Reader, idleTimer *time.Timer, idleTimeout time.Duration,
 	onListTimeout func()) *watchReader {
-	listTimer := time.AfterFunc(idleTimeout, onListTimeout)
-	listTimer.Stop() // started by the first byte of a list
+	listTimer := time.AfterFunc(idleTimeout, onListTimeout) // the duration is arbitrary: the timer is stopped at once
+	listTimer.Stop()                                        // the first byte of a list starts it with listTimeout
 	return &watchReader{body: body, idleTimer: idleTimer, idleTimeout: idleTimeout, listTimer: listTimer}
 }
 
 // stop stops the list timer.
 func (r *watchReader) stop() { r.listTimer.Stop() }
 
-// prepareForList sets the size limit and the timeout of the next list.
+// prepareForList must be called before each list is read. It stops the list timer, resets the idle timer, and sets the
+// size limit and the timeout of the list.
 func (r *watchReader) prepareForList(timeout time.Duration) {
 	r.listTimer.Stop()
 	r.idleTimer.Reset(r.idleTimeout)
 	r.bytesRemaining, r.listTimeout, r.listStartedAt = maxListSize, timeout, time.Time{}
 }
 
-// listDuration returns the time since the first byte of the list that was read last.
+// listDuration returns the time since the first bytes of the current list were read. It is 0 if the decoder had already
+// read the whole list together with the previous one.
 func (r *watchReader) listDuration() time.Duration {
-	if r.listStartedAt.IsZero() { // the list was buffered together with the previous one
+	if r.listStartedAt.IsZero() {
 		return 0
 	}
 	return time.Since(r.listStartedAt)
@@ -60,8 +62,8 @@
 	return n, err
 }
 
-// resetTimers resets the timers after bytes were received between two lists. White space resets the idle timer; any
-// other byte is the start of a list.
+// resetTimers updates the timers after bytes were received between two lists. White space, such as the empty lines that
+// discovery sends, resets the idle timer. Any other byte is the start of a list.
 func (r *watchReader) resetTimers(received []byte) {
 	if len(bytes.TrimSpace(received)) == 0 {
 		r.idleTimer.Reset(r.idleTimeout)
--- a/internal/endpoint/table.go
+++ b/internal/endpoint/table.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Table holds the entries of the endpoint list. Package discovery applies lists to it, and each attempt consults it
-// right before it sends its request, so that a change takes effect at once and not only when the decision module has
-// handled it. Table is safe for concurrent use.
+// Table holds the entries of the endpoint list. Package discovery applies lists to it. Each attempt consults it right
+// before it sends its request, so that a change takes effect before the decision module has handled it. Table is safe
+// for concurrent use.
 type Table struct {
 	mu      sync.RWMutex     // protects entries; held only for map accesses
 	entries map[string]Entry // entries by endpoint ID
@@ -14,7 +14,8 @@
 func NewTable() *Table { return &Table{entries: map[string]Entry{}} }
 
 // Apply updates the table from a list. It returns the IDs of the endpoints whose connections are stale and must not be
-// used for new requests, since the endpoint is draining, was removed, was restarted, or has a new address.
+// used for new requests, because the endpoint is draining, was removed, was restarted, or has a new address. A draining
+// endpoint is returned each time it is listed.
 func (t *Table) Apply(list List) (stale []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -139,8 +139,8 @@
 	return balancer.ConnectFailed
 }
 
-// sendOn sends a request on a connection, reads the response, returns the connection to the pool or closes it, and
-// returns the classified result.
+// sendOn sends a request on a connection and reads the response. It returns the connection to the pool or closes it,
+// and returns the result of the exchange and the response.
 func (c *Client) sendOn(ctx context.Context, conn *connection, request *http.Request,
 	deadline time.Time) (balancer.Result, Response) {
 	encoded, err := encodeRequest(request)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// idleTimeoutFactor is the pool's idle timeout as a fraction of that of the endpoints. It is below 1 because the
-	// endpoint could close a connection just as a request is sent on it.
+	// idleTimeoutFactor is the pool's idle timeout as a fraction of that of the endpoints. It is below 1 so that the
+	// pool closes an idle connection before the endpoint does, which could be just as a request is sent on it.
 	idleTimeoutFactor = 0.75
 	// defaultIdleTimeout is the pool's idle timeout if endpoints never close idle connections.
 	defaultIdleTimeout = time.Minute
@@ -32,7 +32,7 @@
 type Options struct {
 	Table               *endpoint.Table           // consulted right before each attempt sends its request
 	LoadReports         balancer.LoadReportSource // if not LoadReportsNone, health checks request load reports
-	ConnectTimeout      time.Duration             // timeout of a dial
+	ConnectTimeout      time.Duration             // timeout of a dial; base of the health check and stall timeouts
 	EndpointIdleTimeout time.Duration             // idle timeout of the endpoints; 0 means that they have none
 	MaxConnections      int                       // maximum number of connections to all endpoints; 0 means no limit
 	Log                 *slog.Logger
@@ -40,13 +40,13 @@
 	DialControl func(network, address string, conn syscall.RawConn) error
 }
 
-// Client runs attempts and health checks. Each of them has exactly one result. Client is safe for concurrent use.
+// Client runs attempts and health checks. Each call returns exactly one result. Client is safe for concurrent use.
 type Client struct {
 	pool               *pool
 	table              *endpoint.Table
 	loadReports        balancer.LoadReportSource
-	healthCheckTimeout time.Duration
-	stallTimeout       time.Duration // maximum pause within a response; a response that pauses for longer is malformed
+	healthCheckTimeout time.Duration // timeout of a health check, including its dial
+	stallTimeout       time.Duration // maximum pause within a response; a response with a longer pause is malformed
 	log                *slog.Logger
 }
 
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -7,10 +7,9 @@
 	"ashshunt/internal/endpoint"
 )
 
-// connection is a connection to an endpoint. Between takeIdle or dial and release or close, it is used by one goroutine
-// alone.
+// connection is a connection to an endpoint. From takeIdle or dial until release or close, only one goroutine uses it.
 type connection struct {
-	netConn   net.Conn // closed only by the pool, which counts connections
+	netConn   net.Conn // closed only by the pool, which counts the open connections
 	group     *endpointGroup
 	entry     endpoint.Entry // table entry of the endpoint at the time of the dial
 	idleSince time.Time      // time of the last release, zero before the first one; written under pool.mu
@@ -38,7 +37,7 @@
 	draining bool
 }
 
-// popNewest removes and returns the connection that became idle last. There must be one.
+// popNewest removes and returns the idle connection that became idle last. There must be an idle connection.
 func (g *endpointGroup) popNewest() *connection {
 	last := len(g.idle) - 1
 	conn := g.idle[last]
@@ -46,7 +45,8 @@
 	return conn
 }
 
-// popOldest removes and returns the connection that has been idle for the longest time. There must be one.
+// popOldest removes and returns the connection that has been idle for the longest time. There must be an idle
+// connection.
 func (g *endpointGroup) popOldest() *connection {
 	conn := g.idle[0]
 	g.idle = g.idle[1:]
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -16,14 +16,14 @@
 // pastDeadline is a connection deadline in the past. Setting it interrupts blocked reads and writes.
 var pastDeadline = time.Unix(1, 0)
 
-// exchangeOutcome is the outcome of one request on one connection.
+// exchangeOutcome is the outcome of an exchange, that is, of one request and its response on a connection.
 type exchangeOutcome struct {
 	response       Response
 	requestWritten bool // the request was written completely
 	reusable       bool // the connection may be used for another request
 }
 
-// encodeRequest returns the encoded bytes of a request.
+// encodeRequest returns the bytes of a request as exchange writes them.
 func encodeRequest(request *http.Request) ([]byte, error) {
 	var encoded bytes.Buffer
 	if err := request.Write(&encoded); err != nil {
@@ -32,7 +32,8 @@
 	return encoded.Bytes(), nil
 }
 
-// exchange writes a request with a single call to Write and reads its response. Cancelling ctx interrupts both.
+// exchange writes a request with a single call to Write and reads its response. deadline applies to both. Cancelling
+// ctx interrupts both. stallTimeout is the maximum time of a single read after the response has started.
 func exchange(ctx context.Context, conn net.Conn, request []byte, deadline time.Time,
 	stallTimeout time.Duration) exchangeOutcome {
 	// SetDeadline fails on a closed connection, where the write and the read fail as well.
@@ -52,7 +53,8 @@
 	return exchangeOutcome{
 		response:       response,
 		requestWritten: true,
-		reusable:       keepAlive && !hasUnreadBytes && stopInterrupt(),
+		// stopInterrupt returns false if ctx was cancelled. pastDeadline may then be set on the connection at any time.
+		reusable: keepAlive && !hasUnreadBytes && stopInterrupt(),
 	}
 }
 
--- a/internal/upstream/framing.go
+++ b/internal/upstream/framing.go
@@ -22,7 +22,7 @@
 	framedByClose                     // the body ends when the connection is closed
 )
 
-// Number format of a Content-Length. 31 bits fit into an int on all platforms.
+// Parameters for parsing a Content-Length. A number of 31 bits fits into an int on all platforms.
 const (
 	contentLengthBase = 10
 	contentLengthBits = 31
@@ -34,9 +34,13 @@
 	length int // length of the body in bytes; used only with framedByLength
 }
 
-// parseFraming parses the framing of the body from the header. It returns an error for more than one Content-Length or
-// Transfer-Encoding header in total, which would leave the end of the body ambiguous. It also returns an error for a
-// Content-Length above the limit, so that such a body is not read.
+// parseFraming returns the framing of the body. It returns an error in these cases:
+//
+//   - The status is below 200. Of the 1xx responses, only 101 is not skipped before (see isInformational).
+//   - There is more than one Content-Length or Transfer-Encoding header in total, which leaves the end of the body
+//     ambiguous.
+//   - The Transfer-Encoding is not chunked.
+//   - The Content-Length is invalid or above protocol.MaxBodySize. Such a body is not read.
 func (h responseHead) parseFraming() (framing, error) {
 	lengths, encodings := h.header["Content-Length"], h.header["Transfer-Encoding"]
 	switch {
@@ -82,13 +86,13 @@
 	if err != nil {
 		return nil, err
 	}
-	// The last chunk is followed by a trailer section, which is usually empty.
+	// The last chunk is followed by a trailer section, which is usually empty. The chunked reader leaves it unread.
 	_, err = textproto.NewReader(in).ReadMIMEHeader()
 	return body, err
 }
 
-// readAtMost reads in to its end and returns an error if that is more than limit bytes. A connection reset is an error,
-// not an end.
+// readAtMost reads in to its end and returns an error if that is more than limit bytes. It also returns an error if the
+// connection is reset: unlike a close, a reset does not mark the end of a body.
 func readAtMost(in io.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(in, limit+1))
 	if err != nil {
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -30,12 +30,13 @@
 	stallTimeout time.Duration   // maximum time of one read after the response has started
 
 	started        bool  // at least one byte of the current response was received
-	bytesRemaining int   // number of bytes that may still be read for the current head or body
+	bytesRemaining int   // number of bytes that may still be read from conn for the current head or body
 	connErr        error // last error of the connection
 }
 
-// readResponse reads the final response and skips the informational responses before it. A partial response is never
-// returned. keepAlive reports whether another response may follow on the connection.
+// readResponse reads the final response and skips the informational responses before it. It never returns a partial
+// response: on failure, the response has only an error. keepAlive reports whether the connection may be used for
+// another request.
 func (r *responseReader) readResponse() (response Response, keepAlive bool) {
 	for range maxInformationalResponses + 1 {
 		r.bytesRemaining, r.started = maxHeadSize, r.buffer.Buffered() > 0
@@ -93,9 +94,9 @@
 	}
 }
 
-// failedResponse returns the response of a failed read. Its error is that of the connection if there is one, and
-// ErrMalformedResponse otherwise. A response that starts and then stalls is malformed too, although its read failed
-// with a timeout: the endpoint keeps the connection open and sends no more.
+// failedResponse returns the response of a failed read. Its error is that of the connection if there is one. Otherwise
+// it wraps ErrMalformedResponse and err. A response that starts and then stalls is malformed too, although its read
+// failed with a timeout: the endpoint keeps the connection open and sends no more.
 func (r *responseReader) failedResponse(err error) Response {
 	if r.connErr != nil && !r.isStalled() {
 		return Response{Err: r.connErr}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -28,7 +28,8 @@
 // isFinished reports whether no attempt of the request may start any more.
 func (r *Request) isFinished() bool { return r.Lifetime.Err() != nil || r.ClientGone() }
 
-// newForwardedRequest returns the HTTP request of an attempt. Its timeout header is the time until the deadline.
+// newForwardedRequest returns the HTTP request of an attempt. Its timeout header is the time until the deadline in
+// milliseconds, at least 1.
 func newForwardedRequest(request *Request, deadline time.Time) *http.Request {
 	timeoutMs := max(1, time.Until(deadline).Milliseconds())
 	httpRequest := newHTTPRequest(request.Method, request.Target, request.Host)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -35,7 +35,8 @@
 	return loadreport.Parse(r.Header.Get(protocol.HeaderLoadReport))
 }
 
-// copyLoadReportToHeader copies a load report from the body of a response to its header, where other responses have it.
+// copyLoadReportToHeader copies a load report from the body of a response to its header, where LoadReport reads it. A
+// report that is already in the header is kept.
 func (r Response) copyLoadReportToHeader() {
 	if r.Err == nil && r.Header.Get(protocol.HeaderLoadReport) == "" {
 		r.Header.Set(protocol.HeaderLoadReport, string(r.Body))
@@ -43,7 +44,8 @@
 }
 
 const (
-	// protocolPrefix is the start of each response. It is followed by the minor version, which may be any single byte.
+	// protocolPrefix is the start of each response. It is followed by the minor version, a single byte that is not
+	// validated.
 	protocolPrefix = "HTTP/1."
 	// statusCodeDigits is the number of digits of a status code.
 	statusCodeDigits = 3
@@ -55,7 +57,7 @@
 type responseHead struct {
 	status    int
 	header    textproto.MIMEHeader
-	keepAlive bool // the version and the header allow another response on the connection
+	keepAlive bool // the version and the header allow another request on the connection
 }
 
 // readHead reads the status line and the header.
@@ -108,7 +110,7 @@
 }
 
 // isInformational reports whether the response is a 1xx response that is followed by the final response on the same
-// connection. This excludes 101 Switching Protocols.
+// connection. This excludes 101 Switching Protocols, after which the connection no longer carries HTTP.
 func (h responseHead) isInformational() bool {
 	return h.status < http.StatusOK && h.status != http.StatusSwitchingProtocols
 }
