--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -327,8 +327,8 @@
 	return sum
 }
 
-// auditOverdue records a violation for each request without a final answer after its deadline.
-func (a *auditor) auditOverdue() {
+// auditDeadlines records a violation for each request without a final answer after its deadline.
+func (a *auditor) auditDeadlines() {
 	for id, r := range a.requests {
 		if !r.isFinished && !r.isStreaming && a.now > r.deadline+a.settings.ResponseGrace {
 			a.recordViolation("%s got no final answer by its deadline", id)
@@ -354,7 +354,7 @@
 			a.handleAction(p)
 		}
 	}
-	a.auditOverdue()
+	a.auditDeadlines()
 	return a
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -138,7 +138,7 @@
 	if event.Key != "" {
 		r.keyHash = xxhash.Sum64String(event.Key)
 	}
-	if b.recordArrival(r, event) {
+	if b.updateClassStats(r, event) {
 		elapsed := class.Deadline - event.Timeout // time that the client's earlier tries took
 		r.isClientRetry = true
 		r.objectiveAt -= max(0, elapsed)
@@ -151,9 +151,9 @@
 	b.queue.add(r)
 }
 
-// recordArrival updates the statistics of the request's class. It reports whether the request's timeout
+// updateClassStats updates the statistics of the request's class. It reports whether the request's timeout
 // identifies it as a client's retry.
-func (b *Balancer) recordArrival(r *request, event Request) (isRetry bool) {
+func (b *Balancer) updateClassStats(r *request, event Request) (isRetry bool) {
 	isRetry = r.class.updateTimeout(event.Timeout, b.settings.Tick, event.ClientRetry)
 	r.class.updateWork(r.workNs)
 	b.classes.recordArrival(r.class)
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -30,8 +30,8 @@
 	return ep
 }
 
-// isUnused reports whether the endpoint was removed from the list and has no attempt in flight.
-func (ep *endpoint) isUnused() bool { return ep.State == Removed && len(ep.inFlight) == 0 }
+// canBeDeleted reports whether the endpoint was removed from the list and has no attempt in flight.
+func (ep *endpoint) canBeDeleted() bool { return ep.State == Removed && len(ep.inFlight) == 0 }
 
 // markRemoved records that the endpoint is no longer listed.
 func (ep *endpoint) markRemoved() { ep.State = Removed }
@@ -47,8 +47,8 @@
 // demote moves the endpoint back in this agent's order. The mean rank of new endpoints is 1.
 func (ep *endpoint) demote(increase float64) { ep.rank += increase }
 
-// size returns the listed weight, or 1 if the list has none.
-func (ep *endpoint) size() float64 { return cmp.Or(max(0, ep.Weight), 1) }
+// listedWeight returns the listed weight, or 1 if the list has none.
+func (ep *endpoint) listedWeight() float64 { return cmp.Or(max(0, ep.Weight), 1) }
 
 // isConnected reports whether the agent probably has a connection to the endpoint, in use or idle.
 func (ep *endpoint) isConnected(now, idleClose time.Duration) bool {
@@ -75,30 +75,30 @@
 
 // isUsable reports whether the capacity of the endpoint counts as part of the fleet's.
 func (ep *endpoint) isUsable(now time.Duration) bool {
-	isHealthy := !ep.ejection.isUnreachable && !ep.ejection.isEjected(now) && !ep.isUnresponsive(now)
-	return ep.State == Serving && isHealthy
+	isAvailable := !ep.ejection.isUnreachable && !ep.ejection.isEjected(now) && !ep.isUnresponsive(now)
+	return ep.State == Serving && isAvailable
 }
 
 // connectionState is the state of the agent's connections to an endpoint, as inferred from attempts.
 type connectionState struct {
-	isConnected        bool // the latest attempt left a connection that can be reused
-	lastUsedAt         time.Duration
-	lastAnsweredSentAt time.Duration // send time of the latest attempt that was answered
+	hasReusableConnection bool // the latest attempt left a connection that can be reused
+	lastUsedAt            time.Duration
+	lastAnsweredSentAt    time.Duration // send time of the latest attempt that was answered
 }
 
 // mayBeOpen reports whether an idle connection is probably still open. Connections close after being idle for
 // idleClose; 0: never.
 func (c *connectionState) mayBeOpen(now, idleClose time.Duration) bool {
-	return c.isConnected && (idleClose == 0 || now-c.lastUsedAt < idleClose)
+	return c.hasReusableConnection && (idleClose == 0 || now-c.lastUsedAt < idleClose)
 }
 
 // markDisconnected records that the connections may be stuck, or were closed when the endpoint's process
 // ended.
-func (c *connectionState) markDisconnected() { c.isConnected = false }
+func (c *connectionState) markDisconnected() { c.hasReusableConnection = false }
 
 // recordResult records the end of an attempt. isAnswered is true for a response and for an error.
 func (c *connectionState) recordResult(now time.Duration, a *attempt, isAnswered bool) {
-	c.isConnected = isAnswered
+	c.hasReusableConnection = isAnswered
 	c.lastUsedAt = now
 	if isAnswered {
 		c.lastAnsweredSentAt = max(c.lastAnsweredSentAt, a.sentAt)
@@ -136,9 +136,9 @@
 	s.latencyRatio += weight * (min(sample, maxLatencyRatioSample) - s.latencyRatio)
 }
 
-// recordNoResponse records an attempt without a response: the following samples get a higher weight, and a
+// recordUnanswered records an attempt without a response: the following samples get a higher weight, and a
 // latency ratio below 1 is discarded.
-func (s *responseStats) recordNoResponse() {
+func (s *responseStats) recordUnanswered() {
 	s.latencyRatio, s.sampleCount = max(s.latencyRatio, 1), 0
 }
 
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// removeIfUnused removes an endpoint that is unused. Such an endpoint is observed.
-func (s *endpointSet) removeIfUnused(ep *endpoint) {
-	if !ep.isUnused() {
+// deleteIfPossible removes an endpoint that is unused. Such an endpoint is observed.
+func (s *endpointSet) deleteIfPossible(ep *endpoint) {
+	if !ep.canBeDeleted() {
 		return
 	}
 	s.all = deleteEndpoint(s.all, ep)
@@ -69,12 +69,12 @@
 		}
 		s.markObserved(ep)
 		ep.markRemoved()
-		if ep.isUnused() {
+		if ep.canBeDeleted() {
 			delete(s.byID, ep.ID)
 		}
 	}
-	s.all = slices.DeleteFunc(s.all, (*endpoint).isUnused)
-	s.observed = slices.DeleteFunc(s.observed, (*endpoint).isUnused)
+	s.all = slices.DeleteFunc(s.all, (*endpoint).canBeDeleted)
+	s.observed = slices.DeleteFunc(s.observed, (*endpoint).canBeDeleted)
 }
 
 // ejectedCount returns the number of serving endpoints that are ejected.
@@ -131,5 +131,5 @@
 		ep.ejection.resetOnRestart()
 	}
 	b.endpoints.update(ep, entry)
-	b.endpoints.removeIfUnused(ep)
+	b.endpoints.deleteIfPossible(ep)
 }
--- a/balancer/fleetsim_test.go
+++ b/balancer/fleetsim_test.go
@@ -21,7 +21,7 @@
 	restartAgents             bool          // all agents restart at the change and lose their state
 	load                      float64       // share of the endpoints' capacity before the change
 	meanWork                  time.Duration // mean time that a request takes on one core
-	changeAt, duration        time.Duration
+	changeAfter, duration     time.Duration
 	settings                  balancer.Settings
 
 	rng       *rand.Rand
@@ -107,7 +107,7 @@
 	f.rng = rand.New(rand.NewPCG(seed, 2))
 	f.settings.Agents = f.agentCount
 	f.now = time.Hour
-	change, end := f.now+f.changeAt, f.now+f.duration
+	change, end := f.now+f.changeAfter, f.now+f.duration
 	f.addEndpoints()
 	f.scheduleRequests(f.addAgents(t), change, end)
 	changed := false
@@ -234,8 +234,8 @@
 			outcome := balancer.Outcome{Request: action.Request, Attempt: agent.attempts[action.Request],
 				Endpoint: action.Endpoint, Result: balancer.Served, Latency: f.serve(action.Endpoint)}
 			agent.attempts[action.Request]++
-			if left := 1900 * ms; outcome.Latency > left {
-				outcome.Result, outcome.Latency = balancer.TimedOut, left
+			if timeout := 1900 * ms; outcome.Latency > timeout {
+				outcome.Result, outcome.Latency = balancer.TimedOut, timeout
 			}
 			f.schedule(f.now+outcome.Latency, agent, outcome)
 		}
--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -199,7 +199,7 @@
 		for i := range 80 {
 			ep := newEndpoint(Endpoint{Zone: rng.IntN(3), Weight: float64(rng.IntN(3))}, float64(rng.IntN(5)), 1)
 			unobserved.add(ep)
-			if weightedRanks[ep] = ep.rank / ep.size() * zoneFactors[ep.Zone]; i%3 == 2 {
+			if weightedRanks[ep] = ep.rank / ep.listedWeight() * zoneFactors[ep.Zone]; i%3 == 2 {
 				unobserved.remove(previous)
 				delete(weightedRanks, previous)
 			}
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -20,7 +20,7 @@
 	if event.Result == Served && !r.isFinished() {
 		b.handleServed(r)
 	}
-	b.endpoints.removeIfUnused(a.endpoint)
+	b.endpoints.deleteIfPossible(a.endpoint)
 	if event.Done || event.Result == Served || r.isFinished() {
 		b.finishRequest(r)
 		return
@@ -83,7 +83,7 @@
 	a.endpoint.connection.recordResult(b.now, a, isAnswered)
 	if !isAnswered {
 		a.endpoint.demote(b.rng.ExpFloat64())
-		a.endpoint.responses.recordNoResponse()
+		a.endpoint.responses.recordUnanswered()
 	}
 }
 
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -218,7 +218,7 @@
 	// The ratio is cubed to move load away from slow endpoints. A uniform choice would load them as much as
 	// the others.
 	penalty := latencyRatio * latencyRatio * latencyRatio
-	c.weight = ep.size() * c.warmUpFraction / penalty
+	c.weight = ep.listedWeight() * c.warmUpFraction / penalty
 	if ep.Zone != p.settings.Zone {
 		c.weight /= info.crossZoneDivisor
 	}
@@ -303,8 +303,8 @@
 func (p *picker) drawFallback(info *pickInfo, candidates *candidateSet) *endpoint {
 	unobserved := &p.endpoints.unobserved
 	observedWeight := candidates.fallbackWeight()
-	ownZoneWeight := float64(len(unobserved.ownZone)) * unobserved.maxSize
-	otherZonesWeight := float64(len(unobserved.otherZones)) * unobserved.maxSize / info.crossZoneDivisor
+	ownZoneWeight := float64(len(unobserved.ownZone)) * unobserved.maxWeight
+	otherZonesWeight := float64(len(unobserved.otherZones)) * unobserved.maxWeight / info.crossZoneDivisor
 	for range maxFallbackDraws {
 		target := p.rng.Float64() * (observedWeight + ownZoneWeight + otherZonesWeight)
 		if target < observedWeight {
@@ -329,7 +329,7 @@
 		return nil
 	}
 	ep := ranked[p.rng.IntN(len(ranked))]
-	isAccepted := p.rng.Float64()*p.endpoints.unobserved.maxSize < ep.size()
+	isAccepted := p.rng.Float64()*p.endpoints.unobserved.maxWeight < ep.listedWeight()
 	if !isAccepted || !p.rules.allows(info.request, ep, info.now) {
 		return nil
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -43,8 +43,8 @@
 	}}
 }
 
-// voidTimers replaces the token of a fired timer by one that the balancer does not know.
-func voidTimers(event balancer.Event) balancer.Event {
+// invalidateTimerToken replaces the token of a fired timer by one that the balancer does not know.
+func invalidateTimerToken(event balancer.Event) balancer.Event {
 	if _, ok := event.(balancer.TimerFired); ok {
 		return balancer.TimerFired{Token: -1}
 	}
@@ -140,7 +140,7 @@
 				Attempt:  len(d.auditor.requests[action.Request].attempts) - 1})
 		}
 	}
-	d.auditor.auditOverdue()
+	d.auditor.auditDeadlines()
 }
 
 // mutateEvents applies the mutations to the events that are passed to the balancer.
@@ -277,7 +277,7 @@
 		mutation mutation
 		want     string
 	}{
-		{"no request lost", mutation{event: voidTimers}, "got no final answer by its deadline"},
+		{"no request lost", mutation{event: invalidateTimerToken}, "got no final answer by its deadline"},
 		{"no effect twice, not idempotent",
 			mutateClasses(func(c *balancer.Class) { c.Idempotency = balancer.Idempotent }),
 			"is not idempotent"},
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -48,8 +48,10 @@
 	overloadWindow   time.Duration // time over which that load counts; 0: endpoints cannot be overloaded
 	agents           float64
 
-	warmWorkNs float64 // decayed sum of the expected latencies of served attempts, per warm endpoint
-	decayedAt  time.Duration
+	// workPerWarmEndpointNs is the decayed work that warm endpoints have served for this agent, divided by
+	// their number. The work of an attempt is its expected latency.
+	workPerWarmEndpointNs float64
+	decayedAt             time.Duration // time up to which workPerWarmEndpointNs is decayed
 }
 
 func newSlowStart(settings *Settings, rng *rand.Rand) slowStart {
@@ -63,9 +65,11 @@
 	}
 }
 
-// start starts the warm-up of an endpoint whose process started at the time at.
-func (s *slowStart) start(ep *endpoint, at, now time.Duration, meanLatencyNs float64, fleet fleetSummary) {
-	ep.warmUp.startedAt, ep.warmUp.isActive = at, true
+// start starts the warm-up of an endpoint whose process started at startedAt.
+func (s *slowStart) start(
+	ep *endpoint, startedAt, now time.Duration, meanLatencyNs float64, fleet fleetSummary,
+) {
+	ep.warmUp.startedAt, ep.warmUp.isActive = startedAt, true
 	s.scheduleNextPermit(ep, now, meanLatencyNs, fleet)
 }
 
@@ -110,7 +114,7 @@
 // permitCarryOverFactor, if that is less).
 func (s *slowStart) scheduleNextPermit(ep *endpoint, now time.Duration, workNs float64, fleet fleetSummary) {
 	// Work per time that this agent sends to a warm endpoint: its mean number of attempts in flight there.
-	utilization := max(s.decayWarmWork(now, fleet)/s.positiveWindowNs(), minUtilization)
+	utilization := max(s.decayWorkPerWarmEndpoint(now, fleet)/s.positiveWindowNs(), minUtilization)
 	if fleet.warm == 0 { // no traffic to warm endpoints determines the rate
 		utilization = max(utilization, minLimitPerEndpoint*coldFleetLimitShare/s.agents)
 	}
@@ -124,28 +128,28 @@
 // recordServed records the work of an attempt that a warm endpoint has served for this agent. The work is
 // spread over all warm endpoints.
 func (s *slowStart) recordServed(now time.Duration, workNs float64, fleet fleetSummary) {
-	s.warmWorkNs = s.decayWarmWork(now, fleet) + workNs/float64(max(fleet.warm, 1))
+	s.workPerWarmEndpointNs = s.decayWorkPerWarmEndpoint(now, fleet) + workNs/float64(max(fleet.warm, 1))
 }
 
-// decayWarmWork applies the exponential decay to warmWorkNs up to now and returns it. While no endpoint is
-// warm, there is no decay.
-func (s *slowStart) decayWarmWork(now time.Duration, fleet fleetSummary) float64 {
+// decayWorkPerWarmEndpoint applies the exponential decay to workPerWarmEndpointNs up to now and returns it.
+// While no endpoint is warm, there is no decay.
+func (s *slowStart) decayWorkPerWarmEndpoint(now time.Duration, fleet fleetSummary) float64 {
 	if fleet.warm > 0 {
-		s.warmWorkNs *= math.Exp(-float64(now-s.decayedAt) / s.positiveWindowNs())
+		s.workPerWarmEndpointNs *= math.Exp(-float64(now-s.decayedAt) / s.positiveWindowNs())
 	}
 	s.decayedAt = now
-	return s.warmWorkNs
+	return s.workPerWarmEndpointNs
 }
 
 // positiveWindowNs returns the overload window plus 1 ns, which makes it usable as a divisor if the window is
 // 0.
 func (s *slowStart) positiveWindowNs() float64 { return float64(s.overloadWindow + 1) }
 
-// handleEndpointStarted handles the start of an endpoint's process at the time at: the new process has no
+// handleEndpointStarted handles the start of an endpoint's process at startedAt: the new process has no
 // connections and no statistics, and it starts to warm up.
-func (b *Balancer) handleEndpointStarted(ep *endpoint, at time.Duration) {
+func (b *Balancer) handleEndpointStarted(ep *endpoint, startedAt time.Duration) {
 	b.endpoints.markObserved(ep)
 	ep.connection.markDisconnected()
 	ep.responses.resetOnRestart()
-	b.slowStart.start(ep, at, b.now, b.classes.reference().meanLatencyNs, b.fleet)
+	b.slowStart.start(ep, startedAt, b.now, b.classes.reference().meanLatencyNs, b.fleet)
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -254,8 +254,8 @@
 // newFleetSimulation returns the simulation of TestSlowStartAcrossAgents without the change of the endpoint
 // list.
 func newFleetSimulation(agents int) fleetSimulation {
-	f := fleetSimulation{agentCount: agents, endpointCount: 30, load: 0.7, meanWork: 60 * ms, changeAt: 4 * time.Second,
-		duration: 10 * time.Second}
+	f := fleetSimulation{agentCount: agents, endpointCount: 30, load: 0.7, meanWork: 60 * ms,
+		changeAfter: 4 * time.Second, duration: 10 * time.Second}
 	if agents > 100 {
 		f.endpointCount = 60
 	}
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -55,8 +55,8 @@
 }
 
 // setRequestTimer sets a timer for a request. Its earlier timers become void.
-func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
-	r.timerToken = b.setTimer(at - b.now)
+func (b *Balancer) setRequestTimer(r *request, firesAt time.Duration) {
+	r.timerToken = b.setTimer(firesAt - b.now)
 	b.timers.add(r)
 }
 
--- a/balancer/unobserved.go
+++ b/balancer/unobserved.go
@@ -15,14 +15,14 @@
 	zone       int // the agent's own zone
 	ownZone    rankedEndpoints
 	otherZones rankedEndpoints
-	maxSize    float64 // maximum size among all endpoints added so far
+	maxWeight  float64 // maximum size among all endpoints added so far
 }
 
 // rankedEndpoints holds endpoints in ascending order of weighted rank.
 type rankedEndpoints []*endpoint
 
 // unobservedRank returns the weighted rank of an unobserved endpoint, without the divisor for other zones.
-func (ep *endpoint) unobservedRank() float64 { return ep.rank / ep.size() }
+func (ep *endpoint) unobservedRank() float64 { return ep.rank / ep.listedWeight() }
 
 // compareUnobservedRank orders unobserved endpoints by weighted rank.
 func compareUnobservedRank(x, y *endpoint) int {
@@ -63,7 +63,7 @@
 }
 
 func (u *unobservedEndpoints) add(ep *endpoint) {
-	u.maxSize = max(u.maxSize, ep.size())
+	u.maxWeight = max(u.maxWeight, ep.listedWeight())
 	u.rankedListOf(ep).add(ep)
 }
 
--- a/balancer/unobserved_test.go
+++ b/balancer/unobserved_test.go
@@ -8,14 +8,14 @@
 )
 
 // If all observed endpoints are busy, further endpoints are drawn by their size.
-func TestUnobservedAreDrawnBySize(t *testing.T) {
+func TestUnobservedAreDrawnByWeight(t *testing.T) {
 	const small, large = 1, 4
 	var list []balancer.Endpoint
-	sizes := map[string]float64{}
+	weights := map[string]float64{}
 	for i := range 40 {
 		entry := balancer.Endpoint{ID: fmt.Sprint("e", i), Weight: float64(small + (large-small)*(i%2))}
 		list = append(list, entry)
-		sizes[entry.ID] = entry.Weight
+		weights[entry.ID] = entry.Weight
 	}
 	counts := map[float64]int{}
 	for seed := range uint64(60) {
@@ -23,7 +23,7 @@
 		for i := range 40 { // no request gets a response
 			id := fmt.Sprint("q", i)
 			if h.request(id, idempotent); len(h.sent[id]) == 1 && i >= 10 && i < 20 {
-				counts[sizes[h.sent[id][0]]]++
+				counts[weights[h.sent[id][0]]]++
 			}
 		}
 	}
