--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -344,8 +344,8 @@
 	a.now = time.Hour
 	a.handleEvent(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(4)})
 	a.handleEvent(balancer.Request{ID: "q", Class: class, Timeout: 2000 * ms})
-	for _, p := range script {
-		switch p := p.(type) {
+	for _, item := range script {
+		switch p := item.(type) {
 		case time.Duration:
 			a.now += p
 		case balancer.Event:
--- a/balancer/fleetsim_test.go
+++ b/balancer/fleetsim_test.go
@@ -16,7 +16,7 @@
 // up as slowly as the settings allow. During the run, the endpoint list changes once.
 type fleetSimulation struct {
 	agentCount, endpointCount int
-	startCount                int           // endpoints that start at the change
+	restartCount              int           // endpoints that start at the change
 	removeCount               int           // other endpoints that are removed at the change
 	restartAgents             bool          // all agents restart at the change and lose their state
 	load                      float64       // share of the endpoints' capacity before the change
@@ -93,7 +93,7 @@
 	for i := range uint64(runs) {
 		run := f
 		run.run(t, uint64(f.agentCount)+i)
-		for _, endpoint := range run.endpoints[:f.startCount] {
+		for _, endpoint := range run.endpoints[:f.restartCount] {
 			maxOverload = max(maxOverload, run.overload(endpoint))
 		}
 		servedShare += float64(run.responses) / float64(run.requests) / runs
@@ -197,9 +197,9 @@
 // new endpoint list for each agent.
 func (f *fleetSimulation) applyChange(t *testing.T, at time.Duration) {
 	t.Helper()
-	affected := f.startCount + f.removeCount
+	affected := f.restartCount + f.removeCount
 	for i, endpoint := range f.endpoints[:affected] {
-		if f.list[i].StartedAt = at; i >= f.startCount {
+		if f.list[i].StartedAt = at; i >= f.restartCount {
 			f.list[i].StartedAt, f.list[i].State = 0, balancer.Removed
 		}
 		endpoint.Endpoint, endpoint.coreFreeAt = f.list[i], [2]time.Duration{}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -235,8 +235,8 @@
 			t.Run(fmt.Sprintf("%s/%d agents", tt.name, agents), func(t *testing.T) {
 				t.Parallel()
 				f := newFleetSimulation(agents)
-				f.startCount = max(1, int(tt.startedShare*float64(f.endpointCount)))
-				f.removeCount = min(int(tt.removedShare*float64(f.endpointCount)), f.endpointCount-f.startCount)
+				f.restartCount = max(1, int(tt.startedShare*float64(f.endpointCount)))
+				f.removeCount = min(int(tt.removedShare*float64(f.endpointCount)), f.endpointCount-f.restartCount)
 				f.restartAgents = tt.restartAgents
 				overload, servedShare := f.runMany(t)
 				if overload > 1 {
