--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// overdueObjectiveShare is the minimum time without a response after which an attempt is overdue, as a
-	// share of the objective.
-	overdueObjectiveShare = 0.35
-	// overdueExpectedLatencies is the same in expected latencies. The longer of the two times applies. This
-	// is the longer one where all endpoints are overloaded, so that latencies are high.
+	// An attempt without a response is overdue after the longer of two times: overdueObjectiveShare times the
+	// objective, and overdueExpectedLatencies times the expected latency. The second one is longer if all
+	// endpoints are overloaded, so that latencies are high.
+	overdueObjectiveShare    = 0.35
 	overdueExpectedLatencies = 6.0
-	// minInformativeTimeoutShare is the minimum time that a client must wait for the result of an attempt to
-	// carry information about the endpoint, as a share of the objective or, if shorter, the deadline.
+	// minInformativeTimeoutShare is a share of the objective or the deadline of a class, whichever is
+	// shorter. If the client waits for less than this time after an attempt is sent, the result of the
+	// attempt carries no information about the endpoint.
 	minInformativeTimeoutShare = overdueObjectiveShare
 	// minExpectedLatencyNs keeps divisions by an expected latency finite.
 	minExpectedLatencyNs = 1.0
@@ -46,15 +46,16 @@
 	return float64(latency) / a.expectedLatencyNs
 }
 
-// hasShortTimeout reports whether the client waits for so short a time after the attempt was sent that the
+// hasShortTimeout reports whether the request's deadline follows the sending of the attempt so soon that the
 // result carries no information about the endpoint.
 func (a *attempt) hasShortTimeout(r *request) bool {
 	minTimeoutNs := minInformativeTimeoutShare * float64(min(r.class.Objective, r.class.Deadline))
 	return r.deadline-a.sentAt < time.Duration(minTimeoutNs)
 }
 
-// send starts an attempt; no other function does. The queue and the picker have already applied attemptRules.
-// send applies them again, so that a defect there cannot violate them.
+// send sends an attempt of a request to an endpoint. No other function does. The queue and the picker have
+// already applied all conditions. send applies them again, so that a defect there cannot violate them, and
+// answers the request without a response if one does not hold.
 func (b *Balancer) send(r *request, ep *endpoint) {
 	isAllowed := b.attemptRules.allows(r, ep, b.now) && r.isNextForKey(b.now)
 	if ep.State != Serving || !isAllowed || b.now >= r.deadline {
@@ -79,7 +80,8 @@
 }
 
 // finishAttempt removes an attempt from the counts of attempts in flight. If the attempt may still be
-// running, the quiet period of its request's key starts.
+// running, the key of its request has a quiet period from now on. keyQueues.remove applies it to the next
+// request of the key.
 func (b *Balancer) finishAttempt(r *request, a *attempt, result Result) {
 	r.finishAttempt(a, b.settings.MayHaveRun(result))
 	a.endpoint.removeAttempt(a)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -9,10 +9,10 @@
 
 // Balancer is the load balancing policy of one agent. See the package comment for its use.
 //
-// Each concern has a component, which owns its state and changes it in its own methods. Balancer passes the
-// events to the components, changes the requests, and collects the actions. All random numbers come from one
-// generator and are drawn in the order of the events. The same settings, seed and events therefore give the
-// same actions.
+// Each component (the queue, the limiter, the picker and so on) owns its state. Balancer passes the events to
+// the components, updates the requests and collects the actions. All random numbers come from one generator
+// and are drawn in the order of the events. The same settings, seed and events therefore give the same
+// actions.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
@@ -20,7 +20,7 @@
 	actions  []Action      // actions of the current step
 
 	requests         map[string]*request // by ID: open requests, and finished ones with attempts in flight
-	openRequestCount int                 // requests without a final answer
+	openRequestCount int                 // requests that are not in phaseFinished
 	inFlightCount    int                 // attempts without an outcome
 	timers           timerTable
 
@@ -84,7 +84,8 @@
 }
 
 // Step handles the events that occurred up to now, in order. It returns the actions, which the agent must
-// carry out in order. now must not be less than in the step before.
+// carry out in order. now should not be less than in the previous step; if it is, the time of the previous
+// step applies.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now = max(now, b.now)
 	b.actions = nil
@@ -151,8 +152,8 @@
 	b.queue.add(r)
 }
 
-// updateClassStats updates the statistics of the request's class. It reports whether the request's timeout
-// identifies it as a client's retry.
+// updateClassStats updates the statistics of the class of a new request. It reports whether the request's
+// timeout identifies it as a client's retry.
 func (b *Balancer) updateClassStats(r *request, event Request) (isRetry bool) {
 	isRetry = r.class.updateTimeout(event.Timeout, b.settings.Tick, event.ClientRetry)
 	r.class.updateWork(r.workNs)
@@ -167,7 +168,7 @@
 	}
 }
 
-// handleAbandoned finishes a request whose client has disconnected.
+// handleAbandoned finishes a request that needs no answer.
 func (b *Balancer) handleAbandoned(event Abandoned) {
 	if r := b.requests[event.Request]; r != nil {
 		b.finishRequest(r)
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -41,7 +41,7 @@
 //
 // # Picking
 //
-// The picker (picker.go) draws an idle endpoint at random. The weight of an endpoint is its listed size,
+// The picker (picker.go) draws an idle endpoint at random. The weight of an endpoint is its listed weight,
 // divided by the cube of its latency ratio, which is its mean latency over the expected latency. Endpoints in
 // other zones have less weight if crossing zones has a price. If no endpoint is idle, the picker selects the
 // least loaded one.
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -30,16 +30,14 @@
 	return ep
 }
 
-// canBeDeleted reports whether the endpoint was removed from the list and has no attempt in flight.
+// canBeDeleted reports whether the endpoint is no longer listed and has no attempt in flight.
 func (ep *endpoint) canBeDeleted() bool { return ep.State == Removed && len(ep.inFlight) == 0 }
 
-// markRemoved records that the endpoint is no longer listed.
+// markRemoved sets the state of an endpoint that a complete list does not contain.
 func (ep *endpoint) markRemoved() { ep.State = Removed }
 
-// addAttempt adds an attempt that is being sent to the endpoint.
 func (ep *endpoint) addAttempt(a *attempt) { ep.inFlight = append(ep.inFlight, a) }
 
-// removeAttempt removes an attempt that has finished.
 func (ep *endpoint) removeAttempt(a *attempt) {
 	ep.inFlight = slices.DeleteFunc(ep.inFlight, func(other *attempt) bool { return other == a })
 }
@@ -96,7 +94,8 @@
 // ended.
 func (c *connectionState) markDisconnected() { c.hasReusableConnection = false }
 
-// recordResult records the end of an attempt. isAnswered is true for a response and for an error.
+// recordResult records the end of an attempt. isAnswered means that the result is Served or ServerError. Only
+// such an attempt leaves a connection that can be reused.
 func (c *connectionState) recordResult(now time.Duration, a *attempt, isAnswered bool) {
 	c.hasReusableConnection = isAnswered
 	c.lastUsedAt = now
@@ -114,16 +113,16 @@
 
 // responseStats holds the statistics of an endpoint's responses.
 type responseStats struct {
-	hasServed    bool // the endpoint has served something since it started
+	hasServed    bool // the endpoint has served an attempt since its latest known start
 	lastServedAt time.Duration
 	latencyRatio float64 // mean of latency over expected latency; 0: no sample yet
-	sampleCount  float64 // number of samples since the latest attempt without a response
+	sampleCount  float64 // number of samples since the latest start or unanswered attempt
 }
 
 // ratio returns the mean of latency over expected latency, or 1 without samples.
 func (s *responseStats) ratio() float64 { return cmp.Or(s.latencyRatio, 1) }
 
-// recordServed records a response.
+// recordServed records that the endpoint has served an attempt.
 func (s *responseStats) recordServed(now time.Duration) {
 	s.lastServedAt, s.hasServed = now, true
 }
@@ -136,8 +135,8 @@
 	s.latencyRatio += weight * (min(sample, maxLatencyRatioSample) - s.latencyRatio)
 }
 
-// recordUnanswered records an attempt without a response: the following samples get a higher weight, and a
-// latency ratio below 1 is discarded.
+// recordUnanswered records an attempt whose result is neither Served nor ServerError. The following samples
+// get a higher weight, and a latency ratio below 1 is discarded.
 func (s *responseStats) recordUnanswered() {
 	s.latencyRatio, s.sampleCount = max(s.latencyRatio, 1), 0
 }
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// deleteIfPossible removes an endpoint that is unused. Such an endpoint is observed.
+// deleteIfPossible deletes an endpoint if canBeDeleted holds for it. Such an endpoint is observed.
 func (s *endpointSet) deleteIfPossible(ep *endpoint) {
 	if !ep.canBeDeleted() {
 		return
@@ -57,7 +57,8 @@
 	delete(s.byID, ep.ID)
 }
 
-// removeUnlisted removes the endpoints that a complete list does not contain, in one pass.
+// removeUnlisted marks the endpoints that a complete list does not contain as removed. It deletes those
+// without attempts in flight, in one pass.
 func (s *endpointSet) removeUnlisted(entries []Endpoint) {
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
@@ -113,7 +114,8 @@
 	}
 }
 
-// applyEntry applies one entry of an endpoint list.
+// applyEntry applies one entry of an endpoint list. A later start time than before means that the endpoint's
+// process was restarted.
 func (b *Balancer) applyEntry(entry Endpoint) {
 	ep := b.endpoints.byID[entry.ID]
 	if ep == nil {
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -122,7 +122,8 @@
 	Attempt int    // number of the attempt, as in Outcome
 }
 
-// Abandoned reports that the client has disconnected, so that the request needs no answer.
+// Abandoned reports that a request needs no answer: its client has disconnected, or the agent itself has
+// answered it, at its deadline or during a shutdown.
 type Abandoned struct{ Request string }
 
 // HealthCheckResult is the result of a HealthCheck.
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -29,7 +29,7 @@
 	return r.inFlightCount == 1 && len(r.attempts) < rules.maxAttempts
 }
 
-// allowsRepeat reports whether a request that may have run can be repeated at an endpoint without a further
+// allowsRepeat reports whether a request that may have run can be repeated at an endpoint without a second
 // effect.
 func (rules *attemptRules) allowsRepeat(r *request, ep *endpoint, now time.Duration) bool {
 	switch r.class.Idempotency {
--- a/balancer/keyqueue.go
+++ b/balancer/keyqueue.go
@@ -13,7 +13,7 @@
 type keyQueue struct {
 	key        string
 	requests   []*request
-	quietUntil time.Duration // end of the quiet period: no attempt starts before; 0: none
+	quietUntil time.Duration // end of the quiet period, in which no attempt is sent; 0: none
 }
 
 // isUnused reports whether the queue is empty and has no quiet period.
@@ -30,7 +30,7 @@
 // keyQueues holds the queues of all keys that have requests or a quiet period.
 type keyQueues struct {
 	byKey map[string]*keyQueue
-	quiet []*keyQueue // queues with a quiet period, in the order in which the periods started
+	quiet []*keyQueue // queues with a quiet period, in the order in which remove added them
 }
 
 func newKeyQueues() keyQueues { return keyQueues{byKey: map[string]*keyQueue{}} }
@@ -56,15 +56,16 @@
 		qs.removeIfUnused(queue, now)
 		return 0
 	}
-	// The request has had an attempt. Only the head of a queue has attempts, and no attempt starts in a quiet
-	// period of its key. So the request was the head, and its key has no other quiet period.
+	// An attempt of this request caused the quiet period. Only the head of a queue has attempts, and no
+	// attempt is sent in a quiet period of its key. So the request was the head, and its key has no other
+	// quiet period.
 	queue.quietUntil = r.keyQuietUntil
 	qs.quiet = append(qs.quiet, queue)
 	return queue.quietUntil - now + timerResolution
 }
 
-// expire removes unused queues whose quiet period has ended. A queue behind one with a longer quiet period is
-// removed only after that one.
+// expire removes unused queues whose quiet period has ended. The quiet periods need not
+// end in the order of qs.quiet. A queue is removed only after the quiet periods before its own have ended.
 func (qs *keyQueues) expire(now time.Duration) {
 	for len(qs.quiet) > 0 && qs.quiet[0].quietUntil <= now {
 		queue := qs.quiet[0]
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// updateConnection records whether the endpoint of an attempt is connected. A response leaves a connection,
-// even if it is an error. After any other result, Cancelled and NotSent included, the endpoint is demoted in
+// updateConnection records whether the endpoint of an attempt is connected. Served and ServerError leave a
+// connection. After any other result, Rejected, Cancelled and NotSent included, the endpoint is demoted in
 // the order of weighted rank, so that it leaves the subset.
 func (b *Balancer) updateConnection(a *attempt, result Result) {
 	isAnswered := result == Served || result == ServerError
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -205,8 +205,8 @@
 	return ep.warmUp.allows(r, info.now)
 }
 
-// newCandidate returns an endpoint as a candidate. Its weight is the size of the endpoint times the warm-up
-// fraction, divided by the cube of the latency ratio and, in other zones, by crossZoneDivisor.
+// newCandidate returns an endpoint as a candidate. Its weight is the listed weight of the endpoint times the
+// warm-up fraction, divided by the cube of the latency ratio and, in other zones, by crossZoneDivisor.
 func (p *picker) newCandidate(info *pickInfo, ep *endpoint, load, latencyRatio float64) candidate {
 	c := candidate{
 		endpoint:       ep,
@@ -321,9 +321,9 @@
 	return nil
 }
 
-// drawUnobserved draws an unobserved endpoint with a probability proportional to its size, by rejection
-// sampling: it draws one uniformly and accepts it with the probability of its size over maxSize. It returns
-// nil if the endpoint is rejected or the rules do not allow the attempt there.
+// drawUnobserved draws an unobserved endpoint with a probability proportional to its listed weight, by
+// rejection sampling: it draws one uniformly and accepts it with the probability of its listed weight over
+// maxWeight. It returns nil if the endpoint is rejected or the rules do not allow the attempt there.
 func (p *picker) drawUnobserved(info *pickInfo, ranked rankedEndpoints) *endpoint {
 	if len(ranked) == 0 {
 		return nil
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// expiryLatencies is the time before its objective at which a queued request expires, in expected
-	// latencies.
+	// expiryLatencies is the time that a queued request must have left until its objective, in expected
+	// latencies. With less time left it expires. See request.responseBudget for the upper bound.
 	expiryLatencies = 2.0
 	// reservedOpenShare is the share of Settings.MaxOpen that is reserved for new requests.
 	reservedOpenShare = 0.125
@@ -62,7 +62,7 @@
 }
 
 // expiresAt returns the time from which a queued request has too little time left to meet its objective. A
-// client's retry expires at once, because it must not wait.
+// client's retry must not wait: it expires in the first step that cannot send it.
 func (r *request) expiresAt(now time.Duration) time.Duration {
 	if r.isClientRetry {
 		return now
@@ -70,7 +70,7 @@
 	return r.objectiveAt - r.responseBudget(expiryLatencies)
 }
 
-// processQueue sends the requests that the limits allow, expires those that cannot wait any longer, and sheds
+// processQueue sends the requests that the limits allow, expires those that have waited too long, and sheds
 // load near the limit of open requests.
 func (b *Balancer) processQueue() {
 	if b.queue.len() == 0 {
@@ -100,9 +100,10 @@
 	return b.activeInFlight() < b.limiter.limit(b.fleet) && !isThrottled(&b.limiter, &b.traffic, b.fleet)
 }
 
-// expireQueue answers the requests that have expired, and sets a timer for each of the others.
+// expireQueue removes the requests that have expired from the queue, and answers them unless they have an
+// attempt in flight. It sets a timer for the expiry of each remaining request.
 func (b *Balancer) expireQueue() {
-	for _, r := range slices.Backward(b.queue.requests) { // in reverse, because an answer removes the request
+	for _, r := range slices.Backward(b.queue.requests) { // in reverse, because expired requests are removed
 		r.hasNoEndpoint = false // it holds for one step only
 		expiresAt := r.expiresAt(b.now)
 		if expiresAt <= b.now {
@@ -113,8 +114,9 @@
 	}
 }
 
-// shedQueue answers requests of the lowest priority to make room for new requests, which would otherwise be
-// rejected whatever their priority.
+// shedQueue removes the requests of the lowest priority from the queue, and answers them unless they have an
+// attempt in flight. This makes room for new requests, which would otherwise be rejected whatever their
+// priority.
 func (b *Balancer) shedQueue() {
 	if b.settings.MaxOpen == 0 {
 		return
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -10,7 +10,7 @@
 	phaseActive     requestPhase = iota // waiting for outcomes of its attempts; also the initial phase
 	phaseQueued                         // waiting in the admission queue
 	phaseBackingOff                     // waiting for the backoff before a retry
-	phaseFinished                       // has its final answer, or its client has disconnected
+	phaseFinished                       // has its final answer, or was abandoned
 )
 
 // request is a client's request that is open or has attempts in flight.
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// retryTokenCapacity is the capacity of the token bucket. It bounds the retries in a row without served
-	// requests to 20 at the usual cost.
+	// retryTokenCapacity is the capacity of the token bucket. At the usual cost it allows 20 retries while
+	// no request is served.
 	retryTokenCapacity = 100.0
 	// retryTokenCost is the cost of a retry, in tokens.
 	retryTokenCost = 5.0
@@ -25,8 +25,8 @@
 	maxBackoffMultiple = 8.0
 )
 
-// tokenBucket bounds retries. They cannot multiply the load of a fleet with a fault, since only served
-// requests add tokens.
+// tokenBucket bounds the number of retries. Only served requests add tokens, so that retries cannot multiply
+// the load of a fleet that fails.
 type tokenBucket struct {
 	tokens float64
 }
@@ -65,7 +65,8 @@
 // is then answered, unless an attempt is in flight.
 func (b *Balancer) scheduleRetry(r *request, result Result) {
 	sendAt := b.now + drawBackoff(b.rng, r.retryCount, r.class.Objective)
-	// NotSent means that the deadline had passed, or that nothing could be sent for the request any more.
+	// NotSent means that the agent allows no further attempt: the request is finished, has used up its
+	// attempts, or has no time left.
 	canRetry := result != NotSent && b.hasEligibleEndpoint(r) && !r.isTooLate(b.now, sendAt)
 	if !canRetry || !b.retryTokens.take(retryCost(result)) {
 		b.rejectOrFailUnlessInFlight(r)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -7,17 +7,16 @@
 )
 
 const (
-	// maxWarmUpRequestLatencies is the maximum expected latency of a request for an endpoint that warms up,
-	// in mean latencies of its class.
+	// maxWarmUpRequestLatencies is the maximum expected latency of a request that an endpoint may get while
+	// it warms up, in mean latencies of the request's class.
 	maxWarmUpRequestLatencies = 2.0
 	// permitLifetimesPerWindow is the number of permit lifetimes in an overload window.
 	permitLifetimesPerWindow = 2
-	// permitCarryOverFactor is the number of permits that can be used within an overload window, relative to
-	// the number issued for that time. It exceeds 1 because permits issued up to one lifetime earlier can
-	// still be used.
+	// permitCarryOverFactor is the ratio of the permits that can be used within an overload window to those
+	// issued in it. It exceeds 1 because permits issued up to one lifetime earlier can still be used.
 	permitCarryOverFactor = 1 + 1.0/permitLifetimesPerWindow
-	// coldFleetLimitShare is the share of minLimitPerEndpoint that all agents together send to an endpoint
-	// while no endpoint is warm.
+	// coldFleetLimitShare is a share of minLimitPerEndpoint. While no endpoint is warm, slow start assumes
+	// that all agents together have at least this number of attempts in flight at a warm endpoint.
 	coldFleetLimitShare = 0.5
 	// minUtilization keeps the mean time between permits finite.
 	minUtilization = 1e-9
@@ -30,16 +29,17 @@
 	nextPermitAt time.Duration // time from which on the endpoint may get its next request
 }
 
-// allows reports whether a permit is available now and the request is light enough for the endpoint.
+// allows reports whether a permit is available now and the request is light enough for the endpoint. The
+// caller must have called renewExpiredPermit, since allows does not check whether the permit has expired.
 func (w *warmUp) allows(r *request, now time.Duration) bool {
 	isLight := r.expectedLatencyNs() <= maxWarmUpRequestLatencies*r.class.meanLatencyNs
 	return w.nextPermitAt <= now && isLight
 }
 
 // slowStart limits the load that the fleet of agents as a whole sends to an endpoint that warms up. Agents
-// share no state: each agent sends at random times, at the rate of its own traffic to warm endpoints times
-// the warm-up fraction. Each attempt needs a permit. Unused permits expire, so that agents with little
-// traffic cannot accumulate permits and use them at the same time.
+// share no state: each agent sends at random times, at a rate in proportion to its own traffic to a warm
+// endpoint and to the warm-up fraction (see scheduleNextPermit). Each attempt needs a permit. Unused permits
+// expire, so that agents with little traffic cannot accumulate permits and use them at the same time.
 type slowStart struct {
 	rng              *rand.Rand
 	minCapacity      float64
@@ -108,20 +108,21 @@
 	ep.warmUp.nextPermitAt -= s.permitLifetime()
 }
 
-// scheduleNextPermit draws the time of the next permit of an endpoint that gets workNs of work now. The
-// intervals between permits are exponentially distributed. The rate is that of a warm endpoint, times the
-// warm-up fraction, times the square root of the overload multiple (or the overload multiple over
-// permitCarryOverFactor, if that is less).
+// scheduleNextPermit draws the time of the next permit of an endpoint. The interval until then is
+// exponentially distributed. Its mean is the time in which the endpoint may get workNs of work: that of the
+// attempt being sent or, if there is none, the mean latency of a class. The endpoint may get work at the rate
+// of a warm endpoint, times the warm-up fraction, times the square root of the overload multiple (or the
+// overload multiple over permitCarryOverFactor, if that is less).
 func (s *slowStart) scheduleNextPermit(ep *endpoint, now time.Duration, workNs float64, fleet fleetSummary) {
 	// Work per time that this agent sends to a warm endpoint: its mean number of attempts in flight there.
 	utilization := max(s.decayWorkPerWarmEndpoint(now, fleet)/s.positiveWindowNs(), minUtilization)
-	if fleet.warm == 0 { // no traffic to warm endpoints determines the rate
+	if fleet.warm == 0 { // there may be no traffic to derive the rate from
 		utilization = max(utilization, minLimitPerEndpoint*coldFleetLimitShare/s.agents)
 	}
 	rateFactor := s.updateWarmUp(ep, now) *
 		min(math.Sqrt(s.overloadMultiple), s.overloadMultiple/permitCarryOverFactor)
 	delayNs := s.rng.ExpFloat64() * workNs / (rateFactor * utilization)
-	// No delay is longer than the slow start, after which the endpoint is warm and needs no permit.
+	// The delay is at most the duration of the slow start, after which the endpoint needs no permit.
 	ep.warmUp.nextPermitAt = now + time.Duration(min(delayNs, float64(s.duration)))
 }
 
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	// subscribeSpreadPerAgent is the spread of the first subscription for each agent, as a share of
-	// Settings.PollWithin. It is the time that discovery may spend on one call.
+	// subscribeSpreadPerAgent is the time that each agent adds to the spread (the maximum random delay) of
+	// the first subscription, as a share of Settings.PollWithin. It is the time that discovery may spend on
+	// one call.
 	subscribeSpreadPerAgent = 1.0 / 128
 	// maxFirstSubscribeSpread bounds the spread of the first subscription, as a share of Settings.PollWithin.
 	maxFirstSubscribeSpread = 0.25
-	// maxSubscribeDoublings bounds the number of times that consecutive failures double the spread.
+	// maxSubscribeDoublings is the maximum number of times that consecutive failures double the spread.
 	maxSubscribeDoublings = 4
 )
 
@@ -25,7 +26,8 @@
 	consecutiveFailures int // consecutive failures to get a list
 }
 
-// handleList handles a list of the given kind. It reports whether to subscribe, and after which delay.
+// handleList handles a list of the given kind. It reports whether to subscribe, and after which delay. With
+// Settings.Subscribe, the agent subscribes after a cached list and after each failure.
 func (s *subscriber) handleList(kind ListKind) (delay time.Duration, ok bool) {
 	hasFailed := kind.isFailure()
 	s.consecutiveFailures++
@@ -44,7 +46,7 @@
 	firstSpread := min(subscribeSpreadPerAgent*float64(s.settings.Agents), maxFirstSubscribeSpread)
 	spread := firstSpread * math.Exp2(float64(min(s.consecutiveFailures, maxSubscribeDoublings)))
 	maxDelay := s.settings.SubscribeSpread
-	if isRefused { // a refusal shows that discovery could not be reached until now
+	if isRefused { // a refusal means that discovery was unreachable until now
 		maxDelay = s.settings.RefusedSubscribeSpread
 	}
 	maxDelay = min(cmp.Or(maxDelay, s.settings.PollWithin), s.settings.PollWithin)
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// timerTable records the purpose of each pending timer. A token of 0 stands for no timer.
+// timerTable records the purpose of each pending timer. Token 0 means no timer. A timer that is void is
+// ignored when it fires.
 type timerTable struct {
 	lastToken      int64              // latest token that was issued
 	requests       map[int64]*request // requests that wait for a timer, by token
@@ -17,7 +18,8 @@
 	return t.lastToken
 }
 
-// add adds the latest timer of a request. Earlier timers of the request are void, but stay until they fire.
+// add adds the latest timer of a request. Earlier timers of the request are void; their entries stay until
+// they fire.
 func (t *timerTable) add(r *request) { t.requests[r.timerToken] = r }
 
 // setSubscribe records the timer for the next Subscribe.
@@ -47,7 +49,7 @@
 	return r
 }
 
-// setTimer requests a step after a wait and returns the token of the timer.
+// setTimer requests a timer, which causes a step after the wait, and returns its token.
 func (b *Balancer) setTimer(wait time.Duration) int64 {
 	token := b.timers.nextToken()
 	b.addAction(SetTimer{After: wait, Token: token})
--- a/balancer/unobserved.go
+++ b/balancer/unobserved.go
@@ -10,18 +10,18 @@
 // unobservedEndpoints holds the serving endpoints of which the agent has only the list entry. In a large
 // fleet these are nearly all endpoints, and the cost of a pick must not grow with their number. They are
 // therefore kept in the order of weighted rank. The endpoints of the agent's own zone are kept apart from the
-// others because the divisor for other zones changes.
+// others because the cross-zone divisor, which applies to the others only, changes with the load.
 type unobservedEndpoints struct {
 	zone       int // the agent's own zone
 	ownZone    rankedEndpoints
 	otherZones rankedEndpoints
-	maxWeight  float64 // maximum size among all endpoints added so far
+	maxWeight  float64 // maximum listed weight among all endpoints added so far
 }
 
 // rankedEndpoints holds endpoints in ascending order of weighted rank.
 type rankedEndpoints []*endpoint
 
-// unobservedRank returns the weighted rank of an unobserved endpoint, without the divisor for other zones.
+// unobservedRank returns the weighted rank of an unobserved endpoint, without the cross-zone divisor.
 func (ep *endpoint) unobservedRank() float64 { return ep.rank / ep.listedWeight() }
 
 // compareUnobservedRank orders unobserved endpoints by weighted rank.
@@ -69,8 +69,8 @@
 
 func (u *unobservedEndpoints) remove(ep *endpoint) { u.rankedListOf(ep).remove(ep) }
 
-// byWeightedRank yields the endpoints and their weighted ranks in ascending order. crossZoneDivisor
-// multiplies the weighted ranks of endpoints in other zones.
+// byWeightedRank yields the endpoints and their weighted ranks in ascending order. crossZoneDivisor divides
+// the weights of endpoints in other zones and so multiplies their weighted ranks.
 func (u *unobservedEndpoints) byWeightedRank(crossZoneDivisor float64) iter.Seq2[*endpoint, float64] {
 	return func(yield func(*endpoint, float64) bool) {
 		own, other := u.ownZone, u.otherZones
--- a/balancer/unobserved_test.go
+++ b/balancer/unobserved_test.go
@@ -7,7 +7,7 @@
 	"ashshunt/balancer"
 )
 
-// If all observed endpoints are busy, further endpoints are drawn by their size.
+// If all observed endpoints are busy, further endpoints are drawn by their listed weight.
 func TestUnobservedAreDrawnByWeight(t *testing.T) {
 	const small, large = 1, 4
 	var list []balancer.Endpoint
--- a/balancer/validation.go
+++ b/balancer/validation.go
@@ -42,11 +42,11 @@
 	return nil
 }
 
-// validateBounds validates the settings whose bounds differ from "not negative".
+// validateBounds validates single settings, most of which have another lower bound than 0 or an upper bound.
 func (s *Settings) validateBounds() error {
 	switch {
 	case len(s.Classes) == 0:
-		return &SettingError{"Classes", "none"}
+		return &SettingError{"Classes", "[] (at least one class is required)"}
 	case s.Agents < 1:
 		return &SettingError{"Agents", s.Agents}
 	case s.AgentIndex < 0 || s.AgentIndex >= s.Agents:
@@ -109,8 +109,8 @@
 	})
 }
 
-// validate returns a *SettingError for the first invalid setting of the class. path is the prefix of its
-// field.
+// validate returns a *SettingError for the first invalid setting of the class. path precedes the name of the
+// field in the error, such as "Classes[0].".
 func (c *Class) validate(path string) error {
 	switch {
 	case c.Objective <= 0:
