--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -9,8 +9,8 @@
 	"ashshunt/balancer"
 )
 
-// auditor verifies all rules from the events and actions alone. It records what the balancer was told and
-// what it did, and does not model endpoints.
+// auditor verifies that a balancer keeps the rules, given only its settings, events and actions. It has no
+// model of the endpoints.
 type auditor struct {
 	settings      balancer.Settings
 	now           time.Duration
@@ -31,7 +31,7 @@
 	relativeWork float64 // expected work as a multiple of the mean of the class; 1 if unknown
 	attempts     []auditedAttempt
 	isFinished   bool
-	abandonedAt  time.Duration // time at which the client disconnected: actions in the same step are allowed
+	abandonedAt  time.Duration // time of an Abandoned, whose step may still return actions; 0: none
 	isStreaming  bool
 	key          string        // key of an ordered request; "": not ordered
 	quietUntil   time.Duration // end of the quiet period that the request causes for its key
@@ -201,6 +201,7 @@
 	}
 }
 
+// handleFinalAnswer records a final answer and returns its request, or nil if that is unknown.
 func (a *auditor) handleFinalAnswer(id string) *auditedRequest {
 	r := a.requests[id]
 	switch {
@@ -219,7 +220,8 @@
 func (a *auditor) handleSend(act balancer.Send) {
 	r, ep := a.requests[act.Request], a.endpoints[act.Endpoint]
 	if r == nil || ep == nil {
-		a.recordViolation("send of request %q to endpoint %q, one of which is unknown", act.Request, act.Endpoint)
+		a.recordViolation("request %q was sent to endpoint %q, and at least one of the two is unknown",
+			act.Request, act.Endpoint)
 		return
 	}
 	if r.isFinished && r.abandonedAt != a.now {
@@ -288,8 +290,8 @@
 // auditSlowStart records a violation if this agent sends too much to an endpoint that is warming up. The
 // capacity of endpoints is unknown. The work sent to the busiest warm endpoint within three windows is an
 // upper bound for the rate that a balancer may assume for a warm endpoint. That work, times the warm-up
-// fraction, times the overload multiple, is the allowed load. The tolerance is three mean requests: one, and
-// one of twice the mean work on the last permit.
+// fraction, times the overload multiple, is the allowed load. The tolerance is the work of three mean
+// requests: one mean request, and one of twice the mean work that uses the last permit.
 func (a *auditor) auditSlowStart(ep *auditedEndpoint) {
 	if a.isWarm(ep) || a.settings.SlowStartDuration == 0 {
 		return
@@ -303,13 +305,13 @@
 		}
 	}
 	if !hasWarm {
-		return // no reference: a balancer uses its share of the minimum limit instead
+		return // no warm endpoint to compare with: a balancer uses its share of the minimum limit
 	}
 	age := max(0, float64(a.now-ep.warmUpStartedAt)/float64(a.settings.SlowStartDuration))
 	fraction := a.settings.SlowStartMinCapacity + (1-a.settings.SlowStartMinCapacity)*age
 	if got := ep.workWithin(a.now, window); got > a.settings.SlowStartOverloadMultiple*fraction*maxWork+3 {
-		a.recordViolation("%s is warming up for %v and got the work of %.1f mean requests within %v, "+
-			"the busiest warm endpoint %.1f within three times that",
+		a.recordViolation("%s is warming up (for %v so far) and got the work of %.1f mean requests within %v; "+
+			"the busiest warm endpoint got that of %.1f within three times that window",
 			ep.ID, a.now-ep.warmUpStartedAt, got, window, maxWork)
 	}
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -31,7 +31,7 @@
 	Zone      int           // number of its zone
 	Cell      int           // number of its cell
 	Kind      int           // number of its machine kind
-	Weight    float64       // size, with the meaning of Settings.Weights; 0 or less: 1
+	Weight    float64       // relative size; see Settings.Weights; 0 or less: 1
 	StartedAt time.Duration // start of its process, on the agent's clock; 0: long ago
 }
 
--- a/balancer/fleetsim_test.go
+++ b/balancer/fleetsim_test.go
@@ -13,10 +13,10 @@
 )
 
 // fleetSimulation simulates many balancers and a fleet of endpoints with two cores each. The endpoints warm
-// up as slowly as the settings allow. During the run, the endpoint list changes once.
+// up as slowly as the settings allow. The endpoint list changes once during a run.
 type fleetSimulation struct {
 	agentCount, endpointCount int
-	restartCount              int           // endpoints that start at the change
+	restartCount              int           // endpoints that restart at the change
 	removeCount               int           // other endpoints that are removed at the change
 	restartAgents             bool          // all agents restart at the change and lose their state
 	load                      float64       // share of the endpoints' capacity before the change
@@ -37,8 +37,8 @@
 // simulatedEndpoint serves requests in the order of their arrival.
 type simulatedEndpoint struct {
 	balancer.Endpoint
-	coreFreeAt [2]time.Duration // times at which the cores have served all requests
-	arrivals   []time.Duration  // arrival times of requests since its start
+	coreFreeAt [2]time.Duration // times at which the cores finish their queued requests
+	arrivals   []time.Duration  // arrival times of requests since its restart
 }
 
 // simulatedAgent is a balancer with the state that the agent keeps for it.
@@ -84,9 +84,9 @@
 	return earliest
 }
 
-// runMany runs the simulation several times, since the results of one run vary by some hundredths. It returns
-// the maximum overload of an endpoint that started, and the mean share of the requests after the change that
-// were served.
+// runMany runs the simulation several times, since the results of single runs differ by some hundredths. It
+// returns the maximum overload of an endpoint that restarted, and the mean share of the requests after the
+// change that were served.
 func (f fleetSimulation) runMany(t *testing.T) (maxOverload, servedShare float64) {
 	t.Helper()
 	const runs = 8
@@ -122,7 +122,8 @@
 	}
 }
 
-// deliver delivers an event to its agent. It counts responses after the change.
+// deliver delivers an event to its agent. A complete list has the entries of the time of delivery. deliver
+// counts the responses after the change, those to earlier requests included.
 func (f *fleetSimulation) deliver(next scheduledEvent, change time.Duration) {
 	switch event := next.event.(type) {
 	case balancer.EndpointList:
@@ -130,7 +131,6 @@
 			next.event = f.currentList()
 		}
 	case balancer.Outcome:
-		// Includes responses to requests from before the change.
 		if event.Result == balancer.Served && f.now >= change {
 			f.responses++
 		}
@@ -146,7 +146,7 @@
 	}
 }
 
-// addAgents adds the agents and returns the relative number of requests that each gets.
+// addAgents adds the agents and returns their weights: the relative numbers of requests that they get.
 func (f *fleetSimulation) addAgents(t *testing.T) []float64 {
 	t.Helper()
 	weights := make([]float64, f.agentCount)
@@ -174,6 +174,7 @@
 	heap.Push(&f.queue, scheduledEvent{at, agent, event})
 }
 
+// scheduleRequests schedules requests as a Poisson process. The agent of each request is drawn by weight.
 func (f *fleetSimulation) scheduleRequests(weights []float64, change, end time.Duration) {
 	sum := 0.0
 	for _, weight := range weights {
@@ -193,7 +194,7 @@
 	}
 }
 
-// applyChange starts and removes endpoints, restarts the agents if restartAgents is set, and schedules the
+// applyChange restarts and removes endpoints, restarts the agents if restartAgents is set, and schedules the
 // new endpoint list for each agent.
 func (f *fleetSimulation) applyChange(t *testing.T, at time.Duration) {
 	t.Helper()
@@ -242,7 +243,7 @@
 	}
 }
 
-// serve adds a request to the queue of an endpoint and returns its latency.
+// serve adds a request to the queue of the endpoint's core that is free first, and returns its latency.
 func (f *fleetSimulation) serve(id string) time.Duration {
 	index := slices.IndexFunc(f.list, func(entry balancer.Endpoint) bool { return entry.ID == id })
 	endpoint := f.endpoints[index]
@@ -264,8 +265,9 @@
 	return min(1, s.SlowStartMinCapacity+(1-s.SlowStartMinCapacity)*float64(age)/float64(s.SlowStartDuration))
 }
 
-// overload returns the maximum number of requests that an endpoint got within an overload window during its
-// warm-up, over the number that the settings allow. The latter includes a margin for random variation.
+// overload returns the maximum ratio, over all overload windows since the restart of an endpoint, of the
+// requests that it got to those that the settings allow. The allowed number, n, is increased by a margin for
+// random variation.
 func (f *fleetSimulation) overload(e *simulatedEndpoint) (maxOverload float64) {
 	s := f.settings
 	first := 0
--- a/balancer/keyqueue.go
+++ b/balancer/keyqueue.go
@@ -64,8 +64,8 @@
 	return queue.quietUntil - now + timerResolution
 }
 
-// expire removes unused queues whose quiet period has ended. The quiet periods need not
-// end in the order of qs.quiet. A queue is removed only after the quiet periods before its own have ended.
+// expire removes unused queues whose quiet period has ended. The quiet periods need not end in the order of
+// qs.quiet. A queue is removed only after the quiet periods before its own have ended.
 func (qs *keyQueues) expire(now time.Duration) {
 	for len(qs.quiet) > 0 && qs.quiet[0].quietUntil <= now {
 		queue := qs.quiet[0]
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -12,8 +12,8 @@
 	"ashshunt/balancer"
 )
 
-// mutation changes what the balancer is told, so that it breaks the rule that depends on it. The auditor gets
-// the unchanged settings and events.
+// mutation changes the settings or events that the balancer gets, so that it breaks a rule that depends on
+// them. The auditor gets the unchanged settings and events.
 type mutation struct {
 	settings func(*balancer.Settings)            // changes the settings; nil: unchanged
 	event    func(balancer.Event) balancer.Event // changes an event; nil: unchanged
@@ -51,8 +51,8 @@
 	return event
 }
 
-// randomDriver runs a balancer and an auditor on random events, which are valid but arrive in unfavorable
-// orders.
+// randomDriver runs a balancer and an auditor on random events. Most events are valid. Those of one step are
+// in random order.
 type randomDriver struct {
 	rng       *rand.Rand
 	balancer  *balancer.Balancer
@@ -120,7 +120,7 @@
 
 // step runs one step of the balancer and audits its actions.
 func (d *randomDriver) step() {
-	d.auditor.now += time.Duration(d.rng.IntN(30)) * ms / 4
+	d.auditor.now += time.Duration(d.rng.IntN(30)) * ms / 4 // possibly 0
 	events := d.dueTimers()
 	events = append(events, d.newRequests()...)
 	events = append(events, d.outcomes()...)
@@ -207,7 +207,7 @@
 		outcome.Done = outcome.Result == balancer.Served || d.auditor.requests[outcome.Request].isFinished
 		events = append(events, outcome)
 		if d.rng.IntN(10) == 0 {
-			events = append(events, outcome) // repeated
+			events = append(events, outcome) // the balancer must ignore the second one
 		}
 	}
 	d.inFlight = inFlight
@@ -215,7 +215,7 @@
 }
 
 // randomDisturbance sometimes returns a change or a failure of the endpoint list, a client that disconnects,
-// or stray events.
+// or events that the balancer must ignore.
 func (d *randomDriver) randomDisturbance() []balancer.Event {
 	switch d.rng.IntN(25) {
 	case 0:
@@ -231,7 +231,7 @@
 	case 4:
 		return []balancer.Event{balancer.TimerFired{Token: d.rng.Int64N(1 << 20)},
 			balancer.Outcome{Request: fmt.Sprint("q", d.rng.IntN(d.requestCount+2)),
-				Attempt: d.rng.IntN(2)*99 - 1},
+				Attempt: d.rng.IntN(2)*99 - 1}, // out of range: -1 or 98
 			balancer.HealthCheckResult{Endpoint: "x"}, balancer.GossipMessage{From: 70}}
 	case 5:
 		return []balancer.Event{balancer.GossipMessage{From: d.rng.IntN(12) - 1,
@@ -260,7 +260,7 @@
 	return balancer.EndpointList{Kind: balancer.ListKind(1 + d.rng.IntN(2)), Endpoints: serving}
 }
 
-// The balancer breaks no rule, whatever the settings and the order of events.
+// The balancer breaks no rule, whatever the settings and the events.
 func TestRulesUnderAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
 		a := runRandomEvents(t, seed, 600)
@@ -270,7 +270,8 @@
 	}
 }
 
-// A balancer that is told the wrong facts breaks the rule that depends on them, and the auditor detects it.
+// Each mutation makes the balancer break a rule, and the auditor detects the violation. The random events of
+// TestRulesUnderAnyOrder therefore reach the rule.
 func TestAuditorDetectsMutations(t *testing.T) {
 	tests := []struct {
 		name     string
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// An endpoint that gave no response leaves the subset. One that answered with an error keeps its connection,
-// and returns to the subset after its ejection.
+// An endpoint that times out or rejects a request leaves the subset. One that returns an error keeps its
+// connection, and is in the subset again after its ejection.
 func TestSubsetAfterFailure(t *testing.T) {
 	tests := []struct {
 		name         string
@@ -78,7 +78,7 @@
 			h.step(balancer.Abandoned{Request: "q"})
 			h.advance(2 * time.Second)
 			if n := h.serve(60, idempotent, 20*ms)[failed]; n > 0 != tt.wantInSubset {
-				t.Errorf("the endpoint got %d of 60 requests, want any: %v", n, tt.wantInSubset)
+				t.Errorf("the failed endpoint got %d of 60 requests, want it in the subset: %v", n, tt.wantInSubset)
 			}
 		})
 	}
@@ -107,7 +107,8 @@
 			}
 		}
 	}
-	// A third of the endpoints are new. Agents are slow to leave those that they are connected to.
+	// A third of the endpoints are new. Agents are slow to leave those that they are connected to, so that up
+	// to half of the new ones (10 of 20 in each fleet) may get no requests.
 	if all := requests * agents * fleets; served < all/8 || served > all/2 || unused > 10*fleets {
 		t.Errorf("20 new endpoints of 60 got %d of %d requests, want 1/8 to 1/2; %d of %d got none, want at most half",
 			served, all, unused, added*fleets)
@@ -121,7 +122,8 @@
 func addedID(i int) string { return fmt.Sprint("new", i) }
 
 // servedAfterAddition has an agent serve requests with 40 endpoints, adds further endpoints and waits until
-// they are warm. It returns how many of the following requests each endpoint gets.
+// they are warm. It returns how many of the following requests each endpoint gets. The index of the agent is
+// the seed modulo the number of agents, so that consecutive seeds make up a fleet.
 func servedAfterAddition(t *testing.T, agents int, seed uint64, added, requests int) map[string]int {
 	t.Helper()
 	s := settings()
--- a/balancer/validation_test.go
+++ b/balancer/validation_test.go
@@ -15,7 +15,8 @@
 		edit func(*balancer.Settings)
 		want string
 	}{
-		{"no classes", func(s *balancer.Settings) { s.Classes = nil }, "Classes: invalid value [] (at least one class is required)"},
+		{"no classes", func(s *balancer.Settings) { s.Classes = nil },
+			"Classes: invalid value [] (at least one class is required)"},
 		{"no agents", func(s *balancer.Settings) { s.Agents = 0 }, "Agents: invalid value 0"},
 		{"agent index outside the count", func(s *balancer.Settings) { s.AgentIndex = 1 },
 			"AgentIndex: invalid value 1"},
