--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -347,13 +347,13 @@
 	a.handleEvent(balancer.EndpointList{Kind: balancer.ListComplete, Endpoints: endpoints(4)})
 	a.handleEvent(balancer.Request{ID: "q", Class: class, Timeout: 2000 * ms})
 	for _, item := range script {
-		switch p := item.(type) {
+		switch item := item.(type) {
 		case time.Duration:
-			a.now += p
+			a.now += item
 		case balancer.Event:
-			a.handleEvent(p)
+			a.handleEvent(item)
 		case balancer.Action:
-			a.handleAction(p)
+			a.handleAction(item)
 		}
 	}
 	a.auditDeadlines()
