--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// removeIfUnused removes an endpoint that is unused. Such an endpoint is observed.
-func (s *endpointSet) removeIfUnused(ep *endpoint) {
-	if !ep.isUnused() {
+// deleteIfPossible deletes an endpoint if canBeDeleted holds for it. Such an endpoint is observed.
+func (s *endpointSet) deleteIfPossible(ep *endpoint) {
+	if !ep.canBeDeleted() {
 		return
 	}
 	s.all = deleteEndpoint(s.all, ep)
@@ -57,7 +57,8 @@
 	delete(s.byID, ep.ID)
 }
 
-// removeUnlisted removes the endpoints that a complete list does not contain, in one pass.
+// removeUnlisted marks the endpoints that a complete list does not contain as removed. It deletes those
+// without attempts in flight, in one pass.
 func (s *endpointSet) removeUnlisted(entries []Endpoint) {
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
@@ -69,12 +70,12 @@
 		}
 		s.markObserved(ep)
 		ep.markRemoved()
-		if ep.isUnused() {
+		if ep.canBeDeleted() {
 			delete(s.byID, ep.ID)
 		}
 	}
-	s.all = slices.DeleteFunc(s.all, (*endpoint).isUnused)
-	s.observed = slices.DeleteFunc(s.observed, (*endpoint).isUnused)
+	s.all = slices.DeleteFunc(s.all, (*endpoint).canBeDeleted)
+	s.observed = slices.DeleteFunc(s.observed, (*endpoint).canBeDeleted)
 }
 
 // ejectedCount returns the number of serving endpoints that are ejected.
@@ -113,7 +114,8 @@
 	}
 }
 
-// applyEntry applies one entry of an endpoint list.
+// applyEntry applies one entry of an endpoint list. A later start time than before means that the endpoint's
+// process was restarted.
 func (b *Balancer) applyEntry(entry Endpoint) {
 	ep := b.endpoints.byID[entry.ID]
 	if ep == nil {
@@ -131,5 +133,5 @@
 		ep.ejection.resetOnRestart()
 	}
 	b.endpoints.update(ep, entry)
-	b.endpoints.removeIfUnused(ep)
+	b.endpoints.deleteIfPossible(ep)
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -31,7 +31,7 @@
 	Zone      int           // number of its zone
 	Cell      int           // number of its cell
 	Kind      int           // number of its machine kind
-	Weight    float64       // size, with the meaning of Settings.Weights; 0 or less: 1
+	Weight    float64       // relative size; see Settings.Weights; 0 or less: 1
 	StartedAt time.Duration // start of its process, on the agent's clock; 0: long ago
 }
 
@@ -122,7 +122,8 @@
 	Attempt int    // number of the attempt, as in Outcome
 }
 
-// Abandoned reports that the client has disconnected, so that the request needs no answer.
+// Abandoned reports that a request needs no answer: its client has disconnected, or the agent itself has
+// answered it, at its deadline or during a shutdown.
 type Abandoned struct{ Request string }
 
 // HealthCheckResult is the result of a HealthCheck.
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -205,8 +205,8 @@
 	return ep.warmUp.allows(r, info.now)
 }
 
-// newCandidate returns an endpoint as a candidate. Its weight is the size of the endpoint times the warm-up
-// fraction, divided by the cube of the latency ratio and, in other zones, by crossZoneDivisor.
+// newCandidate returns an endpoint as a candidate. Its weight is the listed weight of the endpoint times the
+// warm-up fraction, divided by the cube of the latency ratio and, in other zones, by crossZoneDivisor.
 func (p *picker) newCandidate(info *pickInfo, ep *endpoint, load, latencyRatio float64) candidate {
 	c := candidate{
 		endpoint:       ep,
@@ -218,7 +218,7 @@
 	// The ratio is cubed to move load away from slow endpoints. A uniform choice would load them as much as
 	// the others.
 	penalty := latencyRatio * latencyRatio * latencyRatio
-	c.weight = ep.size() * c.warmUpFraction / penalty
+	c.weight = ep.listedWeight() * c.warmUpFraction / penalty
 	if ep.Zone != p.settings.Zone {
 		c.weight /= info.crossZoneDivisor
 	}
@@ -303,8 +303,8 @@
 func (p *picker) drawFallback(info *pickInfo, candidates *candidateSet) *endpoint {
 	unobserved := &p.endpoints.unobserved
 	observedWeight := candidates.fallbackWeight()
-	ownZoneWeight := float64(len(unobserved.ownZone)) * unobserved.maxSize
-	otherZonesWeight := float64(len(unobserved.otherZones)) * unobserved.maxSize / info.crossZoneDivisor
+	ownZoneWeight := float64(len(unobserved.ownZone)) * unobserved.maxWeight
+	otherZonesWeight := float64(len(unobserved.otherZones)) * unobserved.maxWeight / info.crossZoneDivisor
 	for range maxFallbackDraws {
 		target := p.rng.Float64() * (observedWeight + ownZoneWeight + otherZonesWeight)
 		if target < observedWeight {
@@ -321,15 +321,15 @@
 	return nil
 }
 
-// drawUnobserved draws an unobserved endpoint with a probability proportional to its size, by rejection
-// sampling: it draws one uniformly and accepts it with the probability of its size over maxSize. It returns
-// nil if the endpoint is rejected or the rules do not allow the attempt there.
+// drawUnobserved draws an unobserved endpoint with a probability proportional to its listed weight, by
+// rejection sampling: it draws one uniformly and accepts it with the probability of its listed weight over
+// maxWeight. It returns nil if the endpoint is rejected or the rules do not allow the attempt there.
 func (p *picker) drawUnobserved(info *pickInfo, ranked rankedEndpoints) *endpoint {
 	if len(ranked) == 0 {
 		return nil
 	}
 	ep := ranked[p.rng.IntN(len(ranked))]
-	isAccepted := p.rng.Float64()*p.endpoints.unobserved.maxSize < ep.size()
+	isAccepted := p.rng.Float64()*p.endpoints.unobserved.maxWeight < ep.listedWeight()
 	if !isAccepted || !p.rules.allows(info.request, ep, info.now) {
 		return nil
 	}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -7,17 +7,16 @@
 )
 
 const (
-	// maxWarmUpRequestLatencies is the maximum expected latency of a request for an endpoint that warms up,
-	// in mean latencies of its class.
+	// maxWarmUpRequestLatencies is the maximum expected latency of a request that an endpoint may get while
+	// it warms up, in mean latencies of the request's class.
 	maxWarmUpRequestLatencies = 2.0
 	// permitLifetimesPerWindow is the number of permit lifetimes in an overload window.
 	permitLifetimesPerWindow = 2
-	// permitCarryOverFactor is the number of permits that can be used within an overload window, relative to
-	// the number issued for that time. It exceeds 1 because permits issued up to one lifetime earlier can
-	// still be used.
+	// permitCarryOverFactor is the ratio of the permits that can be used within an overload window to those
+	// issued in it. It exceeds 1 because permits issued up to one lifetime earlier can still be used.
 	permitCarryOverFactor = 1 + 1.0/permitLifetimesPerWindow
-	// coldFleetLimitShare is the share of minLimitPerEndpoint that all agents together send to an endpoint
-	// while no endpoint is warm.
+	// coldFleetLimitShare is a share of minLimitPerEndpoint. While no endpoint is warm, slow start assumes
+	// that all agents together have at least this number of attempts in flight at a warm endpoint.
 	coldFleetLimitShare = 0.5
 	// minUtilization keeps the mean time between permits finite.
 	minUtilization = 1e-9
@@ -30,16 +29,17 @@
 	nextPermitAt time.Duration // time from which on the endpoint may get its next request
 }
 
-// allows reports whether a permit is available now and the request is light enough for the endpoint.
+// allows reports whether a permit is available now and the request is light enough for the endpoint. The
+// caller must have called renewExpiredPermit, since allows does not check whether the permit has expired.
 func (w *warmUp) allows(r *request, now time.Duration) bool {
 	isLight := r.expectedLatencyNs() <= maxWarmUpRequestLatencies*r.class.meanLatencyNs
 	return w.nextPermitAt <= now && isLight
 }
 
 // slowStart limits the load that the fleet of agents as a whole sends to an endpoint that warms up. Agents
-// share no state: each agent sends at random times, at the rate of its own traffic to warm endpoints times
-// the warm-up fraction. Each attempt needs a permit. Unused permits expire, so that agents with little
-// traffic cannot accumulate permits and use them at the same time.
+// share no state: each agent sends at random times, at a rate in proportion to its own traffic to a warm
+// endpoint and to the warm-up fraction (see scheduleNextPermit). Each attempt needs a permit. Unused permits
+// expire, so that agents with little traffic cannot accumulate permits and use them at the same time.
 type slowStart struct {
 	rng              *rand.Rand
 	minCapacity      float64
@@ -48,8 +48,10 @@
 	overloadWindow   time.Duration // time over which that load counts; 0: endpoints cannot be overloaded
 	agents           float64
 
-	warmWorkNs float64 // decayed sum of the expected latencies of served attempts, per warm endpoint
-	decayedAt  time.Duration
+	// workPerWarmEndpointNs is the decayed work that warm endpoints have served for this agent, divided by
+	// their number. The work of an attempt is its expected latency.
+	workPerWarmEndpointNs float64
+	decayedAt             time.Duration // time up to which workPerWarmEndpointNs is decayed
 }
 
 func newSlowStart(settings *Settings, rng *rand.Rand) slowStart {
@@ -63,9 +65,11 @@
 	}
 }
 
-// start starts the warm-up of an endpoint whose process started at the time at.
-func (s *slowStart) start(ep *endpoint, at, now time.Duration, meanLatencyNs float64, fleet fleetSummary) {
-	ep.warmUp.startedAt, ep.warmUp.isActive = at, true
+// start starts the warm-up of an endpoint whose process started at startedAt.
+func (s *slowStart) start(
+	ep *endpoint, startedAt, now time.Duration, meanLatencyNs float64, fleet fleetSummary,
+) {
+	ep.warmUp.startedAt, ep.warmUp.isActive = startedAt, true
 	s.scheduleNextPermit(ep, now, meanLatencyNs, fleet)
 }
 
@@ -104,48 +108,49 @@
 	ep.warmUp.nextPermitAt -= s.permitLifetime()
 }
 
-// scheduleNextPermit draws the time of the next permit of an endpoint that gets workNs of work now. The
-// intervals between permits are exponentially distributed. The rate is that of a warm endpoint, times the
-// warm-up fraction, times the square root of the overload multiple (or the overload multiple over
-// permitCarryOverFactor, if that is less).
+// scheduleNextPermit draws the time of the next permit of an endpoint. The interval until then is
+// exponentially distributed. Its mean is the time in which the endpoint may get workNs of work: that of the
+// attempt being sent or, if there is none, the mean latency of a class. The endpoint may get work at the rate
+// of a warm endpoint, times the warm-up fraction, times the square root of the overload multiple (or the
+// overload multiple over permitCarryOverFactor, if that is less).
 func (s *slowStart) scheduleNextPermit(ep *endpoint, now time.Duration, workNs float64, fleet fleetSummary) {
 	// Work per time that this agent sends to a warm endpoint: its mean number of attempts in flight there.
-	utilization := max(s.decayWarmWork(now, fleet)/s.positiveWindowNs(), minUtilization)
-	if fleet.warm == 0 { // no traffic to warm endpoints determines the rate
+	utilization := max(s.decayWorkPerWarmEndpoint(now, fleet)/s.positiveWindowNs(), minUtilization)
+	if fleet.warm == 0 { // there may be no traffic to derive the rate from
 		utilization = max(utilization, minLimitPerEndpoint*coldFleetLimitShare/s.agents)
 	}
 	rateFactor := s.updateWarmUp(ep, now) *
 		min(math.Sqrt(s.overloadMultiple), s.overloadMultiple/permitCarryOverFactor)
 	delayNs := s.rng.ExpFloat64() * workNs / (rateFactor * utilization)
-	// No delay is longer than the slow start, after which the endpoint is warm and needs no permit.
+	// The delay is at most the duration of the slow start, after which the endpoint needs no permit.
 	ep.warmUp.nextPermitAt = now + time.Duration(min(delayNs, float64(s.duration)))
 }
 
 // recordServed records the work of an attempt that a warm endpoint has served for this agent. The work is
 // spread over all warm endpoints.
 func (s *slowStart) recordServed(now time.Duration, workNs float64, fleet fleetSummary) {
-	s.warmWorkNs = s.decayWarmWork(now, fleet) + workNs/float64(max(fleet.warm, 1))
+	s.workPerWarmEndpointNs = s.decayWorkPerWarmEndpoint(now, fleet) + workNs/float64(max(fleet.warm, 1))
 }
 
-// decayWarmWork applies the exponential decay to warmWorkNs up to now and returns it. While no endpoint is
-// warm, there is no decay.
-func (s *slowStart) decayWarmWork(now time.Duration, fleet fleetSummary) float64 {
+// decayWorkPerWarmEndpoint applies the exponential decay to workPerWarmEndpointNs up to now and returns it.
+// While no endpoint is warm, there is no decay.
+func (s *slowStart) decayWorkPerWarmEndpoint(now time.Duration, fleet fleetSummary) float64 {
 	if fleet.warm > 0 {
-		s.warmWorkNs *= math.Exp(-float64(now-s.decayedAt) / s.positiveWindowNs())
+		s.workPerWarmEndpointNs *= math.Exp(-float64(now-s.decayedAt) / s.positiveWindowNs())
 	}
 	s.decayedAt = now
-	return s.warmWorkNs
+	return s.workPerWarmEndpointNs
 }
 
 // positiveWindowNs returns the overload window plus 1 ns, which makes it usable as a divisor if the window is
 // 0.
 func (s *slowStart) positiveWindowNs() float64 { return float64(s.overloadWindow + 1) }
 
-// handleEndpointStarted handles the start of an endpoint's process at the time at: the new process has no
+// handleEndpointStarted handles the start of an endpoint's process at startedAt: the new process has no
 // connections and no statistics, and it starts to warm up.
-func (b *Balancer) handleEndpointStarted(ep *endpoint, at time.Duration) {
+func (b *Balancer) handleEndpointStarted(ep *endpoint, startedAt time.Duration) {
 	b.endpoints.markObserved(ep)
 	ep.connection.markDisconnected()
 	ep.responses.resetOnRestart()
-	b.slowStart.start(ep, at, b.now, b.classes.reference().meanLatencyNs, b.fleet)
+	b.slowStart.start(ep, startedAt, b.now, b.classes.reference().meanLatencyNs, b.fleet)
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -235,8 +235,8 @@
 			t.Run(fmt.Sprintf("%s/%d agents", tt.name, agents), func(t *testing.T) {
 				t.Parallel()
 				f := newFleetSimulation(agents)
-				f.startCount = max(1, int(tt.startedShare*float64(f.endpointCount)))
-				f.removeCount = min(int(tt.removedShare*float64(f.endpointCount)), f.endpointCount-f.startCount)
+				f.restartCount = max(1, int(tt.startedShare*float64(f.endpointCount)))
+				f.removeCount = min(int(tt.removedShare*float64(f.endpointCount)), f.endpointCount-f.restartCount)
 				f.restartAgents = tt.restartAgents
 				overload, servedShare := f.runMany(t)
 				if overload > 1 {
@@ -254,8 +254,8 @@
 // newFleetSimulation returns the simulation of TestSlowStartAcrossAgents without the change of the endpoint
 // list.
 func newFleetSimulation(agents int) fleetSimulation {
-	f := fleetSimulation{agentCount: agents, endpointCount: 30, load: 0.7, meanWork: 60 * ms, changeAt: 4 * time.Second,
-		duration: 10 * time.Second}
+	f := fleetSimulation{agentCount: agents, endpointCount: 30, load: 0.7, meanWork: 60 * ms,
+		changeAfter: 4 * time.Second, duration: 10 * time.Second}
 	if agents > 100 {
 		f.endpointCount = 60
 	}
