--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -69,10 +69,10 @@
 	t.Parallel()
 	down := testutil.NewServer(t, testutil.Hang).Addr()
 	server := testutil.NewServer(t, testutil.Echo)
-	const fleet = 350 // number of agents, all running at the same time
-	for i := range fleet {
+	const agentCount = 350 // number of agents, all running at the same time
+	for i := range agentCount {
 		c := testutil.Config(t, down, testutil.EntryJSON("s0", server.Addr(), "SERVING"))
-		c.Settings.Subscribe, c.Settings.Agents, c.Settings.AgentIndex = i%2 == 0, fleet, i
+		c.Settings.Subscribe, c.Settings.Agents, c.Settings.AgentIndex = i%2 == 0, agentCount, i
 		a, _ := startAgentWith(t, c, func(a *Agent) { a.acceptDuration = time.Millisecond })
 		if status := healthStatus(t, a); status != http.StatusOK {
 			t.Fatalf("agent %d: got health status %d with endpoints known, want 200", i, status)
@@ -91,28 +91,28 @@
 // The number of endpoints must not be limited, and endpoints without requests must not cost connections or goroutines.
 func TestLargeFleet(t *testing.T) { // not parallel, since it counts the goroutines of the process
 	server, service := testutil.NewServer(t, testutil.Echo), testutil.NewDiscovery(t)
-	const size = 2000
+	const endpointCount = 2000
 	entriesFrom := func(first int) []string {
-		entries := make([]string, size)
+		entries := make([]string, endpointCount)
 		for i := range entries {
 			entries[i] = testutil.EntryJSON(fmt.Sprint("s", first+i), server.Addr(), "SERVING")
 		}
 		return entries
 	}
 	c := testutil.Config(t, service.Addr, entriesFrom(0)...)
-	c.Settings.Agents, c.Settings.AgentIndex = size, size-1
+	c.Settings.Agents, c.Settings.AgentIndex = endpointCount, endpointCount-1
 	before := runtime.NumGoroutine()
 	a := startAgent(t, c)
 	testutil.Receive(t, service.Watches)
-	service.Lines <- `{"version":2,"full":true,"servers":[` + strings.Join(entriesFrom(size), ",") + `]}`
-	testutil.WaitFor(t, "the list", func() bool { return isServing(a, fmt.Sprint("s", 2*size-1)) })
+	service.Lines <- `{"version":2,"full":true,"servers":[` + strings.Join(entriesFrom(endpointCount), ",") + `]}`
+	testutil.WaitFor(t, "the list", func() bool { return isServing(a, fmt.Sprint("s", 2*endpointCount-1)) })
 	if status := requestStatus(t, a, "POST", "/settle", id, "7000"); status != http.StatusOK {
 		t.Errorf("got status %d, want 200", status)
 	}
 	if n := a.loop.upstream.OpenConnections(); n > 1 {
 		t.Errorf("got %d connections for one request, want at most 1", n)
 	}
-	if n := runtime.NumGoroutine() - before; n > size/2 {
+	if n := runtime.NumGoroutine() - before; n > endpointCount/2 {
 		t.Errorf("got %d goroutines for one agent and one request, want at most half the number of endpoints", n)
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -90,7 +90,7 @@
 	for {
 		entry, serving := c.table.LookupServing(endpointID)
 		if !serving { // nothing was sent, so the request may be sent to another endpoint
-			return nil, &connectError{endpointID, balancer.ConnectFailed, ErrNotServing}
+			return nil, &connectError{endpointID, balancer.ConnectFailed, errNotServing}
 		}
 		conn, failure := c.takeIdleOrDial(ctx, entry, deadline)
 		if failure != nil {
@@ -133,7 +133,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return balancer.NotSent
-	case errors.Is(err, socket.ErrLocalFailure) || errors.Is(err, ErrPoolExhausted):
+	case errors.Is(err, socket.ErrLocalFailure) || errors.Is(err, errPoolExhausted):
 		return balancer.LocalFailure
 	}
 	return balancer.ConnectFailed
@@ -171,7 +171,7 @@
 		return balancer.Served
 	case response.Err == nil && response.isRejected():
 		return balancer.Rejected
-	case response.Err == nil || errors.Is(response.Err, ErrMalformedResponse):
+	case response.Err == nil || errors.Is(response.Err, errMalformedResponse):
 		return balancer.ServerError
 	case !outcome.requestWritten:
 		return balancer.ConnectFailed // the request was not sent completely, so it can't have run
@@ -210,7 +210,7 @@
 // logUnexpectedResponse logs malformed responses, and responses with an unexpected status: any but 200, 500, and 503 or
 // 504 with the X-Rejected header.
 func (c *Client) logUnexpectedResponse(endpointID string, result balancer.Result, response Response) {
-	if errors.Is(response.Err, ErrMalformedResponse) {
+	if errors.Is(response.Err, errMalformedResponse) {
 		c.log.Warn(telemetry.MsgMalformedResponse, telemetry.Endpoint(endpointID), telemetry.Err(response.Err))
 		return
 	}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -29,7 +29,7 @@
 
 func TestUnknownEndpoint(t *testing.T) {
 	result, response := newTestClient(t).attempt(testutil.Timeout)
-	if result != balancer.ConnectFailed || !errors.Is(response.Err, ErrNotServing) {
+	if result != balancer.ConnectFailed || !errors.Is(response.Err, errNotServing) {
 		t.Errorf("got result %d, error %v, want ConnectFailed with ErrNotServing", result, response.Err)
 	}
 }
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -29,8 +29,8 @@
 type endpointGroup struct {
 	endpointID string
 
-	idle    []*connection // idle connections by idleSince, oldest first
-	numOpen int           // connections that are idle, in use or being dialled
+	idle      []*connection // idle connections by idleSince, oldest first
+	openCount int           // connections that are idle, in use or being dialled
 
 	// draining is set when the group is removed from the pool because its endpoint is draining, was removed or was
 	// restarted. Connections that are in use are then closed on release.
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -7,13 +7,13 @@
 )
 
 var (
-	// ErrNotServing means that the endpoint of an attempt started to drain, or was removed from the list, after the
+	// errNotServing means that the endpoint of an attempt started to drain, or was removed from the list, after the
 	// endpoint was picked.
-	ErrNotServing = errors.New("endpoint is not serving")
-	// ErrPoolExhausted means that the pool has reached its connection limit and all connections are in use.
-	ErrPoolExhausted = errors.New("connection pool exhausted")
-	// ErrMalformedResponse marks a response that violates the protocol. Its request may have run.
-	ErrMalformedResponse = errors.New("malformed response")
+	errNotServing = errors.New("endpoint is not serving")
+	// errPoolExhausted means that the pool has reached its connection limit and all connections are in use.
+	errPoolExhausted = errors.New("connection pool exhausted")
+	// errMalformedResponse marks a response that violates the protocol. Its request may have run.
+	errMalformedResponse = errors.New("malformed response")
 )
 
 // connectError is the failure of an attempt to get a connection. No byte of the request was sent.
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -80,7 +80,7 @@
 			if result != tt.want {
 				t.Errorf("got result %d, want %d", result, tt.want)
 			}
-			if response.Err != nil && result == balancer.ServerError && !errors.Is(response.Err, ErrMalformedResponse) {
+			if response.Err != nil && result == balancer.ServerError && !errors.Is(response.Err, errMalformedResponse) {
 				t.Errorf("got error %v, want ErrMalformedResponse", response.Err)
 			}
 			if n := len(server.Received); n != 1 {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -24,7 +24,7 @@
 	dialer         socket.Dialer
 
 	mu             sync.Mutex                // protects the fields below and the groups
-	numOpen        int                       // connections that are idle, in use or being dialled
+	openCount      int                       // connections that are idle, in use or being dialled
 	groups         map[string]*endpointGroup // groups with numOpen > 0 that are not draining, by endpoint ID
 	sweepScheduled bool                      // a timer for sweep is running
 }
@@ -76,16 +76,16 @@
 func (p *pool) reserve(endpointID string) (*endpointGroup, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.maxConnections > 0 && p.numOpen >= p.maxConnections && !p.evictIdleLocked() {
-		return nil, ErrPoolExhausted
+	if p.maxConnections > 0 && p.openCount >= p.maxConnections && !p.evictIdleLocked() {
+		return nil, errPoolExhausted
 	}
 	group := p.groups[endpointID]
 	if group == nil {
 		group = &endpointGroup{endpointID: endpointID}
 		p.groups[endpointID] = group
 	}
-	group.numOpen++
-	p.numOpen++
+	group.openCount++
+	p.openCount++
 	return group, nil
 }
 
@@ -174,9 +174,9 @@
 // decrementOpenLocked decrements the counts of open connections and removes the group if it has none left. The caller
 // holds p.mu.
 func (p *pool) decrementOpenLocked(group *endpointGroup) {
-	p.numOpen--
-	group.numOpen--
-	if group.numOpen == 0 && p.groups[group.endpointID] == group {
+	p.openCount--
+	group.openCount--
+	if group.openCount == 0 && p.groups[group.endpointID] == group {
 		delete(p.groups, group.endpointID)
 	}
 }
@@ -201,16 +201,16 @@
 }
 
 // closeIdleSince closes the connections to an endpoint that became idle at or before a time.
-func (p *pool) closeIdleSince(endpointID string, since time.Time) {
+func (p *pool) closeIdleSince(endpointID string, cutoff time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeIdleSinceLocked(p.groups[endpointID], since)
+	p.closeIdleSinceLocked(p.groups[endpointID], cutoff)
 }
 
 // closeIdleSinceLocked closes the group's connections that became idle at or before a time. The group may be nil. The
 // caller holds p.mu.
-func (p *pool) closeIdleSinceLocked(group *endpointGroup, since time.Time) {
-	for group != nil && len(group.idle) > 0 && !group.idle[0].idleSince.After(since) {
+func (p *pool) closeIdleSinceLocked(group *endpointGroup, cutoff time.Time) {
+	for group != nil && len(group.idle) > 0 && !group.idle[0].idleSince.After(cutoff) {
 		p.closeLocked(group.popOldest())
 	}
 }
@@ -219,5 +219,5 @@
 func (p *pool) openConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.numOpen
+	return p.openCount
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -156,7 +156,7 @@
 	testutil.Receive(t, first.Closed)
 	inUse := client.pool.takeIdle("s1")
 	result, response := client.attempt(testutil.Timeout)
-	if result != balancer.LocalFailure || !errors.Is(response.Err, ErrPoolExhausted) {
+	if result != balancer.LocalFailure || !errors.Is(response.Err, errPoolExhausted) {
 		t.Errorf("got result %d, error %v, want LocalFailure with ErrPoolExhausted", result, response.Err)
 	}
 	client.pool.close(inUse)
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -101,7 +101,7 @@
 	if r.connErr != nil && !r.isStalled() {
 		return Response{Err: r.connErr}
 	}
-	return Response{Err: fmt.Errorf("%w: %w", ErrMalformedResponse, err)}
+	return Response{Err: fmt.Errorf("%w: %w", errMalformedResponse, err)}
 }
 
 // isStalled reports whether the read failed by the stall timeout and not by the deadline or a cancellation.
