--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -12,7 +12,8 @@
 	"ashshunt/internal/testutil"
 )
 
-// maxBodyBytes is the maximum size of request and response bodies.
+// maxBodyBytes is the maximum size of request and response bodies. It repeats the value of protocol.MaxBodySize, so
+// that a test fails if that limit is lowered.
 const maxBodyBytes = 64 << 10
 
 func TestServed(t *testing.T) {
@@ -64,12 +65,13 @@
 }
 
 // Agents must become ready while discovery is down: with endpoints from the cached list at once, and without endpoints
-// after a short wait. Otherwise the application would get no responses instead of rejections.
+// after a short wait. As long as an agent is not ready, the application gets no response at all. A ready agent without
+// endpoints rejects its requests.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	down := testutil.NewServer(t, testutil.Hang).Addr()
 	server := testutil.NewServer(t, testutil.Echo)
-	const agentCount = 350 // number of agents, all running at the same time
+	const agentCount = 350 // all running at the same time
 	for i := range agentCount {
 		c := testutil.Config(t, down, testutil.EntryJSON("s0", server.Addr(), "SERVING"))
 		c.Settings.Subscribe, c.Settings.Agents, c.Settings.AgentIndex = i%2 == 0, agentCount, i
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -37,7 +37,7 @@
 	// These fields are used by the event loop's goroutine only.
 	phase              requestPhase
 	deadlineGuard      *timer               // nil if the request is finished
-	attemptsUntil      time.Duration        // deadline of all attempts, on the agent's clock; 0 before the first step
+	attemptsUntil      time.Duration        // deadline of attempts, on the agent's clock; 0 before setRequestTimeout
 	attemptCancels     []context.CancelFunc // by attempt number; nil for a finished attempt
 	inFlight           int                  // number of unfinished attempts
 	finishedMayHaveRun bool                 // a finished attempt may have run, according to its result
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -22,13 +22,13 @@
 }
 
 // A watch that idles, a next watch without a response, and the backoff after each must fit into the 6 s after which
-// discovery treats a change as received.
+// discovery assumes that every agent has a change.
 func TestRestartsFitMaxPropagationDelay(t *testing.T) {
 	client, settings := newClient(t, false)
 	// The remaining 0.5 s are for the next watch, which may take that long on a slow machine.
 	worst := client.idleTimeout + client.callTimeout + 2*client.source.backoff.maxDelay
 	if worst > 5500*time.Millisecond {
-		t.Errorf("got %v for two idle watches, want at most 5.5 s", worst)
+		t.Errorf("got %v for an idle watch, a hanging watch and two delays, want at most 5.5 s", worst)
 	}
 	if client.source.backoff.maxDelay > settings.DrainGrace/4 {
 		t.Errorf("got maximum backoff delay %v, want at most a quarter of the drain grace of %v",
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -19,11 +19,12 @@
 	errDeltaBeforeComplete = errors.New("watch received a delta before the complete list")
 )
 
-// watch is a watch of one address. It runs on the goroutine that Subscribe starts.
+// watch is one long-lived request to discovery, whose response streams endpoint lists. It runs on the goroutine that
+// Subscribe starts.
 type watch struct {
-	addr  string
+	addr  string             // address of discovery, as host:port
 	since int64              // version to continue from; if unknownVersion, the first list must be complete
-	stop  context.CancelFunc // stops the watch
+	stop  context.CancelFunc // cancels the request
 }
 
 func (w *watch) query() string {
@@ -34,10 +35,11 @@
 }
 
 // runWatch sends the request of a watch and applies its lists until the watch ends, times out or receives a malformed
-// list. It always returns an error.
+// list. The error is never nil; it says why the watch ended.
 func (c *Client) runWatch(ctx context.Context, w *watch) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
+	// The timer limits the time until the response at first, and then the time without data between lists.
 	idleTimer := time.AfterFunc(c.callTimeout, func() { cancel(errWatchTimeout) })
 	defer idleTimer.Stop()
 	body, err := c.get(ctx, w.addr, w.query())
@@ -46,7 +48,7 @@
 	}
 	defer func() { _ = body.Close() }()
 	idleTimer.Reset(c.idleTimeout)
-	c.source.activateWatch(w, false)
+	c.source.activateWatch(w, false) // not complete: no list has been received yet
 	c.log.Info(telemetry.MsgWatchEstablished, telemetry.Discovery(w.addr), "since", w.since)
 	reader := newWatchReader(body, idleTimer, c.idleTimeout, func() { cancel(errListTimeout) })
 	defer reader.stop()
@@ -65,7 +67,7 @@
 		if err != nil {
 			return err
 		}
-		if ctx.Err() != nil { // replaced or timed out: another watch receives the list
+		if ctx.Err() != nil { // stopped or timed out: the next watch, if any, receives the list
 			return ctx.Err()
 		}
 		c.listTimeout.update(reader.listDuration())
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -30,7 +30,7 @@
 func TestUnknownEndpoint(t *testing.T) {
 	result, response := newTestClient(t).attempt(testutil.Timeout)
 	if result != balancer.ConnectFailed || !errors.Is(response.Err, errNotServing) {
-		t.Errorf("got result %d, error %v, want ConnectFailed with ErrNotServing", result, response.Err)
+		t.Errorf("got result %d, error %v, want ConnectFailed with errNotServing", result, response.Err)
 	}
 }
 
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -71,8 +71,8 @@
 // CloseIdle closes the idle connections to an endpoint.
 func (c *Client) CloseIdle(endpointID string) { c.pool.closeIdle(endpointID) }
 
-// DrainConnections closes the connections to an endpoint that is draining, was removed or was restarted: idle
-// connections at once, connections in use when their exchange finishes.
+// DrainConnections closes the connections to an endpoint that is draining, was removed, was restarted or has a new
+// address: idle connections at once, connections in use when their exchange finishes.
 func (c *Client) DrainConnections(endpointID string) { c.pool.drain(endpointID) }
 
 // OpenConnections returns the number of connections that are open or being dialled.
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -7,8 +7,8 @@
 )
 
 var (
-	// errNotServing means that the endpoint of an attempt started to drain, or was removed from the list, after the
-	// endpoint was picked.
+	// errNotServing means that an endpoint started to drain, or was removed from the list, after it was picked for an
+	// attempt or a health check.
 	errNotServing = errors.New("endpoint is not serving")
 	// errPoolExhausted means that the pool has reached its connection limit and all connections are in use.
 	errPoolExhausted = errors.New("connection pool exhausted")
@@ -16,10 +16,10 @@
 	errMalformedResponse = errors.New("malformed response")
 )
 
-// connectError is the failure of an attempt to get a connection. No byte of the request was sent.
+// connectError says why there was no connection for an attempt or a health check. No byte of the request was sent.
 type connectError struct {
 	endpointID string
-	result     balancer.Result // result of the attempt
+	result     balancer.Result // result of the attempt or health check
 	cause      error
 }
 
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -81,7 +81,7 @@
 				t.Errorf("got result %d, want %d", result, tt.want)
 			}
 			if response.Err != nil && result == balancer.ServerError && !errors.Is(response.Err, errMalformedResponse) {
-				t.Errorf("got error %v, want ErrMalformedResponse", response.Err)
+				t.Errorf("got error %v, want errMalformedResponse", response.Err)
 			}
 			if n := len(server.Received); n != 1 {
 				t.Errorf("endpoint received %d requests, want 1 for one attempt", n)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -20,12 +20,12 @@
 // exceeded the idle timeout and schedules the next sweep.
 type pool struct {
 	idleTimeout    time.Duration // a connection that is idle for longer is closed
-	maxConnections int           // maximum of numOpen; 0 means no limit
+	maxConnections int           // maximum of openCount; 0 means no limit
 	dialer         socket.Dialer
 
 	mu             sync.Mutex                // protects the fields below and the groups
-	openCount      int                       // connections that are idle, in use or being dialled
-	groups         map[string]*endpointGroup // groups with numOpen > 0 that are not draining, by endpoint ID
+	openCount      int                       // number of connections that are idle, in use or being dialled
+	groups         map[string]*endpointGroup // groups with openCount > 0 that are not draining, by endpoint ID
 	sweepScheduled bool                      // a timer for sweep is running
 }
 
@@ -72,7 +72,7 @@
 }
 
 // reserve counts a connection that is about to be dialled. At the connection limit it evicts an idle connection, or
-// returns ErrPoolExhausted if none is idle.
+// returns errPoolExhausted if none is idle.
 func (p *pool) reserve(endpointID string) (*endpointGroup, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,7 +181,8 @@
 	}
 }
 
-// drain closes the idle connections to an endpoint at once, and the connections in use when they are released.
+// drain closes the idle connections to an endpoint at once, and the connections in use when they are released. It is
+// called when the endpoint is draining, was removed, was restarted or has a new address.
 func (p *pool) drain(endpointID string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,14 +201,14 @@
 	p.closeIdleSinceLocked(p.groups[endpointID], time.Now())
 }
 
-// closeIdleSince closes the connections to an endpoint that became idle at or before a time.
+// closeIdleSince closes the connections to an endpoint that became idle at or before cutoff.
 func (p *pool) closeIdleSince(endpointID string, cutoff time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdleSinceLocked(p.groups[endpointID], cutoff)
 }
 
-// closeIdleSinceLocked closes the group's connections that became idle at or before a time. The group may be nil. The
+// closeIdleSinceLocked closes the group's connections that became idle at or before cutoff. The group may be nil. The
 // caller holds p.mu.
 func (p *pool) closeIdleSinceLocked(group *endpointGroup, cutoff time.Time) {
 	for group != nil && len(group.idle) > 0 && !group.idle[0].idleSince.After(cutoff) {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -157,7 +157,7 @@
 	inUse := client.pool.takeIdle("s1")
 	result, response := client.attempt(testutil.Timeout)
 	if result != balancer.LocalFailure || !errors.Is(response.Err, errPoolExhausted) {
-		t.Errorf("got result %d, error %v, want LocalFailure with ErrPoolExhausted", result, response.Err)
+		t.Errorf("got result %d, error %v, want LocalFailure with errPoolExhausted", result, response.Err)
 	}
 	client.pool.close(inUse)
 }
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -95,7 +95,7 @@
 }
 
 // failedResponse returns the response of a failed read. Its error is that of the connection if there is one. Otherwise
-// it wraps ErrMalformedResponse and err. A response that starts and then stalls is malformed too, although its read
+// it wraps errMalformedResponse and err. A response that starts and then stalls is malformed too, although its read
 // failed with a timeout: the endpoint keeps the connection open and sends no more.
 func (r *responseReader) failedResponse(err error) Response {
 	if r.connErr != nil && !r.isStalled() {
