--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -80,8 +80,8 @@
 			if result != tt.want {
 				t.Errorf("got result %d, want %d", result, tt.want)
 			}
-			if response.Err != nil && result == balancer.ServerError && !errors.Is(response.Err, ErrMalformedResponse) {
-				t.Errorf("got error %v, want ErrMalformedResponse", response.Err)
+			if response.Err != nil && result == balancer.ServerError && !errors.Is(response.Err, errMalformedResponse) {
+				t.Errorf("got error %v, want errMalformedResponse", response.Err)
 			}
 			if n := len(server.Received); n != 1 {
 				t.Errorf("endpoint received %d requests, want 1 for one attempt", n)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -20,12 +20,12 @@
 // exceeded the idle timeout and schedules the next sweep.
 type pool struct {
 	idleTimeout    time.Duration // a connection that is idle for longer is closed
-	maxConnections int           // maximum of numOpen; 0 means no limit
+	maxConnections int           // maximum of openCount; 0 means no limit
 	dialer         socket.Dialer
 
 	mu             sync.Mutex                // protects the fields below and the groups
-	numOpen        int                       // connections that are idle, in use or being dialled
-	groups         map[string]*endpointGroup // groups with numOpen > 0 that are not draining, by endpoint ID
+	openCount      int                       // number of connections that are idle, in use or being dialled
+	groups         map[string]*endpointGroup // groups with openCount > 0 that are not draining, by endpoint ID
 	sweepScheduled bool                      // a timer for sweep is running
 }
 
@@ -72,20 +72,20 @@
 }
 
 // reserve counts a connection that is about to be dialled. At the connection limit it evicts an idle connection, or
-// returns ErrPoolExhausted if none is idle.
+// returns errPoolExhausted if none is idle.
 func (p *pool) reserve(endpointID string) (*endpointGroup, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.maxConnections > 0 && p.numOpen >= p.maxConnections && !p.evictIdleLocked() {
-		return nil, ErrPoolExhausted
+	if p.maxConnections > 0 && p.openCount >= p.maxConnections && !p.evictIdleLocked() {
+		return nil, errPoolExhausted
 	}
 	group := p.groups[endpointID]
 	if group == nil {
 		group = &endpointGroup{endpointID: endpointID}
 		p.groups[endpointID] = group
 	}
-	group.numOpen++
-	p.numOpen++
+	group.openCount++
+	p.openCount++
 	return group, nil
 }
 
@@ -174,14 +174,15 @@
 // decrementOpenLocked decrements the counts of open connections and removes the group if it has none left. The caller
 // holds p.mu.
 func (p *pool) decrementOpenLocked(group *endpointGroup) {
-	p.numOpen--
-	group.numOpen--
-	if group.numOpen == 0 && p.groups[group.endpointID] == group {
+	p.openCount--
+	group.openCount--
+	if group.openCount == 0 && p.groups[group.endpointID] == group {
 		delete(p.groups, group.endpointID)
 	}
 }
 
-// drain closes the idle connections to an endpoint at once, and the connections in use when they are released.
+// drain closes the idle connections to an endpoint at once, and the connections in use when they are released. It is
+// called when the endpoint is draining, was removed, was restarted or has a new address.
 func (p *pool) drain(endpointID string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,17 +201,17 @@
 	p.closeIdleSinceLocked(p.groups[endpointID], time.Now())
 }
 
-// closeIdleSince closes the connections to an endpoint that became idle at or before a time.
-func (p *pool) closeIdleSince(endpointID string, since time.Time) {
+// closeIdleSince closes the connections to an endpoint that became idle at or before cutoff.
+func (p *pool) closeIdleSince(endpointID string, cutoff time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeIdleSinceLocked(p.groups[endpointID], since)
+	p.closeIdleSinceLocked(p.groups[endpointID], cutoff)
 }
 
-// closeIdleSinceLocked closes the group's connections that became idle at or before a time. The group may be nil. The
+// closeIdleSinceLocked closes the group's connections that became idle at or before cutoff. The group may be nil. The
 // caller holds p.mu.
-func (p *pool) closeIdleSinceLocked(group *endpointGroup, since time.Time) {
-	for group != nil && len(group.idle) > 0 && !group.idle[0].idleSince.After(since) {
+func (p *pool) closeIdleSinceLocked(group *endpointGroup, cutoff time.Time) {
+	for group != nil && len(group.idle) > 0 && !group.idle[0].idleSince.After(cutoff) {
 		p.closeLocked(group.popOldest())
 	}
 }
@@ -219,5 +220,5 @@
 func (p *pool) openConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.numOpen
+	return p.openCount
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -156,8 +156,8 @@
 	testutil.Receive(t, first.Closed)
 	inUse := client.pool.takeIdle("s1")
 	result, response := client.attempt(testutil.Timeout)
-	if result != balancer.LocalFailure || !errors.Is(response.Err, ErrPoolExhausted) {
-		t.Errorf("got result %d, error %v, want LocalFailure with ErrPoolExhausted", result, response.Err)
+	if result != balancer.LocalFailure || !errors.Is(response.Err, errPoolExhausted) {
+		t.Errorf("got result %d, error %v, want LocalFailure with errPoolExhausted", result, response.Err)
 	}
 	client.pool.close(inUse)
 }
