--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -59,5 +59,5 @@
 	ep := r.attempts[len(r.attempts)-1].endpoint
 	r.lastFailedEndpoint = ep
 	ep.connection.markDisconnected()
-	b.outliers.ejectForClassIfLagging(ep, r.class, b.now)
+	b.outliers.ejectForLaggingClass(ep, r.class, b.now)
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -113,7 +113,7 @@
 // Otherwise it updates the limit and the latency ratio, as for a slow response.
 func (b *Balancer) handleAttemptTimedOut(r *request, a *attempt, latency time.Duration) {
 	ep := a.endpoint
-	b.outliers.ejectForClassIfLagging(ep, r.class, b.now)
+	b.outliers.ejectForLaggingClass(ep, r.class, b.now)
 	if ep.responses.lastServedAt < a.sentAt {
 		b.outliers.eject(a, r.class, b.now)
 		return
@@ -129,7 +129,7 @@
 	threshold := b.outliers.failureThreshold(outcome.Result) // computed before this failure is recorded
 	b.outliers.recordFailure(ep, b.now)
 	if b.outliers.isSingleConnectionFailure(ep, outcome) {
-		threshold = maxConsecutiveFailures
+		threshold = maxFailureThreshold
 		if connectFailed {
 			b.outliers.skipBriefly(ep, r.class, b.now)
 		}
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -12,13 +12,13 @@
 	// connectSignificanceLevel is the same for failed connections. It is higher because they are stronger
 	// evidence and their requests never ran.
 	connectSignificanceLevel = 50 * significanceLevel
-	// minConsecutiveFailures and minConsecutiveConnectFailures are the minimum numbers of consecutive
+	// minFailureThreshold and minConnectFailureThreshold are the minimum numbers of consecutive
 	// failures that eject an endpoint.
-	minConsecutiveFailures        = 2.0
-	minConsecutiveConnectFailures = 1.0
-	// maxConsecutiveFailures is the number of consecutive failures that ejects an endpoint at any failure
+	minFailureThreshold        = 2.0
+	minConnectFailureThreshold = 1.0
+	// maxFailureThreshold is the number of consecutive failures that ejects an endpoint at any failure
 	// rate.
-	maxConsecutiveFailures = 6
+	maxFailureThreshold = 6
 	// minFailureRate and maxFailureRate bound the failure rate that failureThreshold uses.
 	minFailureRate = 1e-6
 	maxFailureRate = 0.3
@@ -61,14 +61,14 @@
 // failureThreshold returns the number of consecutive failures that ejects an endpoint at the current failure
 // rate, after an attempt with the given result.
 func (d *outlierDetector) failureThreshold(result Result) int {
-	minFailures, significance := minConsecutiveFailures, significanceLevel
+	minFailures, significance := minFailureThreshold, significanceLevel
 	if result == ConnectFailed {
-		minFailures, significance = minConsecutiveConnectFailures, connectSignificanceLevel
+		minFailures, significance = minConnectFailureThreshold, connectSignificanceLevel
 	}
 	rate := min(max(d.failureRate, minFailureRate), maxFailureRate)
 	// The smallest n with rate^n <= significance.
 	failures := math.Ceil(math.Log(significance) / math.Log(rate))
-	return int(min(max(minFailures, failures), maxConsecutiveFailures))
+	return int(min(max(minFailures, failures), maxFailureThreshold))
 }
 
 // isSingleConnectionFailure reports whether a connection to an endpoint failed or broke although the
@@ -101,9 +101,9 @@
 	e.eject(now, class.Objective, jitter)
 }
 
-// ejectForClassIfLagging ejects an endpoint for one class if the on-time share of the class is significantly
+// ejectForLaggingClass ejects an endpoint for one class if the on-time share of the class is significantly
 // lower than that of the best class. Otherwise the fleet as a whole is slow, and not this endpoint.
-func (d *outlierDetector) ejectForClassIfLagging(ep *endpoint, class *classStats, now time.Duration) {
+func (d *outlierDetector) ejectForLaggingClass(ep *endpoint, class *classStats, now time.Duration) {
 	if class.onTimeShare() > d.classes.best().onTimeShare()-significantOnTimeGap {
 		return
 	}
