--- a/balancer/internal_test.go
+++ b/balancer/internal_test.go
@@ -37,7 +37,8 @@
 	for _, tt := range tests {
 		isSubscribe, r := timers.takeSubscribe(tt.token), timers.takeRequest(tt.token)
 		if isSubscribe != tt.isSubscribe || r != tt.request {
-			t.Errorf("%s: got subscribe %v and request %v, which differ from the test case", tt.name, isSubscribe, r)
+			t.Errorf("%s: got subscribe %v and request %v, want %v and %v",
+				tt.name, isSubscribe, r, tt.isSubscribe, tt.request)
 		}
 	}
 	if len(timers.requests) != 0 {
@@ -147,7 +148,7 @@
 		{"allowance used up", 40, excessAllowance, 0, true},
 		{"enough served on time", 40, excessAllowance + 9*maxSentPerOnTime, 10, false},
 		{"too few served on time", 40, excessAllowance + 11*maxSentPerOnTime, 10, true},
-		{"share of one attempt", 8, 100, 0, false},
+		{"share of exactly one attempt", 8, 100, 0, false},
 	}
 	for _, tt := range tests {
 		limiter, traffic := newConcurrencyLimiter(tt.agents), trafficStats{sent: tt.sent, servedOnTime: tt.onTime}
@@ -157,8 +158,8 @@
 	}
 }
 
-// The subset holds the candidates of lowest weighted rank, whatever the order of insertion. Each other
-// candidate is returned exactly once.
+// The subset holds the candidates of lowest weighted rank, whatever the order of insertion. Every candidate
+// outside the subset is returned by insert exactly once.
 func TestCandidateSet(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -190,6 +191,7 @@
 // and removals.
 func TestUnobservedEndpoints(t *testing.T) {
 	const ownZone, crossZoneDivisor = 1, 3.0
+	// Factors of the weighted ranks, by zone: a divisor of the weight multiplies the weighted rank.
 	zoneFactors := []float64{crossZoneDivisor, 1, crossZoneDivisor}
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 8))
@@ -217,8 +219,8 @@
 	}
 }
 
-// The delay of a Subscribe has full jitter. Its maximum grows with the number of agents and with consecutive
-// failures.
+// The delay of a Subscribe is uniform between 0 and its maximum, which grows with the number of agents and
+// with consecutive failures.
 func TestSubscriberDelays(t *testing.T) {
 	failures := slices.Repeat([]ListKind{ListFailed}, 20)
 	tests := []struct {
--- a/balancer/keyqueue.go
+++ b/balancer/keyqueue.go
@@ -5,15 +5,18 @@
 	"time"
 )
 
-// timerResolution is the maximum time by which the agent's timers fire early.
+// timerResolution is the maximum time by which a timer of the agent may fire early. It is added to the wait
+// for the end of a quiet period, so that the period has ended when the timer fires.
 const timerResolution = time.Microsecond
 
 // keyQueue holds the requests of one key that are open or have attempts in flight, oldest first. They run one
 // at a time.
 type keyQueue struct {
-	key        string
-	requests   []*request
-	quietUntil time.Duration // end of the quiet period, in which no attempt is sent; 0: none
+	key      string
+	requests []*request
+	// quietUntil is the end of the quiet period, in which no attempt is sent; 0: none. A quiet period gives
+	// an attempt that may still be running time to finish before the next request of the key is sent.
+	quietUntil time.Duration
 }
 
 // isUnused reports whether the queue is empty and has no quiet period.
@@ -46,8 +49,8 @@
 	r.keyQueue = queue
 }
 
-// remove removes a finished request. The next request of its key may be sent after the returned wait; 0 means
-// at once.
+// remove removes a finished request that has no attempts in flight. The next request of its key may be sent
+// after the returned wait; 0 means at once.
 func (qs *keyQueues) remove(r *request, now time.Duration) (wait time.Duration) {
 	queue := r.keyQueue
 	r.keyQueue = nil
@@ -81,8 +84,8 @@
 	}
 }
 
-// removeFromKeyQueue removes a finished request from its key's queue, so that the next request of the key can
-// be sent. If that request has to wait, a timer triggers the step that sends it.
+// removeFromKeyQueue removes a finished request without attempts in flight from its key's queue, so that the
+// next request of the key can be sent. If that request has to wait, a timer triggers the step that sends it.
 func (b *Balancer) removeFromKeyQueue(r *request) {
 	if r.keyQueue == nil {
 		return
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// significanceLevel is the probability below which consecutive failures do not count as chance.
+	// significanceLevel is the probability up to which consecutive failures are not attributed to chance.
 	significanceLevel = 1e-3
 	// connectSignificanceLevel is the same for failed connections. It is higher because they are stronger
 	// evidence and their requests never ran.
 	connectSignificanceLevel = 50 * significanceLevel
-	// minFailureThreshold and minConnectFailureThreshold are the minimum numbers of consecutive
-	// failures that eject an endpoint.
+	// minFailureThreshold is the minimum number of consecutive failures that ejects an endpoint.
+	// minConnectFailureThreshold is the same if the latest failure is a failed connection.
 	minFailureThreshold        = 2.0
 	minConnectFailureThreshold = 1.0
-	// maxFailureThreshold is the number of consecutive failures that ejects an endpoint at any failure
-	// rate.
+	// maxFailureThreshold is the number of consecutive failures that ejects an endpoint at any failure rate.
 	maxFailureThreshold = 6
 	// minFailureRate and maxFailureRate bound the failure rate that failureThreshold uses.
 	minFailureRate = 1e-6
 	maxFailureRate = 0.3
 
-	// maxEjectedShare bounds ejections for errors: an endpoint is ejected only if at most this share of the
-	// serving endpoints, or a single one, is then ejected, for any cause. The others must carry the load.
+	// maxEjectedShare is the maximum ejected share of the serving endpoints that ejections for errors may
+	// reach, because the others must carry the load. Ejections after TimedOut or ConnectFailed are not
+	// bounded, but count too. If no serving endpoint is ejected, one may be ejected for errors in a fleet of
+	// any size.
 	maxEjectedShare = 0.2
 	// unansweredDialDivisor divides the connect timeout: a dial that failed after more than the resulting
 	// time had no answer.
@@ -72,8 +73,9 @@
 }
 
 // isSingleConnectionFailure reports whether a connection to an endpoint failed or broke although the
-// endpoint's process is still running. A process that ends closes all its connections, so that older attempts
-// still in flight show that it runs. A dial without an answer is no evidence of a running process.
+// endpoint's process is still running. A process that ends closes all its connections. An attempt that was
+// sent before the first of the consecutive failures and is still in flight therefore shows that the process
+// runs. A dial without an answer is no evidence of a running process.
 func (d *outlierDetector) isSingleConnectionFailure(ep *endpoint, outcome *Outcome) bool {
 	if outcome.Result == ServerError {
 		return false
@@ -101,8 +103,9 @@
 	e.eject(now, class.Objective, jitter)
 }
 
-// ejectForLaggingClass ejects an endpoint for one class if the on-time share of the class is significantly
-// lower than that of the best class. Otherwise the fleet as a whole is slow, and not this endpoint.
+// ejectForLaggingClass ejects an endpoint for a class that lags behind the best class: its on-time share is
+// lower by at least significantOnTimeGap. If the class does not lag, the fleet as a whole is slow, and the
+// endpoint is not ejected.
 func (d *outlierDetector) ejectForLaggingClass(ep *endpoint, class *classStats, now time.Duration) {
 	if class.onTimeShare() > d.classes.best().onTimeShare()-significantOnTimeGap {
 		return
