--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// significanceLevel is the probability below which consecutive failures do not count as chance.
+	// significanceLevel is the probability up to which consecutive failures are not attributed to chance.
 	significanceLevel = 1e-3
 	// connectSignificanceLevel is the same for failed connections. It is higher because they are stronger
 	// evidence and their requests never ran.
 	connectSignificanceLevel = 50 * significanceLevel
-	// minConsecutiveFailures and minConsecutiveConnectFailures are the minimum numbers of consecutive
-	// failures that eject an endpoint.
-	minConsecutiveFailures        = 2.0
-	minConsecutiveConnectFailures = 1.0
-	// maxConsecutiveFailures is the number of consecutive failures that ejects an endpoint at any failure
-	// rate.
-	maxConsecutiveFailures = 6
+	// minFailureThreshold is the minimum number of consecutive failures that ejects an endpoint.
+	// minConnectFailureThreshold is the same if the latest failure is a failed connection.
+	minFailureThreshold        = 2.0
+	minConnectFailureThreshold = 1.0
+	// maxFailureThreshold is the number of consecutive failures that ejects an endpoint at any failure rate.
+	maxFailureThreshold = 6
 	// minFailureRate and maxFailureRate bound the failure rate that failureThreshold uses.
 	minFailureRate = 1e-6
 	maxFailureRate = 0.3
 
-	// maxEjectedShare bounds ejections for errors: an endpoint is ejected only if at most this share of the
-	// serving endpoints, or a single one, is then ejected, for any cause. The others must carry the load.
+	// maxEjectedShare is the maximum ejected share of the serving endpoints that ejections for errors may
+	// reach, because the others must carry the load. Ejections after TimedOut or ConnectFailed are not
+	// bounded, but count too. If no serving endpoint is ejected, one may be ejected for errors in a fleet of
+	// any size.
 	maxEjectedShare = 0.2
 	// unansweredDialDivisor divides the connect timeout: a dial that failed after more than the resulting
 	// time had no answer.
@@ -61,19 +62,20 @@
 // failureThreshold returns the number of consecutive failures that ejects an endpoint at the current failure
 // rate, after an attempt with the given result.
 func (d *outlierDetector) failureThreshold(result Result) int {
-	minFailures, significance := minConsecutiveFailures, significanceLevel
+	minFailures, significance := minFailureThreshold, significanceLevel
 	if result == ConnectFailed {
-		minFailures, significance = minConsecutiveConnectFailures, connectSignificanceLevel
+		minFailures, significance = minConnectFailureThreshold, connectSignificanceLevel
 	}
 	rate := min(max(d.failureRate, minFailureRate), maxFailureRate)
 	// The smallest n with rate^n <= significance.
 	failures := math.Ceil(math.Log(significance) / math.Log(rate))
-	return int(min(max(minFailures, failures), maxConsecutiveFailures))
+	return int(min(max(minFailures, failures), maxFailureThreshold))
 }
 
 // isSingleConnectionFailure reports whether a connection to an endpoint failed or broke although the
-// endpoint's process is still running. A process that ends closes all its connections, so that older attempts
-// still in flight show that it runs. A dial without an answer is no evidence of a running process.
+// endpoint's process is still running. A process that ends closes all its connections. An attempt that was
+// sent before the first of the consecutive failures and is still in flight therefore shows that the process
+// runs. A dial without an answer is no evidence of a running process.
 func (d *outlierDetector) isSingleConnectionFailure(ep *endpoint, outcome *Outcome) bool {
 	if outcome.Result == ServerError {
 		return false
@@ -101,9 +103,10 @@
 	e.eject(now, class.Objective, jitter)
 }
 
-// ejectForClassIfLagging ejects an endpoint for one class if the on-time share of the class is significantly
-// lower than that of the best class. Otherwise the fleet as a whole is slow, and not this endpoint.
-func (d *outlierDetector) ejectForClassIfLagging(ep *endpoint, class *classStats, now time.Duration) {
+// ejectForLaggingClass ejects an endpoint for a class that lags behind the best class: its on-time share is
+// lower by at least significantOnTimeGap. If the class does not lag, the fleet as a whole is slow, and the
+// endpoint is not ejected.
+func (d *outlierDetector) ejectForLaggingClass(ep *endpoint, class *classStats, now time.Duration) {
 	if class.onTimeShare() > d.classes.best().onTimeShare()-significantOnTimeGap {
 		return
 	}
