--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -56,7 +56,7 @@
 	testutil.Receive(t, server.Watches)
 	server.Lines <- ""
 	server.Lines <- indentedList
-	server.Lines <- ` {"version":3,"full":false,"servers":[]} {"version":4,"full":false,` + "\n\n" + `"servers":[]}`
+	server.Lines <- `  {"version":3,"full":false,"servers":[]} {"version":4,"full":false,` + "\n\n" + `"servers":[]}`
 	for _, entries := range []int{1, 0, 0} {
 		expectEvent(t, events, balancer.ListDelta, entries)
 	}
