--- a/check.sh
+++ b/check.sh
@@ -1,16 +1,17 @@
 #!/bin/bash
-# The project's one test command (see README.md): formatting, vet, golangci-lint, the size of files, tests, the deploy
-# file's build, its list of decision files, and a start of both programs. The first step that fails ends it.
+# Runs all checks of the repository (see README.md): formatting, go.mod, go vet, golangci-lint, file sizes, tests, the
+# build command of deploy/balancer.toml, its list of decision files, and a start of both programs. Stops at the first
+# check that fails.
 set -euo pipefail
 cd "$(dirname "$0")"
 
-max_file_lines=500     # of a file without tests
-max_policy_columns=110 # of a file that the deploy file's policy names
-max_start_polls=300    # of the agent's log until it serves, one each start_poll_seconds
-start_poll_seconds=0.1
+max_file_lines=500     # lines of a Go file, test files excepted
+max_policy_columns=110 # columns of a line in a file that policy in deploy/balancer.toml names
+max_start_polls=300    # polls of the agent's log for its start message
+start_poll_seconds=0.1 # interval between polls
 
-dir= # holds the configuration and the log of the agent that check_agent starts
-pid= # of that agent; empty: it is not running
+agent_dir= # directory of the configuration and the log of the agent that check_agent starts
+agent_pid= # process ID of that agent; empty if it is not running
 
 main() {
 	check_sources
@@ -23,22 +24,23 @@
 	echo "both programs start"
 }
 
+# fail prints a message and exits with status 1.
 fail() {
 	echo "$1" >&2
 	exit 1
 }
 
-# fail_with_log prints the agent's log behind the message.
+# fail_with_log prints a message and the agent's log, and exits with status 1.
 fail_with_log() {
 	echo "$1" >&2
-	cat "$dir/log" >&2
+	cat "$agent_dir/log" >&2
 	exit 1
 }
 
-# deploy_key prints a key of the deploy file that holds a string.
-deploy_key() { sed -n "s/^$1 = \"\(.*\)\"\$/\1/p" deploy/balancer.toml; }
+# print_deploy_value prints the string value of a key of deploy/balancer.toml.
+print_deploy_value() { sed -n "s/^$1 = \"\(.*\)\"\$/\1/p" deploy/balancer.toml; }
 
-# check_sources runs the formatter, the module's check, vet and the linters.
+# check_sources runs gofmt, go mod tidy -diff, go vet and golangci-lint.
 check_sources() {
 	local unformatted
 	unformatted=$(gofmt -l .)
@@ -48,38 +50,39 @@
 	bash tools/lint.sh
 }
 
-# check_file_sizes bounds the lines of each file, tests aside.
+# check_file_sizes checks that no Go file has more than max_file_lines lines. It does not check test files.
 check_file_sizes() {
 	local file file_lines
 	for file in $(find balancer cmd internal -name '*.go' ! -name '*_test.go'); do
 		file_lines=$(wc -l <"$file")
-		[ "$file_lines" -le "$max_file_lines" ] || fail "$file: $file_lines lines, $max_file_lines allowed"
+		[ "$file_lines" -le "$max_file_lines" ] ||
+			fail "$file has $file_lines lines, at most $max_file_lines are allowed"
 	done
 }
 
-# build runs the deploy file's build command.
+# build runs the build command of deploy/balancer.toml.
 build() {
 	local command
-	command=$(deploy_key build)
-	[ -n "$command" ] || fail "deploy/balancer.toml: no build command"
+	command=$(print_deploy_value build)
+	[ -n "$command" ] || fail "deploy/balancer.toml: no value found for the key build"
 	sh -c "$command"
 }
 
-# check_policy compares the deploy file's policy with balancer/: it names each file that holds decision logic or its
-# state, and these have no long lines.
+# check_policy checks that policy in deploy/balancer.toml names each file of balancer/ that has decision logic or its
+# state, that each named file exists and is not empty, and that none has a line of more than max_policy_columns columns.
 check_policy() {
 	local policy file
 	policy=$(sed -n 's/^policy = \[\(.*\)\]$/\1/p' deploy/balancer.toml | tr -d '",')
-	[ -n "$policy" ] || fail "deploy/balancer.toml: policy names no file"
+	[ -n "$policy" ] || fail "deploy/balancer.toml: the key policy is missing or names no file"
 	for file in $policy; do
 		[ -s "$file" ] || fail "deploy/balancer.toml: policy names $file, which is missing or empty"
-		# A tab counts as four columns here, as in most editors.
+		# A tab counts as four columns, as in most editors.
 		if expand -t 4 "$file" | grep -nE "^.{$((max_policy_columns + 1)),}"; then
-			fail "$file: lines of over $max_policy_columns columns"
+			fail "$file has lines of more than $max_policy_columns columns"
 		fi
 	done
 	for file in balancer/*.go; do
-		holds_no_decisions "$file" && continue
+		has_no_decisions "$file" && continue
 		case " $policy " in
 		*" $file "*) ;;
 		*) fail "deploy/balancer.toml: policy does not name $file" ;;
@@ -87,8 +90,8 @@
 	done
 }
 
-# holds_no_decisions reports whether a file of balancer/ holds neither decision logic nor its state.
-holds_no_decisions() {
+# has_no_decisions reports whether a file of balancer/ has neither decision logic nor its state.
+has_no_decisions() {
 	case "$1" in
 	*_test.go) return 0 ;;
 	balancer/events.go | balancer/actions.go | balancer/settings.go | balancer/validation.go | balancer/doc.go) return 0 ;;
@@ -99,36 +102,40 @@
 # check_adapter checks that the adapter replies to an empty batch.
 check_adapter() {
 	local reply
-	reply=$(printf '{"msg":"Frame","ClockMs":1}\n{"msg":"End"}\n' | sh -c "$(deploy_key sim)")
-	[ "$reply" = '{"msg":"Eor"}' ] || fail "the adapter answered '$reply' to an empty batch"
+	reply=$(printf '{"msg":"Frame","ClockMs":1}\n{"msg":"End"}\n' | sh -c "$(print_deploy_value sim)")
+	[ "$reply" = '{"msg":"Eor"}' ] || fail "the adapter replied '$reply' to an empty batch, want '{\"msg\":\"Eor\"}'"
 }
 
-# check_agent checks that the agent rejects a configuration that is missing, starts, and exits with status 0 on SIGTERM.
+# check_agent checks that the agent rejects a missing configuration file, starts with a valid one, and exits with status
+# 0 on SIGTERM.
 check_agent() {
-	dir=$(mktemp -d)
-	trap '[ -z "$pid" ] || kill "$pid" 2>/dev/null || true; rm -rf "$dir"' EXIT
+	agent_dir=$(mktemp -d)
+	trap '[ -z "$agent_pid" ] || kill "$agent_pid" 2>/dev/null || true; rm -rf "$agent_dir"' EXIT
 	check_missing_configuration
 	write_configuration
-	GW_CONFIG="$dir/config.json" sh -c "$(deploy_key run)" 2>"$dir/log" &
-	pid=$!
-	await_serving
-	kill -TERM "$pid"
+	GW_CONFIG="$agent_dir/config.json" sh -c "$(print_deploy_value run)" 2>"$agent_dir/log" &
+	agent_pid=$!
+	wait_for_serving
+	kill -TERM "$agent_pid"
 	local status=0
-	wait "$pid" || status=$?
-	pid=
-	[ "$status" -eq 0 ] || fail_with_log "the agent ended with status $status:"
+	wait "$agent_pid" || status=$?
+	agent_pid=
+	[ "$status" -eq 0 ] || fail_with_log "the agent exited with status $status on SIGTERM, want 0; its log:"
 }
 
-# check_missing_configuration checks that the agent ends with one line on what is wrong.
+# check_missing_configuration checks that the agent exits with a non-zero status and logs exactly one line if its
+# configuration file is missing.
 check_missing_configuration() {
-	if GW_CONFIG="$dir/none.json" sh -c "$(deploy_key run)" 2>"$dir/log"; then
-		fail "the agent starts without a configuration"
+	if GW_CONFIG="$agent_dir/none.json" sh -c "$(print_deploy_value run)" 2>"$agent_dir/log"; then
+		fail "the agent exited with status 0 although its configuration file is missing, want another status"
 	fi
-	[ "$(wc -l <"$dir/log")" -eq 1 ] || fail_with_log "not one plain line for a bad configuration:"
+	[ "$(wc -l <"$agent_dir/log")" -eq 1 ] ||
+		fail_with_log "the agent did not log exactly one line for a missing configuration file; its log:"
 }
 
+# write_configuration writes a valid configuration file for the agent.
 write_configuration() {
-	cat >"$dir/config.json" <<'JSON'
+	cat >"$agent_dir/config.json" <<'JSON'
 {"name": "check", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
  "limits": {"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": {"version": 1, "full": true, "servers": []},
  "settings": {"Balancers": 1, "Me": 0, "Contract": {"ColdFrom": 1}, "PolicyLimits": {"ConnectTimeoutMs": 250},
@@ -136,14 +143,16 @@
 JSON
 }
 
-# await_serving waits until the agent's log says that it serves, or the agent has ended.
-await_serving() {
+# wait_for_serving waits until the agent logs its start message. It fails if the agent exits before that, or does not
+# log the message within max_start_polls polls.
+wait_for_serving() {
 	for _ in $(seq "$max_start_polls"); do
-		grep -q 'msg=serving' "$dir/log" && break
-		kill -0 "$pid" 2>/dev/null || break
+		grep -q 'msg=serving' "$agent_dir/log" && break
+		kill -0 "$agent_pid" 2>/dev/null || break
 		sleep "$start_poll_seconds"
 	done
-	grep -q 'msg=serving' "$dir/log" || fail_with_log "the agent does not start:"
+	grep -q 'msg=serving' "$agent_dir/log" ||
+		fail_with_log "the agent exited or did not log msg=serving within $max_start_polls polls; its log:"
 }
 
 main
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -1,86 +1,91 @@
 #!/bin/bash
-# Runs all tests. Those that KNOWN-RED.txt names run apart from the others: their result is printed and does not count.
-# Each of its lines that is neither empty nor a comment names one test, PACKAGE as in go test, and says why it fails, how
-# to see that, with which seed, and what was seen:
+# Runs all tests. The tests that KNOWN-RED.txt lists run separately: their result is printed and is not counted. Each
+# line of KNOWN-RED.txt that is neither empty nor a comment lists one test. PACKAGE has the form that go test accepts.
+# The line states why the test fails, the command and the seed that reproduce the failure, and what was observed:
 #
 #   PACKAGE TEST: CAUSE; run: go test ARGUMENTS; seed: NUMBER or none; seen: OBSERVATION (issue N)
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
-max_known_red=3
+max_known_red_tests=3
 known_red_timeout=120s
-known_red_output_lines=20
+known_red_output_lines=20 # lines printed of the output of each test, counted from its end
 line_form='^(\./[a-z/]+) (Test[A-Za-z0-9_]+): [^;]+; run: go test [^;]+; seed: ([0-9]+|none); seen: .+ \(issue [0-9]+\)$'
 line_form_text='PACKAGE TEST: CAUSE; run: go test ARGUMENTS; seed: NUMBER or none; seen: OBSERVATION (issue N)'
 
-known_red=() # the lines of KNOWN-RED.txt
-names=()     # the names of the tests in these lines
+known_red_entries=() # lines of KNOWN-RED.txt that list a test
+known_red_names=()   # names of these tests, in the same order
 
 main() {
 	read_known_red
-	run_counted_tests
-	run_known_red
+	run_required_tests
+	run_known_red_tests
 }
 
+# fail prints a message about KNOWN-RED.txt and exits with status 1.
 fail() {
 	echo "KNOWN-RED.txt: $1" >&2
 	exit 1
 }
 
-# read_known_red reads and checks KNOWN-RED.txt, which may be absent.
+# read_known_red reads and validates KNOWN-RED.txt. The file may be absent.
 read_known_red() {
 	[ -f KNOWN-RED.txt ] || return 0
-	mapfile -t known_red < <(grep -vE '^(#|[[:space:]]*$)' KNOWN-RED.txt || true)
-	[ "${#known_red[@]}" -le "$max_known_red" ] || fail "${#known_red[@]} tests, $max_known_red allowed"
+	mapfile -t known_red_entries < <(grep -vE '^(#|[[:space:]]*$)' KNOWN-RED.txt || true)
+	[ "${#known_red_entries[@]}" -le "$max_known_red_tests" ] ||
+		fail "it lists ${#known_red_entries[@]} tests, at most $max_known_red_tests are allowed"
 	local line
-	for line in "${known_red[@]}"; do
+	for line in "${known_red_entries[@]}"; do
 		parse_line "$line"
-		check_is_one_test "$package" "$name"
-		names+=("$name")
+		validate_test_is_unique "$test_package" "$test_name"
+		known_red_names+=("$test_name")
 	done
 }
 
-# parse_line sets package and name from a line of KNOWN-RED.txt.
+# parse_line sets test_package and test_name from a line of KNOWN-RED.txt.
 parse_line() {
-	[[ $1 =~ $line_form ]] || fail "not '$line_form_text': $1"
-	package=${BASH_REMATCH[1]}
-	name=${BASH_REMATCH[2]}
+	[[ $1 =~ $line_form ]] || fail "the line '$1' does not have the form '$line_form_text'"
+	test_package=${BASH_REMATCH[1]}
+	test_name=${BASH_REMATCH[2]}
 }
 
-# check_is_one_test fails for a name that no test has, which would hide a mistake, and for one that two tests have, which
-# would leave out a test too many.
-check_is_one_test() {
-	local in_package in_all
-	in_package=$(count_tests "$2" "$1")
-	in_all=$(count_tests "$2" ./...)
-	[ "$in_package $in_all" = "1 1" ] || fail "$2 is not one test, in $1"
+# validate_test_is_unique fails unless exactly one test has the name $2 and that test is in the package $1. A name that
+# no test has would hide a mistake in KNOWN-RED.txt. A name that two tests have would exclude both from the required
+# tests.
+validate_test_is_unique() {
+	local package_count total_count
+	package_count=$(count_tests "$2" "$1")
+	total_count=$(count_tests "$2" ./...)
+	[ "$package_count $total_count" = "1 1" ] ||
+		fail "$2 must name exactly one test: found $package_count in $1 and $total_count in ./..."
 }
 
-# count_tests prints how many tests in packages have a name. It fails where the tests can't be listed, such as for one
-# that does not compile.
+# count_tests prints how many tests of the packages $2 have the name $1. It fails if go test cannot list the tests, for
+# example because a package does not compile.
 count_tests() {
-	local listed
-	listed=$(go test -list "^$1\$" "$2") || fail "the tests of $2 can't be listed"
-	grep -cx "$1" <<<"$listed" || [ "$?" -eq 1 ] # 1: none
+	local listing
+	listing=$(go test -list "^$1\$" "$2") || fail "go test cannot list the tests of $2"
+	grep -cx "$1" <<<"$listing" || [ "$?" -eq 1 ] # grep exits with 1 if no line matches
 }
 
-# run_counted_tests runs all tests but the known red ones, those of internal/ with the race detector.
-run_counted_tests() {
+# run_required_tests runs all tests except the known red tests. The tests of internal/ run under the race detector.
+run_required_tests() {
 	local skip=()
-	[ "${#names[@]}" -eq 0 ] || skip=("-skip=^($(IFS='|'; echo "${names[*]}"))\$")
+	[ "${#known_red_names[@]}" -eq 0 ] || skip=("-skip=^($(IFS='|'; echo "${known_red_names[*]}"))\$")
 	go test -count=1 "${skip[@]}" ./balancer/... ./cmd/... ./docs/...
 	go test -count=1 -race "${skip[@]}" ./internal/...
 }
 
-# run_known_red runs the known red tests and prints the end of their output.
-run_known_red() {
+# run_known_red_tests runs the known red tests and prints the end of their output. A failure does not change the exit
+# status.
+run_known_red_tests() {
 	local line
-	for line in "${known_red[@]}"; do
+	for line in "${known_red_entries[@]}"; do
 		parse_line "$line"
 		echo "known red: $line"
-		if go test -count=1 -timeout "$known_red_timeout" -race -run "^$name\$" "$package" 2>&1 |
+		if go test -count=1 -timeout "$known_red_timeout" -race -run "^$test_name\$" "$test_package" 2>&1 |
 			tail -n "$known_red_output_lines"; then
-			echo "$name passed; it stays listed until its cause is mended"
+			echo "$test_name passed; keep it in KNOWN-RED.txt until its cause is fixed"
 		fi
 	done
 }
