--- a/cmd/ashshunt/reload.go
+++ b/cmd/ashshunt/reload.go
@@ -18,8 +18,8 @@
 	maxReloadBackoff        = 250 * time.Millisecond
 )
 
-// reloadRetryTimeout is how long after the signal a failed reload is retried. No writer of the file takes longer, so
-// that a file that is still unreadable or invalid needs the operator.
+// reloadRetryTimeout is how long after the signal a failed reload is retried. A file that is invalid for longer is not
+// merely being written.
 const reloadRetryTimeout = 30 * time.Second
 
 // reloader reloads the configuration on each signal. For up to reloadRetryTimeout it retries a file that can't be read
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -224,7 +224,7 @@
 			testutil.Receive(t, busy)
 			method.disconnect(t, client)
 			// The test may read the request table, since the event loop is blocked.
-			testutil.WaitFor(t, "the disconnect", a.loop.requests.find(id).upstream.ClientGone)
+			testutil.WaitFor(t, "the disconnect", a.loop.requests.find(id).upstream.IsClientGone)
 			close(gate)
 			waitForNotSent(t, recorder.outcomes, server)
 		})
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -55,7 +55,7 @@
 			Target:         inbound.Target,
 			Body:           inbound.Body,
 			Lifetime:       lifetime,
-			ClientGone:     inbound.IsClientGone,
+			IsClientGone:   inbound.IsClientGone,
 		},
 		cancelLifetime: cancelLifetime,
 	}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -64,7 +64,7 @@
 		}, balancer.ConnectFailed},
 		{requestFinished, func(_ *Client, _ *Request, end func()) { end() }, balancer.NotSent},
 		{"client gone", func(_ *Client, request *Request, _ func()) {
-			request.ClientGone = func() bool { return true }
+			request.IsClientGone = func() bool { return true }
 		}, balancer.NotSent},
 	}
 	for _, tt := range tests {
@@ -188,7 +188,7 @@
 			t.Parallel()
 			server := testutil.NewServer(t, testutil.Echo)
 			client, request := newTestClient(t, server.Addr()), newUnsafeRequest()
-			request.ClientGone = func() bool { time.Sleep(tt.stall); return false }
+			request.IsClientGone = func() bool { time.Sleep(tt.stall); return false }
 			bounds := newBounds(testutil.Timeout)
 			bounds.NotAfter = time.Now().Add(tt.timeLeft)
 			if result, _ := client.Attempt(t.Context(), request, "s0", bounds); result != tt.want {
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -75,5 +75,5 @@
 // address: idle connections at once, connections in use when their exchange finishes.
 func (c *Client) DrainConnections(endpointID string) { c.pool.drain(endpointID) }
 
-// OpenConnections returns the number of connections that are open or being dialled.
+// OpenConnections returns the number of connections that are open or being dialed.
 func (c *Client) OpenConnections() int { return c.pool.openConnections() }
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -30,7 +30,7 @@
 	endpointID string
 
 	idle      []*connection // idle connections by idleSince, oldest first
-	openCount int           // number of connections that are idle, in use or being dialled
+	openCount int           // number of connections that are idle, in use or being dialed
 
 	// draining is set when the group is removed from the pool because its endpoint is draining, was removed, was
 	// restarted or has a new address. Connections that are in use are then closed on release.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -24,7 +24,7 @@
 	dialer         socket.Dialer
 
 	mu             sync.Mutex                // protects the fields below and the groups
-	openCount      int                       // number of connections that are idle, in use or being dialled
+	openCount      int                       // number of connections that are idle, in use or being dialed
 	groups         map[string]*endpointGroup // groups with openCount > 0 that are not draining, by endpoint ID
 	sweepScheduled bool                      // a timer for sweep is running
 }
@@ -71,7 +71,7 @@
 	return &connection{netConn: conn, group: group, entry: entry}, nil
 }
 
-// reserve counts a connection that is about to be dialled. At the connection limit it evicts an idle connection, or
+// reserve counts a connection that is about to be dialed. At the connection limit it evicts an idle connection, or
 // returns errPoolExhausted if none is idle.
 func (p *pool) reserve(endpointID string) (*endpointGroup, error) {
 	p.mu.Lock()
@@ -216,7 +216,7 @@
 	}
 }
 
-// openConnections returns the number of connections that are open or being dialled.
+// openConnections returns the number of connections that are open or being dialed.
 func (p *pool) openConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -20,13 +20,13 @@
 	Target         *url.URL // path and query as sent by the client
 	Body           []byte
 	Lifetime       context.Context // cancelled when the request has finished; no attempt may start after that
-	// ClientGone reports whether the client will get no response, because it closed its connection or sent too many
+	// IsClientGone reports whether the client will get no response, because it closed its connection or sent too many
 	// bytes after its request. It may become true before Lifetime is cancelled.
-	ClientGone func() bool
+	IsClientGone func() bool
 }
 
 // isFinished reports whether no attempt of the request may start any more.
-func (r *Request) isFinished() bool { return r.Lifetime.Err() != nil || r.ClientGone() }
+func (r *Request) isFinished() bool { return r.Lifetime.Err() != nil || r.IsClientGone() }
 
 // newForwardedRequest returns the HTTP request of an attempt. Its timeout header is the time until the deadline in
 // milliseconds, at least 1.
